--- a/packages/base/src/afterReading.ts
+++ b/packages/base/src/afterPendingIo.ts
@@ -16,7 +16,7 @@
  * Calls `decide` after `delayMs`, when the loop has read once more. Where the loop is late it gets `GRACE_MS` more, and
  * reads again after that. Cancelling is possible until `decide` is called.
  */
-export function afterReading(clock: Clock, delayMs: number, decide: () => void): CancelTimer {
+export function afterPendingIo(clock: Clock, delayMs: number, decide: () => void): CancelTimer {
   const dueMs = clock.nowMs() + delayMs;
   let cancel = clock.after(delayMs, () => {
     const isLate = clock.nowMs() - dueMs > LATE_MS;
@@ -31,7 +31,7 @@
 }
 
 /** Resolves when the loop has read once more: what has arrived by now is known then. */
-export async function haveRead(): Promise<void> {
+export async function pendingIoRead(): Promise<void> {
   await new Promise<void>(resolve => onceRead(resolve));
 }
 
--- a/packages/base/src/clock.ts
+++ b/packages/base/src/clock.ts
@@ -79,7 +79,7 @@
    * Lets time pass in which nothing runs, as where the process gets no processor time. The timers that fell due then run
    * late and all of them before `read`, which takes what has arrived meanwhile: the order of the event loop.
    */
-  async hold(durationMs: number, read: () => void): Promise<void> {
+  async blockEventLoop(durationMs: number, read: () => void): Promise<void> {
     await settle();
     this._nowMs += durationMs;
     setImmediate(read);
--- a/packages/base/src/deadline.ts
+++ b/packages/base/src/deadline.ts
@@ -20,12 +20,12 @@
   }
 
   /** Milliseconds left, never below zero. */
-  leftMs(): number {
+  remainingMs(): number {
     return Math.max(0, this._atMs - this._clock.nowMs());
   }
 
   isOver(): boolean {
-    return this.leftMs() === 0;
+    return this.remainingMs() === 0;
   }
 
   /** The earlier of this deadline and one `durationMs` from now. */
--- a/packages/base/src/index.ts
+++ b/packages/base/src/index.ts
@@ -1,10 +1,10 @@
 /** What every package shares. */
-export * from './afterReading.js';
+export * from './afterPendingIo.js';
 export * from './clock.js';
 export * from './deadline.js';
 export * from './hash.js';
 export * from './listenAt.js';
-export * from './outcome.js';
+export * from './result.js';
 export * from './random.js';
 export * from './settings.js';
 export * from './version.js';
--- a/packages/base/src/settings.ts
+++ b/packages/base/src/settings.ts
@@ -4,7 +4,7 @@
  */
 import { parseArgs } from 'node:util';
 import * as z from 'zod';
-import { err, ok, type Result } from './outcome.js';
+import { err, ok, type Result } from './result.js';
 
 /** One setting: its flag, what it must be, and a line for `--help`. */
 export interface Setting<T = unknown> {
@@ -22,13 +22,13 @@
 };
 
 /** Why a program does not start with the settings it was given, or prints something and ends. */
-export type SettingsStop =
+export type SettingsExit =
   | { readonly kind: 'help'; readonly text: string }
   | { readonly kind: 'version' }
   | { readonly kind: 'wrong'; readonly problems: readonly string[] };
 
 /** The variable that a flag can also be given by: `--data-folder` is `FUCHSIAHITCH_DATA_FOLDER`. */
-export function variableOf(flag: string): string {
+export function environmentVariableName(flag: string): string {
   return `FUCHSIAHITCH_${flag.replaceAll('-', '_').toUpperCase()}`;
 }
 
@@ -38,7 +38,7 @@
   table: T,
   args: readonly string[],
   environment: Readonly<Record<string, string | undefined>>,
-): Result<SettingValues<T>, SettingsStop> {
+): Result<SettingValues<T>, SettingsExit> {
   const given = parseFlags(table, args);
   if (!given.ok) return err({ kind: 'wrong', problems: [given.error] });
   if (given.value.help === true) return err({ kind: 'help', text: helpText(program, table) });
@@ -46,7 +46,7 @@
   const problems: string[] = [];
   const values: Record<string, unknown> = {};
   for (const [flag, setting] of Object.entries(table)) {
-    const raw = given.value[flag] ?? environment[variableOf(flag)] ?? setting.fallback;
+    const raw = given.value[flag] ?? environment[environmentVariableName(flag)] ?? setting.fallback;
     const parsed = setting.schema.safeParse(raw);
     if (parsed.success) values[flag] = parsed.data;
     else problems.push(wrongText(flag, raw, setting, parsed.error));
@@ -78,19 +78,19 @@
 ): string {
   const found = raw === undefined ? 'is missing' : `is '${raw}'`;
   const reason = error.issues.map(issue => issue.message).join('; ');
-  return `--${flag} (${variableOf(flag)}) ${found}: ${reason}. It should be: ${setting.help}`;
+  return `--${flag} (${environmentVariableName(flag)}) ${found}: ${reason}. It should be: ${setting.help}`;
 }
 
 function helpText(program: string, table: SettingTable): string {
   const lines = Object.entries(table).map(([flag, setting]) => {
     const fallback = setting.fallback === undefined ? '' : ` (default: ${setting.fallback || 'empty'})`;
-    return `  --${flag}\n      ${setting.help}${fallback}\n      variable: ${variableOf(flag)}`;
+    return `  --${flag}\n      ${setting.help}${fallback}\n      variable: ${environmentVariableName(flag)}`;
   });
   return [`usage: ${program} [flags]`, ...lines, '  --help', '  --version'].join('\n');
 }
 
 /** Prints why the program stops and ends it: 0 after help or version, 2 after a wrong setting. */
-export function stopWith(program: string, version: string, stop: SettingsStop): never {
+export function exitWith(program: string, version: string, stop: SettingsExit): never {
   switch (stop.kind) {
     case 'help':
       process.stdout.write(`${stop.text}\n`);
--- a/packages/clients/src/etcdStore.ts
+++ b/packages/clients/src/etcdStore.ts
@@ -130,7 +130,7 @@
         body: JSON.stringify(body),
         headers: { 'content-type': 'application/json' },
         dispatcher: this._agent,
-        signal: AbortSignal.timeout(Math.ceil(deadline.leftMs())),
+        signal: AbortSignal.timeout(Math.ceil(deadline.remainingMs())),
       });
       const text = await response.body.text();
       if (response.statusCode !== OK_STATUS)
--- a/packages/clients/src/httpEngineClient.ts
+++ b/packages/clients/src/httpEngineClient.ts
@@ -67,7 +67,7 @@
 
   async report(url: string, deadline: Deadline): Promise<EngineReport | undefined> {
     try {
-      const signal = AbortSignal.timeout(Math.ceil(deadline.leftMs()));
+      const signal = AbortSignal.timeout(Math.ceil(deadline.remainingMs()));
       const response = await request(`${url}/load`, { dispatcher: this._agent, signal });
       const parsed = reportSchema.safeParse(await response.body.json());
       if (!parsed.success) return undefined;
@@ -85,7 +85,7 @@
         headers: { 'content-type': 'application/json' },
         body: JSON.stringify({ version, token }),
         dispatcher: this._agent,
-        signal: AbortSignal.timeout(Math.ceil(deadline.leftMs())),
+        signal: AbortSignal.timeout(Math.ceil(deadline.remainingMs())),
       });
       await response.body.dump();
       if (response.statusCode < SERVER_ERROR && response.statusCode !== CONFLICT) return 'accepted';
--- a/packages/clients/src/memberList.ts
+++ b/packages/clients/src/memberList.ts
@@ -24,7 +24,7 @@
     try {
       const response = await request(`${this._url}/v1/members/${domain}`, {
         dispatcher: this._agent,
-        signal: AbortSignal.timeout(Math.ceil(deadline.leftMs())),
+        signal: AbortSignal.timeout(Math.ceil(deadline.remainingMs())),
       });
       const text = await response.body.text();
       return response.statusCode === OK_STATUS ? (JSON.parse(text) as unknown) : undefined;
--- a/packages/clients/src/scorer.ts
+++ b/packages/clients/src/scorer.ts
@@ -59,7 +59,7 @@
         body,
         headers: { 'content-type': 'application/json' },
         dispatcher: this._agent,
-        signal: AbortSignal.timeout(Math.ceil(deadline.leftMs())),
+        signal: AbortSignal.timeout(Math.ceil(deadline.remainingMs())),
       });
       const text = await response.body.text();
       if (response.statusCode === NOT_FOUND) return { kind: 'not-scored' };
--- a/packages/ctl/src/main.ts
+++ b/packages/ctl/src/main.ts
@@ -1,7 +1,7 @@
 /**
  * The operators' command line.
  */
-import { integerSchema, PROGRAM_VERSION, readSettings, stopWith, SystemRandom } from '@fuchsiahitch/base';
+import { integerSchema, PROGRAM_VERSION, readSettings, exitWith, SystemRandom } from '@fuchsiahitch/base';
 import * as z from 'zod';
 import { explainKey, showAccounts } from './accountCommands.js';
 import { OperatorClient } from './operatorClient.js';
@@ -70,7 +70,7 @@
 const read = readSettings(PROGRAM, settings, firstFlag < 0 ? [] : args.slice(firstFlag), process.env);
 if (!read.ok) {
   if (read.error.kind === 'help') process.stdout.write(`${COMMANDS}\n\n`);
-  stopWith(PROGRAM, PROGRAM_VERSION, read.error);
+  exitWith(PROGRAM, PROGRAM_VERSION, read.error);
 }
 const values = read.value;
 const client = new OperatorClient(values.hosts, values['operator-token']);
--- a/packages/ctl/src/ruleCommands.ts
+++ b/packages/ctl/src/ruleCommands.ts
@@ -7,9 +7,9 @@
   checkRules,
   documentSchema,
   planEdits,
-  readRuleFile,
+  parseRuleFile,
   ruleDigest,
-  writeRuleFile,
+  formatRuleFile,
   type Operation,
   type Rule,
   type RuleDocument,
@@ -29,7 +29,7 @@
 export async function getRules(client: OperatorClient): Promise<CommandResult> {
   const document = await readDocument(client);
   if (!document.ok) return unreachable(document.error);
-  const text = `# revision ${document.value.revision}\n${writeRuleFile(document.value.rules)}`;
+  const text = `# revision ${document.value.revision}\n${formatRuleFile(document.value.rules)}`;
   return { text, data: document.value, exitCode: exitCodes.done };
 }
 
@@ -185,7 +185,7 @@
   } catch {
     return err(usage(`cannot read the file '${file}'`));
   }
-  const rules = readRuleFile(text);
+  const rules = parseRuleFile(text);
   if (rules.ok) return rules;
   const lines = rules.error.map(problem => `${file}:${problem.line}: ${problem.text}`);
   return err({ text: lines.join('\n'), data: { problems: rules.error }, exitCode: exitCodes.refused });
--- a/packages/entry/src/budgetedStore.ts
+++ b/packages/entry/src/budgetedStore.ts
@@ -80,7 +80,7 @@
     call: () => Promise<Result<T, StoreError>>,
   ): Promise<Result<T, StoreError>> {
     for (let ticket = this._budget.take(); !ticket.granted; ticket = this._budget.take()) {
-      if (ticket.waitMs >= deadline.leftMs()) {
+      if (ticket.waitMs >= deadline.remainingMs()) {
         this._metrics.storeCalls.inc({ end: 'over-budget' });
         return err('over-budget');
       }
--- a/packages/entry/src/endpointService.ts
+++ b/packages/entry/src/endpointService.ts
@@ -83,7 +83,7 @@
   reported(endpointId: string, report: EngineReport): void {
     const endpoint = this._endpoints.get(endpointId);
     if (!endpoint) return;
-    this._membership.leaving.sawStart(endpointId, report.startId);
+    this._membership.leaving.observeStart(endpointId, report.startId);
     if (report.isLeaving) this._membership.noteLeaving({ endpointId, startId: report.startId });
     endpoint.limit.reported(report.queued, report.inFlight);
     endpoint.stats.reported({ ...report, version: String(report.version) });
--- a/packages/entry/src/entryHost.ts
+++ b/packages/entry/src/entryHost.ts
@@ -127,7 +127,7 @@
     rollouts.drain();
     membership.view.leave();
     orders.stop();
-    await sleep(clock, Math.min(settings['drain-ms'], limit.leftMs()));
+    await sleep(clock, Math.min(settings['drain-ms'], limit.remainingMs()));
     await this._finishInFlight(limit);
     requests.refuseNew();
     const isHandedOver = await keys.handOver(limit.atMost(HANDOVER_MS));
--- a/packages/entry/src/keyService.ts
+++ b/packages/entry/src/keyService.ts
@@ -131,9 +131,9 @@
   // KeyRoutes: how requests reach the owner.
 
   async claim(domain: string, claim: Claim, deadline: Deadline): Promise<ClaimReply | undefined> {
-    if (domain === this._context.domain) return this._claimHere(claim, deadline.leftMs());
+    if (domain === this._context.domain) return this._claimHere(claim, deadline.remainingMs());
     const relay = this._membership.someAddressOf(domain);
-    const reply = await this._peers.call(relay, calls.claimKey, claim, deadline.leftMs());
+    const reply = await this._peers.call(relay, calls.claimKey, claim, deadline.remainingMs());
     return reply.ok ? reply.value : undefined;
   }
 
@@ -145,7 +145,7 @@
   }
 
   async refresh(deadline: Deadline): Promise<void> {
-    await sleep(this._context.clock, Math.min(REFRESH_PAUSE_MS, deadline.leftMs()));
+    await sleep(this._context.clock, Math.min(REFRESH_PAUSE_MS, deadline.remainingMs()));
   }
 
   private async _claimed(claim: Claim): Promise<ClaimReply> {
--- a/packages/entry/src/main.ts
+++ b/packages/entry/src/main.ts
@@ -1,14 +1,14 @@
 /**
  * The entry daemon.
  */
-import { PROGRAM_VERSION, readSettings, stopWith, SystemClock, SystemRandom } from '@fuchsiahitch/base';
+import { PROGRAM_VERSION, readSettings, exitWith, SystemClock, SystemRandom } from '@fuchsiahitch/base';
 import { EntryHost } from './entryHost.js';
 import { entrySettings } from './entrySettings.js';
 
 const PROGRAM = 'fuchsiahitch-entry';
 
 const settings = readSettings(PROGRAM, entrySettings, process.argv.slice(2), process.env);
-if (!settings.ok) stopWith(PROGRAM, PROGRAM_VERSION, settings.error);
+if (!settings.ok) exitWith(PROGRAM, PROGRAM_VERSION, settings.error);
 
 const host = await EntryHost.start(settings.value, new SystemClock(), new SystemRandom());
 
--- a/packages/entry/src/membershipService.ts
+++ b/packages/entry/src/membershipService.ts
@@ -228,7 +228,7 @@
     this._documents.set(document.domain, document);
     this._membersDigest = digest(JSON.stringify(Object.entries(this._revisions()).sort()));
     if (document.domain === this._context.domain) {
-      for (const host of document.hosts) this.view.learn(host.id, host.peerAddress);
+      for (const host of document.hosts) this.view.addListedHost(host.id, host.peerAddress);
     }
     for (const listener of this._listeners) listener();
   }
--- a/packages/entry/src/requestService.ts
+++ b/packages/entry/src/requestService.ts
@@ -191,7 +191,7 @@
     const { run, request, deadline } = work;
     const leave = (): void => work.giveUp('caller-left');
     request.left.addEventListener('abort', leave);
-    const cancelTimer = this._context.clock.after(deadline.leftMs(), () => work.giveUp('deadline'));
+    const cancelTimer = this._context.clock.after(deadline.remainingMs(), () => work.giveUp('deadline'));
     try {
       while (!run.outcome()) await this._oneAttempt(work, pool);
     } finally {
@@ -251,7 +251,7 @@
     const pauseMs = backoffMs(BACKOFF_BASE_MS, BACKOFF_MAX_MS, work.attempts, n =>
       this._context.random.below(n),
     );
-    await sleep(this._context.clock, Math.min(pauseMs, work.deadline.leftMs()), work.signal);
+    await sleep(this._context.clock, Math.min(pauseMs, work.deadline.remainingMs()), work.signal);
   }
 
   private async _send(
--- a/packages/entry/src/rulesService.ts
+++ b/packages/entry/src/rulesService.ts
@@ -7,7 +7,7 @@
 import type { KeyValueStore, WatchEvent } from '@fuchsiahitch/clients';
 import { calls } from '@fuchsiahitch/protocol';
 import {
-  RuleBook,
+  RuleEvaluator,
   RuleEditor,
   RuleHistory,
   type Edit,
@@ -38,7 +38,7 @@
   private readonly _signals: SignalReader;
   private readonly _history = new RuleHistory();
   private readonly _editor: RuleEditor;
-  private _book: RuleBook;
+  private _book: RuleEvaluator;
   private _isKnown = false;
   private _pulling: Promise<void> | undefined;
 
@@ -57,7 +57,7 @@
     this._peers = peers;
     this._signals = signals;
     this._editor = new RuleEditor(rules, () => this._history.document());
-    this._book = new RuleBook(this._history.document(), context.clock, signals);
+    this._book = new RuleEvaluator(this._history.document(), context.clock, signals);
   }
 
   register(server: CallRegistry): void {
@@ -81,7 +81,7 @@
   }
 
   /** The rules to decide by. */
-  book(): RuleBook {
+  book(): RuleEvaluator {
     return this._book;
   }
 
@@ -192,7 +192,7 @@
 
   private _rebuild(): void {
     this._isKnown = true;
-    this._book = new RuleBook(this._history.document(), this._context.clock, this._signals);
+    this._book = new RuleEvaluator(this._history.document(), this._context.clock, this._signals);
     this._context.log.info('rules in force', { revision: this.revision() });
   }
 
--- a/packages/entry/src/stepService.ts
+++ b/packages/entry/src/stepService.ts
@@ -321,7 +321,7 @@
 
   private _dropDeadWorkers(owner: StepOwner): void {
     for (const member of this._membership.view.members()) {
-      if (member.state === 'dead') owner.ledger.workerGone(member.hostId);
+      if (member.state === 'dead') owner.ledger.workerLost(member.hostId);
     }
   }
 
--- a/packages/gateway/src/batchOwner.ts
+++ b/packages/gateway/src/batchOwner.ts
@@ -215,7 +215,7 @@
   /** Resolves at the next listed result, or when the deadline is over. */
   private async _changed(deadline: Deadline): Promise<void> {
     await new Promise<void>(resolve => {
-      const cancel = this._context.clock.after(deadline.leftMs(), resolve);
+      const cancel = this._context.clock.after(deadline.remainingMs(), resolve);
       this._wake.push(() => {
         cancel();
         resolve();
--- a/packages/gateway/src/batchService.ts
+++ b/packages/gateway/src/batchService.ts
@@ -117,7 +117,7 @@
     const request = { batchId, after, waitMs };
     const reply = await this._atOwner<BatchReadReply>(
       batchId,
-      owner => owner.read(after, deadline.leftMs()),
+      owner => owner.read(after, deadline.remainingMs()),
       address => this._hosts.call(address, calls.batchRead, request, waitMs + PEER_TIMEOUT_MS),
     );
     switch (reply.kind) {
--- a/packages/gateway/src/batchStore.ts
+++ b/packages/gateway/src/batchStore.ts
@@ -113,7 +113,7 @@
         return { kind: 'accepted', held: { claim, revision: done.value.version, askedMs } };
       if (done.ok) return this._acceptedBefore(batch.id, claim, deadline);
       if (done.error === 'unknown') mayBeDone = true;
-      if (deadline.leftMs() <= RETRY_MS)
+      if (deadline.remainingMs() <= RETRY_MS)
         return mayBeDone ? { kind: 'unknown' } : { kind: 'not-done', error: done.error };
       await sleep(this._context.clock, RETRY_MS, this._context.stopped);
     }
@@ -164,7 +164,7 @@
       if (done.ok && done.value.succeeded)
         return { kind: 'done', value: { claim, revision: done.value.version, askedMs } };
       if (done.ok) return this._changedBefore(key, value, deadline);
-      if (deadline.leftMs() <= RETRY_MS) return { kind: 'out-of-reach', error: done.error };
+      if (deadline.remainingMs() <= RETRY_MS) return { kind: 'out-of-reach', error: done.error };
       await sleep(this._context.clock, RETRY_MS, this._context.stopped);
     }
   }
--- a/packages/gateway/src/configurationService.ts
+++ b/packages/gateway/src/configurationService.ts
@@ -5,7 +5,7 @@
 import { AccountIndex, decideAccess, type Access, type Credential } from '@fuchsiahitch/accounts';
 import type { PoolScaling } from '@fuchsiahitch/capacity';
 import type { StoredValue } from '@fuchsiahitch/clients';
-import { RuleBook, RuleHistory, type Decision, type Route } from '@fuchsiahitch/rules';
+import { RuleEvaluator, RuleHistory, type Decision, type Route } from '@fuchsiahitch/rules';
 import type { GatewayContext } from './gatewayContext.js';
 import type { CallerLimits, FleetConfiguration, RecordDecoder, RecordKeys } from './ports.js';
 import { StoreMirror, type MirrorSource } from './storeMirror.js';
@@ -47,7 +47,7 @@
   private readonly _mirror: StoreMirror;
   private readonly _history = new RuleHistory();
   private readonly _named = new Map<string, number>();
-  private _book: RuleBook | undefined;
+  private _book: RuleEvaluator | undefined;
   private _accounts: AccountIndex | undefined;
   private _configuration: FleetConfiguration | undefined;
 
@@ -163,7 +163,7 @@
     if (offered !== 'taken') return;
     this._configuration = configuration;
     this._accounts = accounts;
-    this._book = new RuleBook(this._history.document(), clock, noSignals);
+    this._book = new RuleEvaluator(this._history.document(), clock, noSignals);
   }
 
   /** The accounts of a configuration; one that contradicts itself is not put in force, in any of its parts. */
--- a/packages/gateway/src/forwardRun.ts
+++ b/packages/gateway/src/forwardRun.ts
@@ -1,7 +1,7 @@
 /**
  * One request with its attempts, up to the outcome that its caller is told.
  */
-import { afterReading, Deadline, type CancelTimer } from '@fuchsiahitch/base';
+import { afterPendingIo, Deadline, type CancelTimer } from '@fuchsiahitch/base';
 import type { Route } from '@fuchsiahitch/rules';
 import {
   RETRY_AFTER_MS,
@@ -61,7 +61,7 @@
 
   async run(): Promise<ForwardOutcome> {
     const wake = (): void => this._wake?.();
-    const cancels = [this._context.clock.after(this._deadline.leftMs(), wake), this._armHedge()];
+    const cancels = [this._context.clock.after(this._deadline.remainingMs(), wake), this._armHedge()];
     this._left.addEventListener('abort', wake);
     const outcome = await this._decide();
     this._left.removeEventListener('abort', wake);
@@ -113,7 +113,7 @@
 
   private async _attempt(endpoint: Endpoint): Promise<void> {
     const attempt = this._sent;
-    const leftMs = this._deadline.leftMs();
+    const leftMs = this._deadline.remainingMs();
     const startedMs = this._context.clock.nowMs();
     const end = await this._forwarder.attempt(this._request, endpoint, leftMs, this._stop.signal);
     const tookMs = this._context.clock.nowMs() - startedMs;
@@ -157,7 +157,7 @@
     const afterMs = Math.max(MIN_HEDGE_MS, this._route.targetMs * HEDGE_SHARE);
     // A late loop that sent before it read would send what is answered already, and be later still. What falls due only
     // after the deadline by that is not sent: `_start` looks at the time.
-    return afterReading(this._context.clock, afterMs, () => {
+    return afterPendingIo(this._context.clock, afterMs, () => {
       if (this._running === 1 && this._forwarder.mayHedge()) this._start();
     });
   }
--- a/packages/gateway/src/forwarder.ts
+++ b/packages/gateway/src/forwarder.ts
@@ -319,7 +319,7 @@
   ): Promise<StreamEnd> {
     endpoint.stats.began(false);
     const startedMs = this._context.clock.nowMs();
-    const leftMs = deadline.leftMs();
+    const leftMs = deadline.remainingMs();
     const metered = this._metered(request);
     const reply = await this._client.send(toCall(request, endpoint, leftMs), left);
     metered?.ended(reply.kind !== 'not-run');
--- a/packages/gateway/src/reachMonitor.ts
+++ b/packages/gateway/src/reachMonitor.ts
@@ -10,7 +10,7 @@
  * silence of the store; one notices it as hosts that are not ready for seconds while the store answers them. The loop
  * therefore reads before the store counts as silent, and again before a round does.
  */
-import { every, haveRead } from '@fuchsiahitch/base';
+import { every, pendingIoRead } from '@fuchsiahitch/base';
 import type { GatewayContext } from './gatewayContext.js';
 import type { Hosts } from './hostDirectory.js';
 import type { RelayedStore } from './relayedStore.js';
@@ -57,7 +57,7 @@
 
   private async _isStoreReached(): Promise<boolean> {
     if (this._store.sinceReachedMs() < SUSPECT_MS) return true;
-    await haveRead();
+    await pendingIoRead();
     return this._store.sinceReachedMs() < SUSPECT_MS;
   }
 
--- a/packages/gateway/src/relayedStore.ts
+++ b/packages/gateway/src/relayedStore.ts
@@ -152,7 +152,7 @@
     waitMs: number,
   ): Promise<Result<T, E | StoreError>> {
     if (this._isFailing) return this._relay<T>(toRequest, deadline, waitMs);
-    const limitMs = Math.min(deadline.leftMs(), DIRECT_TIMEOUT_MS + waitMs) - waitMs;
+    const limitMs = Math.min(deadline.remainingMs(), DIRECT_TIMEOUT_MS + waitMs) - waitMs;
     const result = await direct(deadline.atMost(DIRECT_TIMEOUT_MS + waitMs));
     if (result.ok || result.error === 'compacted') {
       this._reachedMs = this._context.clock.nowMs();
@@ -174,7 +174,7 @@
   ): Promise<Result<T, StoreError>> {
     const address = this._choosePeer();
     if (address === undefined || !this._peers || deadline.isOver()) return err('not-done');
-    const timeoutMs = Math.min(deadline.leftMs(), DIRECT_TIMEOUT_MS + waitMs);
+    const timeoutMs = Math.min(deadline.remainingMs(), DIRECT_TIMEOUT_MS + waitMs);
     const reply = await this._peers.relay(address, toRequest(timeoutMs), timeoutMs + RELAY_SLACK_MS);
     if (!reply.ok) {
       this._pause(address);
--- a/packages/gateway/src/storedBatches.ts
+++ b/packages/gateway/src/storedBatches.ts
@@ -34,7 +34,7 @@
       if (!results) return { kind: 'unsure' };
       const { items } = held.claim;
       const isWaiting = results.length <= after && after < items && !held.claim.isEnded;
-      if (!isWaiting || deadline.leftMs() <= STORED_POLL_MS)
+      if (!isWaiting || deadline.remainingMs() <= STORED_POLL_MS)
         return { kind: 'page', page: pageFrom(results, items, after) };
       await sleep(this._context.clock, STORED_POLL_MS, this._context.stopped);
     }
--- a/packages/measure/src/ruleDecisions.ts
+++ b/packages/measure/src/ruleDecisions.ts
@@ -2,7 +2,7 @@
  * How long a decision takes, at 10, 100 and 1,000 rules.
  */
 import { SeededRandom, SystemClock } from '@fuchsiahitch/base';
-import { RuleBook, type RequestFacts, type Rule } from '@fuchsiahitch/rules';
+import { RuleEvaluator, type RequestFacts, type Rule } from '@fuchsiahitch/rules';
 import type { Measurement } from './figure.js';
 
 const RULE_COUNTS = [10, 100, 1000];
@@ -33,7 +33,7 @@
     when: { caller: [name(), name()], house: [name()], pool: [name(), name(), name()] },
     then: { retries: 1 },
   }));
-  const book = new RuleBook({ revision: 1, rules, editIds: [] }, new SystemClock(), () => 0);
+  const book = new RuleEvaluator({ revision: 1, rules, editIds: [] }, new SystemClock(), () => 0);
   const facts = Array.from({ length: 1024 }, (): RequestFacts => ({
     kind: 'completion',
     caller: name(),
--- a/packages/membership/src/hostView.ts
+++ b/packages/membership/src/hostView.ts
@@ -84,7 +84,7 @@
   }
 
   /** Adds hosts that the platform's list names and this view does not know yet. */
-  learn(hostId: string, address: string): void {
+  addListedHost(hostId: string, address: string): void {
     if (hostId === this._self.hostId || this._members.has(hostId)) return;
     this._store({ hostId, address, incarnation: 0, refutation: 0, state: 'live' });
     // All hosts read the same list: there is nothing to tell.
--- a/packages/membership/src/leavingEvidence.ts
+++ b/packages/membership/src/leavingEvidence.ts
@@ -36,7 +36,7 @@
   }
 
   /** An answer of a later start of the endpoint ends the notice. */
-  sawStart(endpointId: string, startId: string): void {
+  observeStart(endpointId: string, startId: string): void {
     const seen = this._leaving.get(endpointId);
     if (seen && seen.startId !== startId) this._leaving.delete(endpointId);
   }
--- a/packages/membership/src/watchRoles.ts
+++ b/packages/membership/src/watchRoles.ts
@@ -5,11 +5,11 @@
 import { rendezvous } from '@fuchsiahitch/base';
 
 /** Two: while one is being replaced the other still hears of every change. */
-export const WATCHERS_A_DOMAIN = 2;
+export const WATCHERS_PER_DOMAIN = 2;
 
 /** The hosts that watch `topic`. Hosts whose views differ may both watch for a while; that costs calls only. */
 export function watchersOf(topic: string, liveIds: readonly string[]): readonly string[] {
-  return rendezvous(topic, liveIds).slice(0, WATCHERS_A_DOMAIN);
+  return rendezvous(topic, liveIds).slice(0, WATCHERS_PER_DOMAIN);
 }
 
 export function isWatcher(topic: string, hostId: string, liveIds: readonly string[]): boolean {
--- a/packages/protocol/src/peerLink.ts
+++ b/packages/protocol/src/peerLink.ts
@@ -3,7 +3,7 @@
  */
 import net from 'node:net';
 import {
-  afterReading,
+  afterPendingIo,
   err,
   ok,
   splitAddress,
@@ -96,7 +96,7 @@
     const frame = encodeFrame({ t: 'call', id, name, body, ...(trace === undefined ? {} : { trace }) });
     return new Promise(resolve => {
       const sentMs = this._options.clock.nowMs();
-      const cancelTimer = afterReading(this._options.clock, deadline.leftMs(), () => {
+      const cancelTimer = afterPendingIo(this._options.clock, deadline.remainingMs(), () => {
         this._settle(id, err({ kind: 'timed-out' }));
         this._dropIfSilent(socket, sentMs);
       });
@@ -142,7 +142,7 @@
     socket.setNoDelay(true);
     this._socket = socket;
     return new Promise(resolve => {
-      const cancel = afterReading(this._options.clock, CONNECT_TIMEOUT_MS, () => socket.destroy());
+      const cancel = afterPendingIo(this._options.clock, CONNECT_TIMEOUT_MS, () => socket.destroy());
       const handshake = new ClientHandshake(this._options, socket, peer => {
         cancel();
         resolve({ socket, peer });
--- a/packages/requests/src/keyClient.ts
+++ b/packages/requests/src/keyClient.ts
@@ -41,7 +41,7 @@
   async claim(key: string, fingerprint: string, attemptId: string, deadline: Deadline): Promise<ClaimResult> {
     const home = homeDomain(key, this._domains);
     for (let i = 0; i < CLAIM_TRIES; i++) {
-      const waitMs = Math.max(0, Math.min(MAX_WAIT_MS, deadline.leftMs() - MARGIN_MS));
+      const waitMs = Math.max(0, Math.min(MAX_WAIT_MS, deadline.remainingMs() - MARGIN_MS));
       const claim = { key, fingerprint, attemptId, domains: this._domainsDigest, waitMs, relayed: false };
       const reply = await this._routes.claim(home, claim, deadline);
       if (!reply) return { kind: 'unreachable' };
--- a/packages/requests/src/requestQueue.ts
+++ b/packages/requests/src/requestQueue.ts
@@ -67,12 +67,12 @@
       refuse('queue-full');
       return () => undefined;
     }
-    if (this.expectedWaitMs(waitClass) > deadline.leftMs()) {
+    if (this.expectedWaitMs(waitClass) > deadline.remainingMs()) {
       refuse('too-late');
       return () => undefined;
     }
     const members = this._classes.get(waitClass);
-    const cancelTimer = this._clock.after(deadline.leftMs(), () => {
+    const cancelTimer = this._clock.after(deadline.remainingMs(), () => {
       if (members?.delete(waiting)) refuse('too-late');
     });
     const waiting: Waiting = { offer, refuse, cancelTimer };
--- a/packages/rules/src/edit.ts
+++ b/packages/rules/src/edit.ts
@@ -3,7 +3,7 @@
  */
 import { digest, err, ok, type Result } from '@fuchsiahitch/base';
 import * as z from 'zod';
-import { KEPT_EDITS, ruleSchema, type Rule, type RuleDocument } from './model.js';
+import { MAX_EDIT_IDS, ruleSchema, type Rule, type RuleDocument } from './model.js';
 
 const place = z
   .strictObject({ before: z.string().optional(), after: z.string().optional() })
@@ -55,7 +55,7 @@
   if (hasEdit(document, edit.id)) return ok(document);
   const rules = applyOperation(document.rules, edit.operation);
   if (!rules.ok) return rules;
-  const editIds = [...document.editIds, edit.id].slice(-KEPT_EDITS);
+  const editIds = [...document.editIds, edit.id].slice(-MAX_EDIT_IDS);
   return ok({ revision: document.revision + 1, rules: rules.value, editIds });
 }
 
--- a/packages/rules/src/model.ts
+++ b/packages/rules/src/model.ts
@@ -142,14 +142,14 @@
 export const ruleListSchema = z.array(ruleSchema).max(MAX_RULES).readonly();
 
 /** How many identifiers of accepted edits the document keeps, so that a retry finds its own. */
-export const KEPT_EDITS = 1024;
+export const MAX_EDIT_IDS = 1024;
 
 /** The document as the store keeps it. `revision` grows by one with every accepted edit. */
 export const documentSchema = z
   .strictObject({
     revision: z.number().int().min(0),
     rules: ruleListSchema,
-    editIds: z.array(z.string()).max(KEPT_EDITS).readonly(),
+    editIds: z.array(z.string()).max(MAX_EDIT_IDS).readonly(),
   })
   .readonly();
 export type RuleDocument = z.infer<typeof documentSchema>;
--- a/packages/rules/src/ruleBook.ts
+++ b/packages/rules/src/ruleEvaluator.ts
@@ -2,7 +2,7 @@
  * Decides requests by the rules in force.
  */
 import type { Clock } from '@fuchsiahitch/base';
-import { StateGate, type SignalReader } from './stateGate.js';
+import { StateCondition, type SignalReader } from './stateCondition.js';
 import type { Action, Condition, RequestFacts, Rule, RuleDocument } from './model.js';
 
 /** The rule that decided, and the revision that it stood in. Carried along so that a request is decided once. */
@@ -55,11 +55,11 @@
 }
 
 /** The rules in force, indexed so that a decision looks at the rules that can match only. */
-export class RuleBook {
+export class RuleEvaluator {
   readonly document: RuleDocument;
   private readonly _clock: Clock;
   private readonly _indexes: readonly FieldIndex[];
-  private readonly _gates: ReadonlyMap<string, StateGate>;
+  private readonly _gates: ReadonlyMap<string, StateCondition>;
   private readonly _words: number;
 
   constructor(document: RuleDocument, clock: Clock, signals: SignalReader) {
@@ -67,9 +67,9 @@
     this._clock = clock;
     this._indexes = FIELDS.map(field => new FieldIndex(document.rules, field));
     this._words = Math.ceil(document.rules.length / WORD_BITS);
-    const gates = new Map<string, StateGate>();
+    const gates = new Map<string, StateCondition>();
     for (const rule of document.rules) {
-      if (rule.when.state) gates.set(rule.id, new StateGate(rule.when.state, clock, signals));
+      if (rule.when.state) gates.set(rule.id, new StateCondition(rule.when.state, clock, signals));
     }
     this._gates = gates;
   }
--- a/packages/rules/src/ruleFile.ts
+++ b/packages/rules/src/ruleFile.ts
@@ -13,7 +13,7 @@
 }
 
 /** Reads a YAML file of the form `rules: [...]`. */
-export function readRuleFile(text: string): Result<readonly Rule[], readonly FileProblem[]> {
+export function parseRuleFile(text: string): Result<readonly Rule[], readonly FileProblem[]> {
   const lines = new LineCounter();
   const document = parseDocument(text, { lineCounter: lines, uniqueKeys: true });
   if (document.errors.length > 0) {
@@ -29,8 +29,8 @@
   return err(parsed.error.issues.map(issue => problemOf(issue, path => lineOf(document, lines, path))));
 }
 
-/** Writes rules as a YAML file that `readRuleFile` reads back. */
-export function writeRuleFile(rules: readonly Rule[]): string {
+/** Writes rules as a YAML file that `parseRuleFile` reads back. */
+export function formatRuleFile(rules: readonly Rule[]): string {
   return stringify({ rules });
 }
 
--- a/packages/rules/src/simulate.ts
+++ b/packages/rules/src/simulate.ts
@@ -3,8 +3,8 @@
  */
 import type { Clock } from '@fuchsiahitch/base';
 import type { RequestFacts, RuleDocument } from './model.js';
-import { RuleBook } from './ruleBook.js';
-import type { SignalReader } from './stateGate.js';
+import { RuleEvaluator } from './ruleEvaluator.js';
+import type { SignalReader } from './stateCondition.js';
 
 /** One recorded kind of request whose decision would change. */
 export interface DecisionChange {
@@ -20,8 +20,8 @@
   clock: Clock,
   signals: SignalReader,
 ): readonly DecisionChange[] {
-  const oldBook = new RuleBook(before, clock, signals);
-  const newBook = new RuleBook(after, clock, signals);
+  const oldBook = new RuleEvaluator(before, clock, signals);
+  const newBook = new RuleEvaluator(after, clock, signals);
   const changes: DecisionChange[] = [];
   for (const request of facts) {
     const old = oldBook.decide(request);
--- a/packages/rules/src/stateGate.ts
+++ b/packages/rules/src/stateCondition.ts
@@ -24,7 +24,7 @@
 }
 
 /** One state condition with hysteresis, kept for each pool. */
-export class StateGate {
+export class StateCondition {
   private readonly _settings: GateSettings;
   private readonly _clock: Clock;
   private readonly _read: SignalReader;
--- a/packages/standins/src/main.ts
+++ b/packages/standins/src/main.ts
@@ -7,7 +7,7 @@
   nameSchema,
   PROGRAM_VERSION,
   readSettings,
-  stopWith,
+  exitWith,
 } from '@fuchsiahitch/base';
 import * as z from 'zod';
 import { EngineStandIn } from './engineStandIn.js';
@@ -52,7 +52,7 @@
 };
 
 const settings = readSettings(PROGRAM, table, process.argv.slice(2), process.env);
-if (!settings.ok) stopWith(PROGRAM, PROGRAM_VERSION, settings.error);
+if (!settings.ok) exitWith(PROGRAM, PROGRAM_VERSION, settings.error);
 const values = settings.value;
 
 function make(): StandIn {
--- a/packages/steps/src/fairSchedule.ts
+++ b/packages/steps/src/fairSchedule.ts
@@ -6,7 +6,7 @@
  */
 
 /** A step that can be served, as a worker knows it. */
-export interface Servable {
+export interface SchedulableStep {
   readonly key: string;
   readonly house: string;
   readonly share: number;
@@ -20,7 +20,7 @@
   private _now = 0;
 
   /** The step to serve next, or undefined when there is none. */
-  next<T extends Servable>(steps: readonly T[]): T | undefined {
+  next<T extends SchedulableStep>(steps: readonly T[]): T | undefined {
     let best: T | undefined;
     for (const step of steps) {
       if (!best || this._isBefore(step, best)) best = step;
@@ -39,7 +39,7 @@
     return Math.max(this._passes.get(house) ?? 0, this._now);
   }
 
-  private _isBefore(a: Servable, b: Servable): boolean {
+  private _isBefore(a: SchedulableStep, b: SchedulableStep): boolean {
     const passA = this._passOf(a.house);
     const passB = this._passOf(b.house);
     if (a.house !== b.house && passA !== passB) return passA < passB;
--- a/packages/steps/src/model.ts
+++ b/packages/steps/src/model.ts
@@ -12,7 +12,7 @@
 const MAX_GROUPS = 8192;
 const MAX_SAMPLES_A_GROUP = 256;
 /** The most samples of one step. */
-export const MAX_SAMPLES_A_STEP = 65_536;
+export const MAX_SAMPLES_PER_STEP = 65_536;
 
 const name = z
   .string()
@@ -45,7 +45,10 @@
     deadlineMs: z.number().int().min(1000),
   })
   .readonly()
-  .refine(spec => countSamples(spec.groups) <= MAX_SAMPLES_A_STEP, `more than ${MAX_SAMPLES_A_STEP} samples`);
+  .refine(
+    spec => countSamples(spec.groups) <= MAX_SAMPLES_PER_STEP,
+    `more than ${MAX_SAMPLES_PER_STEP} samples`,
+  );
 export type StepSpec = z.infer<typeof stepSpecSchema>;
 
 function countSamples(groups: readonly { readonly samples: number }[]): number {
--- a/packages/steps/src/stepLedger.ts
+++ b/packages/steps/src/stepLedger.ts
@@ -13,7 +13,7 @@
 }
 
 /** Slots that a worker was given in one call. It renews them together. */
-export interface Batch {
+export interface AssignmentBatch {
   readonly batch: number;
   readonly assignments: readonly Assignment[];
 }
@@ -37,7 +37,7 @@
 type SlotState =
   | { readonly kind: 'open' }
   | { readonly kind: 'assigned' }
-  | { readonly kind: 'ready'; readonly sample: Sample; readonly bornMs: number }
+  | { readonly kind: 'ready'; readonly sample: Sample; readonly ageStartMs: number }
   | { readonly kind: 'sealed'; readonly sampleIds: readonly string[] }
   | { readonly kind: 'delivered' }
   | { readonly kind: 'failed'; readonly reason: SlotFailure };
@@ -59,7 +59,7 @@
 /** A sample that is ready to be handed over, with the moment its age counts from. */
 export interface ReadySample {
   readonly sample: Sample;
-  readonly bornMs: number;
+  readonly ageStartMs: number;
 }
 
 /** How far a step is. */
@@ -79,12 +79,12 @@
  */
 export const BATCH_LEASE_MS = 10_000;
 /** A slot that failed this often on its own account is given up: the prompt itself is at fault. */
-export const MAX_FAILURES_A_SLOT = 4;
+export const MAX_FAILURES_PER_SLOT = 4;
 /**
  * A group whose prompt this many engines ended under is given up. Without it the owner gives its slots to one worker after the
  * other, and every engine of the pool ends again and again until the step's time is over.
  */
-export const MAX_ENDED_ENGINES = 3;
+export const MAX_TERMINATED_ENGINES = 3;
 /** Slots that break with one engine tell of one end. */
 const SAME_END_MS = 1000;
 /** Hedging begins when no slot is open and this share of the slots is left. */
@@ -124,7 +124,7 @@
   }
 
   /** Gives up to `count` open slots to a worker, then hedges stragglers of other workers. */
-  assign(worker: string, count: number): Batch {
+  assign(worker: string, count: number): AssignmentBatch {
     const batch = this._lastBatch + 1;
     const assignments: Assignment[] = [];
     while (assignments.length < count) {
@@ -187,16 +187,16 @@
     const known = this._attempts.get(sample.sampleId);
     const isSealedOne = slot?.state.kind === 'sealed' && slot.state.sampleIds.includes(sample.sampleId);
     if (!slot || known || !(isUnfilled(slot) || isSealedOne)) return;
-    const bornMs = askedMs - sample.ageMs;
+    const ageStartMs = askedMs - sample.ageMs;
     this._attempts.set(sample.sampleId, {
       sampleId: sample.sampleId,
       slot,
       worker: '',
       batch: 0,
-      assignedMs: bornMs,
+      assignedMs: ageStartMs,
       isRetired: false,
     });
-    this._fill(slot, sample, bornMs);
+    this._fill(slot, sample, ageStartMs);
   }
 
   /** An attempt failed. `isOwnFault`: the prompt failed, and not the engine or the host under it. */
@@ -207,7 +207,7 @@
     slot.attempts = slot.attempts.filter(attempt => attempt !== failed);
     if (isOwnFault) slot.failures += 1;
     if (slot.state.kind !== 'assigned' || slot.attempts.length > 0) return;
-    if (slot.failures >= MAX_FAILURES_A_SLOT) slot.state = { kind: 'failed', reason: 'generation-failed' };
+    if (slot.failures >= MAX_FAILURES_PER_SLOT) slot.state = { kind: 'failed', reason: 'generation-failed' };
     else this._reopen(slot);
   }
 
@@ -220,12 +220,12 @@
     if (nowMs - (ends.lastMs.get(engine) ?? -Infinity) >= SAME_END_MS) ends.count += 1;
     ends.lastMs.set(engine, nowMs);
     this._ends.set(group, ends);
-    if (ends.count >= MAX_ENDED_ENGINES) this._giveUp(group);
+    if (ends.count >= MAX_TERMINATED_ENGINES) this._giveUp(group);
     this.sampleFailed(sampleId, false);
   }
 
   /** A worker is gone: what it had is given to others. If it returns, its samples are taken or dropped. */
-  workerGone(worker: string): void {
+  workerLost(worker: string): void {
     this._dropAttempts(attempt => attempt.worker === worker);
   }
 
@@ -252,7 +252,7 @@
   find(sampleId: string): ReadySample | undefined {
     const state = this._attempts.get(sampleId)?.slot.state;
     if (state?.kind !== 'ready' || state.sample.sampleId !== sampleId) return undefined;
-    return { sample: state.sample, bornMs: state.bornMs };
+    return { sample: state.sample, ageStartMs: state.ageStartMs };
   }
 
   /** The group of a slot, as the slots that belong to it. */
@@ -352,8 +352,8 @@
     return undefined;
   }
 
-  private _fill(slot: Slot, sample: Sample, bornMs: number): void {
-    slot.state = { kind: 'ready', sample, bornMs };
+  private _fill(slot: Slot, sample: Sample, ageStartMs: number): void {
+    slot.state = { kind: 'ready', sample, ageStartMs };
     slot.attempts = [];
     // A sample of the prompt is made: it is not what engines end under.
     this._ends.delete(slot.group);
@@ -403,7 +403,7 @@
   }
 
   private _isFresh(ready: ReadySample, trainerVersion: number): boolean {
-    return isFresh(ready.sample.spans, this._clock.nowMs() - ready.bornMs, trainerVersion, this.spec);
+    return isFresh(ready.sample.spans, this._clock.nowMs() - ready.ageStartMs, trainerVersion, this.spec);
   }
 }
 
@@ -425,7 +425,7 @@
 function readySamples(group: readonly Slot[]): readonly ReadySample[] {
   const ready: ReadySample[] = [];
   for (const { state } of group) {
-    if (state.kind === 'ready') ready.push({ sample: state.sample, bornMs: state.bornMs });
+    if (state.kind === 'ready') ready.push({ sample: state.sample, ageStartMs: state.ageStartMs });
   }
   return ready;
 }
--- a/packages/steps/src/stepMessages.ts
+++ b/packages/steps/src/stepMessages.ts
@@ -137,6 +137,6 @@
   .readonly();
 
 /** An owner that made a sample itself asks a peer to fetch a second copy. */
-export const shelfGrewSchema = z.strictObject({ key }).readonly();
+export const sampleCopyRequestSchema = z.strictObject({ key }).readonly();
 
 export const emptySchema = z.strictObject({}).readonly();
--- a/packages/steps/src/stepOwner.ts
+++ b/packages/steps/src/stepOwner.ts
@@ -7,7 +7,7 @@
  */
 import { err, ok, type Clock, type Random, type Result } from '@fuchsiahitch/base';
 import type { Sample, StepSpec } from './model.js';
-import { StepLedger, type Batch, type ReadySample, type SampleVerdict } from './stepLedger.js';
+import { StepLedger, type AssignmentBatch, type ReadySample, type SampleVerdict } from './stepLedger.js';
 import type { TakeReply, TakeRequest } from './stepMessages.js';
 import type { Chunk, ManifestEntry, StepHead, StepStore, StepStoreError, StoredStep } from './stepStore.js';
 
@@ -74,7 +74,7 @@
     return this.spec.deadlineMs - (this._options.clock.nowMs() - this._openedMs);
   }
 
-  assign(worker: string, count: number): Batch {
+  assign(worker: string, count: number): AssignmentBatch {
     if (this.isOver() || this._isFenced) return { batch: 0, assignments: [] };
     return this.ledger.assign(worker, count);
   }
@@ -211,7 +211,7 @@
 
   private _handOver(chunk: number, generation: number, ready: readonly ReadySample[]): TakeReply {
     const nowMs = this._options.clock.nowMs();
-    const samples = ready.map(({ sample, bornMs }) => ({ ...sample, ageMs: nowMs - bornMs }));
+    const samples = ready.map(({ sample, ageStartMs }) => ({ ...sample, ageMs: nowMs - ageStartMs }));
     return { kind: 'chunk', chunk, generation, samples, progress: this.ledger.counts() };
   }
 
--- a/packages/testkit/src/simWorld.ts
+++ b/packages/testkit/src/simWorld.ts
@@ -210,7 +210,7 @@
     const reply = await this._net.call(
       this._host,
       this._store.process,
-      Math.min(CALL_MS, deadline.leftMs()),
+      Math.min(CALL_MS, deadline.remainingMs()),
       () => {
         this._store.calls += 1;
         if (this._store.isDown) return new Promise<{ readonly value: T }>(() => undefined);
@@ -453,7 +453,7 @@
   }
 
   private async _ask(deadline: Deadline, act: () => ScoreResult): Promise<ScoreResult> {
-    const reply = await this._net.call(this._host, this._scorer.process, deadline.leftMs(), () => {
+    const reply = await this._net.call(this._host, this._scorer.process, deadline.remainingMs(), () => {
       const result = act();
       if (this._scorer.loseAnswers === 0) return result;
       this._scorer.loseAnswers -= 1;
@@ -507,7 +507,7 @@
     const reply = await this._net.call(
       this._host,
       this._list.process,
-      Math.min(MS_A_SECOND, deadline.leftMs()),
+      Math.min(MS_A_SECOND, deadline.remainingMs()),
       () => ({
         document: this._list.read(domain),
       }),
--- a/tests/fakeStore.ts
+++ b/tests/fakeStore.ts
@@ -291,7 +291,7 @@
     if (this.slowMs > 0) await sleep(this._clock, this.slowMs);
     if (this.mode === 'away') return 'not-done';
     if (this.mode !== 'silent') return undefined;
-    await sleep(this._clock, deadline.leftMs());
+    await sleep(this._clock, deadline.remainingMs());
     return 'unknown';
   }
 }
--- a/tests/keyFleet.ts
+++ b/tests/keyFleet.ts
@@ -93,7 +93,7 @@
   async claim(_domain: string, claim: Claim, deadline: Deadline): Promise<ClaimReply | undefined> {
     const owner = this.holder.map()?.slots[slotOf(claim.key)]?.owner;
     if (owner === undefined) return { kind: 'unknown', reason: 'key-unsettled' };
-    return this._call(owner, host => host.holder.claim(claim), deadline.leftMs());
+    return this._call(owner, host => host.holder.claim(claim), deadline.remainingMs());
   }
 
   async finish(_domain: string, finish: Finish): Promise<boolean> {
--- a/tests/lateLoop.spec.ts
+++ b/tests/lateLoop.spec.ts
@@ -83,7 +83,7 @@
   const running = await twoRuns();
   const { world, host, streams } = running;
   t.equal(streams.begun, 2);
-  await world.clock.hold(2000, () => streams.arrive(44));
+  await world.clock.blockEventLoop(2000, () => streams.arrive(44));
   await flow(running, 500);
   t.equal(streams.begun, 2, 'no run was given up');
   t.notOk(host.context.log.has('item attempt'));
@@ -96,7 +96,7 @@
   // it then reads one event, of the other all that have come. Cause: the pause counts as one endpoint's pace.
   const running = await twoRuns();
   const { world, host, streams } = running;
-  await world.clock.hold(340, () => {
+  await world.clock.blockEventLoop(340, () => {
     streams.arrive(1, 'e1');
     streams.arrive(7, 'e2');
   });
@@ -109,7 +109,7 @@
 await tap.test('should give a silent endpoint up soon after the process was held up', async t => {
   const running = await twoRuns();
   const { world, streams } = running;
-  await world.clock.hold(1000, () => streams.arrive(22, 'e2'));
+  await world.clock.blockEventLoop(1000, () => streams.arrive(22, 'e2'));
   for (let passedMs = 0; passedMs < 100; passedMs += EVENT_MS) {
     await world.clock.advance(EVENT_MS);
     streams.arrive(1, 'e2');
@@ -123,7 +123,7 @@
   const { world, streams } = await twoRuns();
   let heldMs = 0;
   for (; heldMs < 5000 && streams.begun === 2; heldMs += 200)
-    await world.clock.hold(200, () => streams.arrive(4, 'e2'));
+    await world.clock.blockEventLoop(200, () => streams.arrive(4, 'e2'));
   t.ok(heldMs <= 1200, `given up after ${heldMs} ms`);
   world.stop();
 });
@@ -163,7 +163,9 @@
   t.equal(loop.recentMs(), 0);
   const beforeMs = world.clock.nowMs();
   t.ok(loop.isPunctualSince(beforeMs));
-  await world.clock.hold(1000, () => t.notOk(loop.isPunctualSince(beforeMs), 'while it reads late'));
+  await world.clock.blockEventLoop(1000, () =>
+    t.notOk(loop.isPunctualSince(beforeMs), 'while it reads late'),
+  );
   t.ok(loop.recentMs() >= 950, 'a tick is due each 50 ms');
   await world.clock.advance(100);
   t.notOk(loop.isPunctualSince(beforeMs));
--- a/tests/lateLoopPeers.spec.ts
+++ b/tests/lateLoopPeers.spec.ts
@@ -152,7 +152,7 @@
     isLongOver = true;
   });
   await isAsked;
-  await clock.hold(2000, () => peer.answer());
+  await clock.blockEventLoop(2000, () => peer.answer());
   t.same(await short, { ok: true, value: {} });
   t.same(await link.call(echo, {}, Deadline.after(clock, 1000)), { ok: true, value: {} });
   await clock.advance(1000);
@@ -171,7 +171,7 @@
   const isAsked = peer.hasBeenAsked();
   const first: Reply = link.call(asked, {}, Deadline.after(clock, 300));
   await isAsked;
-  await clock.hold(2000, () => undefined);
+  await clock.blockEventLoop(2000, () => undefined);
   await clock.advance(100);
   t.match(await first, { ok: false, error: { kind: 'timed-out' } });
   t.same(peer.counters.refusals, ['silent']);
@@ -207,7 +207,7 @@
     const link = await peer.open();
     const short = link.call(echo, {}, Deadline.after(clock, 300));
     const long = link.call(echo, {}, Deadline.after(clock, 30_000));
-    await clock.hold(2000, () => undefined);
+    await clock.blockEventLoop(2000, () => undefined);
     t.same(await long, { ok: true, value: {} });
     t.match(await short, { ok: false, error: { kind: 'not-sent' } });
     t.equal(peer.echoed, 1, 'the call whose time was over was not written');
@@ -272,7 +272,7 @@
   // the time since it last read, before it reads.
   const { clock, monitor, storeAnswers, stop } = watched();
   for (let i = 0; i < 12; i++) {
-    await clock.hold(1000, storeAnswers);
+    await clock.blockEventLoop(1000, storeAnswers);
     t.notOk(monitor.isCutOff(), `held up ${i + 1} times`);
   }
   stop.abort();
@@ -282,7 +282,7 @@
   const { clock, monitor, stop } = watched();
   let heldMs = 0;
   for (; heldMs < 6000 && !monitor.isCutOff(); heldMs += 200) {
-    await clock.hold(200, () => undefined);
+    await clock.blockEventLoop(200, () => undefined);
     // The host decides in the round of the loop after its timer; no time passes in it.
     await settle();
   }
@@ -335,7 +335,7 @@
   // request is sent; the process is held up until a second send is due; the answer has arrived. Cause: the second send
   // comes before the reading.
   const { clock, client, outcome, answerFirst, stop } = await forwarding();
-  await clock.hold(400, answerFirst);
+  await clock.blockEventLoop(400, answerFirst);
   await clock.advance(200);
   const end = await outcome;
   t.ok(end.kind === 'answered' && end.answer.body.toString() === 'first');
@@ -345,7 +345,7 @@
 
 await tap.test('should send a late request twice within 100 ms after the process was held up', async t => {
   const { clock, client, outcome, stop } = await forwarding();
-  await clock.hold(400, () => undefined);
+  await clock.blockEventLoop(400, () => undefined);
   await clock.advance(100);
   const end = await outcome;
   t.ok(end.kind === 'answered' && end.answer.body.toString() === 'second');
@@ -358,7 +358,7 @@
   async t => {
     // The second send is due at 120 ms and the request over at 1500: a late loop's 100 ms more reach past the end.
     const { clock, client, outcome, stop } = await forwarding();
-    await clock.hold(1450, () => undefined);
+    await clock.blockEventLoop(1450, () => undefined);
     await clock.advance(1000);
     t.equal((await outcome).kind, 'unknown');
     t.equal(client.sends.length, 1);
--- a/tests/platform.spec.ts
+++ b/tests/platform.spec.ts
@@ -9,7 +9,7 @@
 import { SystemClock } from '@fuchsiahitch/base';
 import { decodeBatch, encodePage, parseSettings, PlatformRecords } from '@fuchsiahitch/platform';
 import { requestFingerprint } from '@fuchsiahitch/requests';
-import { RuleBook } from '@fuchsiahitch/rules';
+import { RuleEvaluator } from '@fuchsiahitch/rules';
 import { PlatformHost } from './platformHost.js';
 import { chunk, genuine, LAST_CHUNK, streamHead } from './platformStandIns.js';
 
@@ -112,7 +112,7 @@
   t.equal(decoded.revision, 7);
   t.same(decoded.models.get('s3'), ['m1', 'm2']);
   const document = { revision: 7, rules: decoded.rules, editIds: [] };
-  const book = new RuleBook(document, clock, () => 0);
+  const book = new RuleEvaluator(document, clock, () => 0);
   const facts = {
     kind: 'service',
     caller: '',
--- a/tests/rules.spec.ts
+++ b/tests/rules.spec.ts
@@ -10,12 +10,12 @@
   EMPTY_DOCUMENT,
   newErrors,
   planEdits,
-  readRuleFile,
-  RuleBook,
+  parseRuleFile,
+  RuleEvaluator,
   ruleDigest,
   RuleHistory,
   simulate,
-  writeRuleFile,
+  formatRuleFile,
   type Condition,
   type Edit,
   type EditOutcome,
@@ -54,8 +54,8 @@
   return { revision: rules.length, rules, editIds: [] };
 }
 
-function bookOf(...rules: readonly Rule[]): RuleBook {
-  return new RuleBook(documentOf(...rules), new VirtualClock(), () => 0);
+function bookOf(...rules: readonly Rule[]): RuleEvaluator {
+  return new RuleEvaluator(documentOf(...rules), new VirtualClock(), () => 0);
 }
 
 await tap.test('should let the first rule that matches decide', t => {
@@ -102,7 +102,7 @@
   const clock = new VirtualClock();
   let load = 0;
   const state = { signal: 'load', above: 0.8, clearBelow: 0.5, dwellMs: 5000 } as const;
-  const book = new RuleBook(
+  const book = new RuleEvaluator(
     documentOf(rule('busy', { state }, { refuse: 'busy' }), rule('all')),
     clock,
     () => load,
@@ -122,14 +122,14 @@
 await tap.test('should name the line of each problem in a file', t => {
   const text =
     'rules:\n  - id: ok\n    team: a\n    when: {}\n    then: { retries: 1 }\n  - id: Bad Id\n    team: a\n    when: { colour: [red] }\n    then: { retries: 9 }\n';
-  const read = readRuleFile(text);
+  const read = parseRuleFile(text);
   t.notOk(read.ok);
   if (read.ok) return t.end();
   t.same(read.error.map(problem => problem.line).sort(), [6, 8, 9]);
-  t.same(readRuleFile('rules: [').ok, false);
-  t.same(readRuleFile('other: 1').ok, false);
+  t.same(parseRuleFile('rules: [').ok, false);
+  t.same(parseRuleFile('other: 1').ok, false);
   const good = [rule('a', { caller: ['x'] }), rule('b')];
-  t.same(readRuleFile(writeRuleFile(good)), { ok: true, value: good });
+  t.same(parseRuleFile(formatRuleFile(good)), { ok: true, value: good });
   return t.end();
 });
 
--- a/tests/steps.spec.ts
+++ b/tests/steps.spec.ts
@@ -232,7 +232,7 @@
         const one = given[at % Math.max(1, given.length)];
         if (what === 'assign') given.push(...ledger.assign(`w${at % 3}`, 1 + (at % 4)).assignments);
         else if (what === 'version') version += at % 2;
-        else if (what === 'gone') ledger.workerGone(`w${at % 3}`);
+        else if (what === 'gone') ledger.workerLost(`w${at % 3}`);
         else if (what === 'expire') {
           await clock.advance(BATCH_LEASE_MS);
           ledger.expire();
