--- a/packages/base/src/clock.ts
+++ b/packages/base/src/clock.ts
@@ -1,21 +1,21 @@
 /**
- * Time as an interface, so that decisions can be driven by a virtual clock.
+ * Time as an interface, so that a virtual clock can drive tests and simulations.
  */
 
-/** Cancels a timer; calling it twice is harmless. */
+/** Cancels a timer. Idempotent. */
 export type CancelTimer = () => void;
 
 /** A source of time. All durations and instants are in milliseconds. */
 export interface Clock {
-  /** Monotonic time. Leases, deadlines and staleness in seconds count on it: wall clocks jump. */
+  /** Monotonic time, for leases, deadlines and staleness. */
   nowMs(): number;
-  /** Wall time since the Unix epoch, for people, for logs and for rules that name a time of day. */
+  /** Wall time since the Unix epoch, for logs, user interfaces and rules that name a time of day. */
   wallMs(): number;
-  /** Calls `run` once after `delayMs`. The timer never keeps a process alive by itself. */
+  /** Calls `run` once after `delayMs`. The timer does not keep the process alive. */
   after(delayMs: number, run: () => void): CancelTimer;
 }
 
-/** The clock of the machine. */
+/** The clock of the operating system. */
 export class SystemClock implements Clock {
   nowMs(): number {
     return performance.now();
@@ -39,7 +39,7 @@
   isCancelled: boolean;
 }
 
-/** A clock that moves only when told to. Timers that are due run in order of time, then of creation. */
+/** A clock that is advanced explicitly. Due timers run in order of time, then of creation. */
 export class VirtualClock implements Clock {
   private _nowMs = 0;
   private _nextOrder = 0;
@@ -62,7 +62,7 @@
     };
   }
 
-  /** Moves time forward by `durationMs` and runs the timers that fall due on the way. */
+  /** Advances time by `durationMs` and runs the timers that become due. */
   async advance(durationMs: number): Promise<void> {
     const endMs = this._nowMs + durationMs;
     await settle();
@@ -76,8 +76,8 @@
   }
 
   /**
-   * Lets time pass in which nothing runs, as where the process gets no processor time. The timers that fell due then run
-   * late and all of them before `read`, which takes what has arrived meanwhile: the order of the event loop.
+   * Simulates an event loop that is blocked for `durationMs`. All timers that became due run late and before
+   * `read`, which handles the I/O that arrived meanwhile, as on a real event loop.
    */
   async blockEventLoop(durationMs: number, read: () => void): Promise<void> {
     await settle();
@@ -89,7 +89,7 @@
   }
 }
 
-/** Timers in a binary heap, the earliest first. */
+/** A binary min-heap of timers. */
 class TimerHeap {
   private readonly _items: PendingTimer[] = [];
 
@@ -104,19 +104,19 @@
     }
   }
 
-  /** Removes and returns the earliest timer, if it is due by then. */
+  /** Removes and returns the earliest timer if it is due by `endMs`. */
   popDue(endMs: number): PendingTimer | undefined {
     const [first] = this._items;
     if (!first || first.dueMs > endMs) return undefined;
     const last = this._items.pop();
     if (last && this._items.length > 0) {
       this._items[0] = last;
-      this._sink();
+      this._siftDown();
     }
     return first;
   }
 
-  private _sink(): void {
+  private _siftDown(): void {
     for (let i = 0; ;) {
       const left = 2 * i + 1;
       const right = left + 1;
@@ -145,12 +145,12 @@
   }
 }
 
-/** Lets every promise that is already resolved run its continuations. */
+/** Runs the continuations of all promises that are already resolved. */
 export async function settle(): Promise<void> {
   await new Promise<void>(resolve => setImmediate(resolve));
 }
 
-/** Resolves after `delayMs`, or at once when the signal is aborted. */
+/** Resolves after `delayMs`, or immediately when the signal is aborted. */
 export async function sleep(clock: Clock, delayMs: number, signal?: AbortSignal): Promise<void> {
   await new Promise<void>(resolve => {
     if (signal?.aborted) {
@@ -158,7 +158,7 @@
       return;
     }
     const end = (): void => {
-      // A signal lives as long as the process: a listener left on it would be a leak at every sleep.
+      // The signal may live as long as the process, so each remaining listener would be a leak.
       signal?.removeEventListener('abort', end);
       cancel();
       resolve();
@@ -168,7 +168,7 @@
   });
 }
 
-/** Runs `step` every `periodMs`, one run at a time, until the signal is aborted. */
+/** Runs `step` until the signal is aborted, with a pause of `periodMs` between runs. Runs never overlap. */
 export function every(
   clock: Clock,
   periodMs: number,
--- a/packages/base/src/deadline.ts
+++ b/packages/base/src/deadline.ts
@@ -1,10 +1,7 @@
-/**
- * The time that a long operation has left. It is passed down every call, so that no layer waits longer
- * than the caller does.
- */
+/** Deadlines, passed down every call so that no layer waits longer than its caller. */
 import type { Clock } from './clock.js';
 
-/** A point on the monotonic clock by which an operation must have ended. */
+/** A point on the monotonic clock by which an operation must have completed. */
 export class Deadline {
   private readonly _clock: Clock;
   private readonly _atMs: number;
@@ -14,12 +11,11 @@
     this._atMs = atMs;
   }
 
-  /** A deadline `durationMs` from now. */
   static after(clock: Clock, durationMs: number): Deadline {
     return new Deadline(clock, clock.nowMs() + durationMs);
   }
 
-  /** Milliseconds left, never below zero. */
+  /** Milliseconds until the deadline, never negative. */
   remainingMs(): number {
     return Math.max(0, this._atMs - this._clock.nowMs());
   }
--- a/packages/base/src/index.ts
+++ b/packages/base/src/index.ts
@@ -1,4 +1,4 @@
-/** What every package shares. */
+/** Utilities shared by all packages. */
 export * from './afterPendingIo.js';
 export * from './clock.js';
 export * from './deadline.js';
--- a/packages/base/src/listenAt.ts
+++ b/packages/base/src/listenAt.ts
@@ -1,10 +1,7 @@
-/**
- * Listening servers.
- */
 import type net from 'node:net';
 import { splitAddress } from './settings.js';
 
-/** Starts to listen at `IP:port`; resolves with the address, which tells the port where 0 was asked. */
+/** Listens at `IP:port`. Resolves with the bound address, which has the port that was chosen if `port` is 0. */
 export async function listenAt(server: net.Server, address: string): Promise<string> {
   const { ip, port } = splitAddress(address);
   await new Promise<void>((resolve, reject) => {
--- a/packages/base/src/random.ts
+++ b/packages/base/src/random.ts
@@ -1,22 +1,21 @@
 /**
- * Randomness as an interface, so that a seed reproduces every decision.
+ * Randomness as an interface, so that a seed makes decisions reproducible.
  */
 import { randomBytes } from 'node:crypto';
 import { uniformInt } from 'pure-rand/distribution/uniformInt';
 import { xoroshiro128plus } from 'pure-rand/generator/xoroshiro128plus';
 
-/** A source of randomness. */
 export interface Random {
-  /** A whole number from 0 (included) to `limit` (excluded). */
+  /** Returns an integer from 0 (inclusive) to `limit` (exclusive). */
   below(limit: number): number;
-  /** A short identifier, unique with overwhelming probability. */
+  /** Returns a random identifier. */
   id(): string;
 }
 
 const ID_BYTES = 12;
-const HEX = 16;
+const HEX_RADIX = 16;
 
-/** Randomness from the operating system. */
+/** Unseeded randomness. */
 export class SystemRandom implements Random {
   below(limit: number): number {
     return Math.floor(Math.random() * limit);
@@ -27,7 +26,7 @@
   }
 }
 
-/** Reproducible randomness for tests and measurements. */
+/** Seeded randomness for tests and benchmarks. */
 export class SeededRandom implements Random {
   private readonly _generator: ReturnType<typeof xoroshiro128plus>;
 
@@ -41,7 +40,7 @@
 
   id(): string {
     let text = '';
-    for (let i = 0; i < ID_BYTES * 2; i++) text += this.below(HEX).toString(HEX);
+    for (let i = 0; i < ID_BYTES * 2; i++) text += this.below(HEX_RADIX).toString(HEX_RADIX);
     return text;
   }
 }
--- a/packages/base/src/result.ts
+++ b/packages/base/src/result.ts
@@ -1,20 +1,17 @@
 /**
- * Outcomes as values: what can go wrong is part of the type, and only broken invariants throw.
+ * Results as values: expected failures are part of the type, and only violated invariants throw.
  */
 
-/** A success that carries a value. */
 export interface Ok<T> {
   readonly ok: true;
   readonly value: T;
 }
 
-/** A failure that carries a tagged error. */
 export interface Err<E> {
   readonly ok: false;
   readonly error: E;
 }
 
-/** Either a value or a tagged error. */
 export type Result<T, E> = Ok<T> | Err<E>;
 
 export function ok<T>(value: T): Ok<T> {
@@ -25,12 +22,12 @@
   return { ok: false, error };
 }
 
-/** Throws when a condition that the code relies on does not hold: a defect, never an event of operation. */
+/** Throws if a condition that the code relies on does not hold. A failure is a defect in the program. */
 export function invariant(condition: boolean, text: string): asserts condition {
-  if (!condition) throw new Error(`broken invariant: ${text}`);
+  if (!condition) throw new Error(`invariant violated: ${text}`);
 }
 
-/** The text of anything that was thrown. */
+/** Returns the message of a thrown value, which may be any type. */
 export function messageOf(thrown: unknown): string {
   return thrown instanceof Error ? thrown.message : String(thrown);
 }
--- a/packages/base/src/settings.ts
+++ b/packages/base/src/settings.ts
@@ -1,38 +1,38 @@
 /**
- * Settings of a program: flags and `FUCHSIAHITCH_*` environment variables, checked at start.
- * A flag goes before the variable, the variable before the default.
+ * Program settings from flags and `FUCHSIAHITCH_*` environment variables, validated at startup.
+ * A flag takes precedence over its environment variable, which takes precedence over the default.
  */
 import { parseArgs } from 'node:util';
 import * as z from 'zod';
 import { err, ok, type Result } from './result.js';
 
-/** One setting: its flag, what it must be, and a line for `--help`. */
+/** A setting: its schema, its description for `--help` and its default. */
 export interface Setting<T = unknown> {
   readonly schema: z.ZodType<T>;
   readonly help: string;
   readonly fallback?: string;
 }
 
-/** The settings of a program by flag name. */
+/** The settings of a program, by flag name. */
 export type SettingTable = Readonly<Record<string, Setting>>;
 
-/** The checked values of a table. */
+/** The validated values of a setting table. */
 export type SettingValues<T extends SettingTable> = {
   readonly [K in keyof T]: T[K] extends Setting<infer V> ? V : never;
 };
 
-/** Why a program does not start with the settings it was given, or prints something and ends. */
+/** The reason why a program exits instead of starting. */
 export type SettingsExit =
   | { readonly kind: 'help'; readonly text: string }
   | { readonly kind: 'version' }
   | { readonly kind: 'wrong'; readonly problems: readonly string[] };
 
-/** The variable that a flag can also be given by: `--data-folder` is `FUCHSIAHITCH_DATA_FOLDER`. */
+/** Returns the environment variable of a flag: `FUCHSIAHITCH_DATA_FOLDER` for `--data-folder`. */
 export function environmentVariableName(flag: string): string {
   return `FUCHSIAHITCH_${flag.replaceAll('-', '_').toUpperCase()}`;
 }
 
-/** Reads and checks all settings; reports every wrong one, not only the first. */
+/** Reads and validates all settings. Reports all invalid settings, not only the first. */
 export function readSettings<T extends SettingTable>(
   program: string,
   table: T,
@@ -49,7 +49,7 @@
     const raw = given.value[flag] ?? environment[environmentVariableName(flag)] ?? setting.fallback;
     const parsed = setting.schema.safeParse(raw);
     if (parsed.success) values[flag] = parsed.data;
-    else problems.push(wrongText(flag, raw, setting, parsed.error));
+    else problems.push(problemText(flag, raw, setting, parsed.error));
   }
   return problems.length > 0 ? err({ kind: 'wrong', problems }) : ok(values as SettingValues<T>);
 }
@@ -70,7 +70,7 @@
   }
 }
 
-function wrongText(
+function problemText(
   flag: string,
   raw: string | boolean | undefined,
   setting: Setting,
@@ -78,7 +78,7 @@
 ): string {
   const found = raw === undefined ? 'is missing' : `is '${raw}'`;
   const reason = error.issues.map(issue => issue.message).join('; ');
-  return `--${flag} (${environmentVariableName(flag)}) ${found}: ${reason}. It should be: ${setting.help}`;
+  return `--${flag} (${environmentVariableName(flag)}) ${found}: ${reason}. Expected: ${setting.help}`;
 }
 
 function helpText(program: string, table: SettingTable): string {
@@ -89,7 +89,7 @@
   return [`usage: ${program} [flags]`, ...lines, '  --help', '  --version'].join('\n');
 }
 
-/** Prints why the program stops and ends it: 0 after help or version, 2 after a wrong setting. */
+/** Prints the reason and exits: with 0 after help or version, with 2 after invalid settings. */
 export function exitWith(program: string, version: string, stop: SettingsExit): never {
   switch (stop.kind) {
     case 'help':
@@ -106,18 +106,17 @@
 
 const MAX_PORT = 65_535;
 
-/** An address `IP:port`; port 0 takes a free one. */
+/** An address `IP:port`. Port 0 selects a free port. */
 export const addressSchema = z
   .string()
-  .regex(/^(\d{1,3}\.){3}\d{1,3}:\d{1,5}$/, 'not an address IP:port')
+  .regex(/^(\d{1,3}\.){3}\d{1,3}:\d{1,5}$/, 'not an address of the form IP:port')
   .refine(text => Number(text.split(':')[1]) <= MAX_PORT, 'the port is above 65535');
 
-/** A whole number within limits, written in digits. */
 export function integerSchema(min: number, max: number): z.ZodType<number> {
-  return z.coerce.number().int(`not a whole number from ${min} to ${max}`).min(min).max(max);
+  return z.coerce.number().int(`not an integer from ${min} to ${max}`).min(min).max(max);
 }
 
-/** A name of a host, failure domain or pool. */
+/** The name of a host, failure domain or pool. */
 export const nameSchema = z
   .string()
   .regex(/^[a-z0-9][a-z0-9-]{0,62}$/, 'not a lower-case name of up to 63 characters');
--- a/packages/membership/src/callBudget.ts
+++ b/packages/membership/src/callBudget.ts
@@ -1,31 +1,29 @@
 /**
- * This host's share of the calls that the platform's key-value service allows the whole fleet.
+ * Limits the calls of a host to its share of the rate that the platform's key-value service allows the fleet.
  *
- * What goes wrong without it: after an outage every host returns in the same second, the service sinks
- * again, and one sees its refusals rise exactly when it recovers. A share for each live host and a random
- * pause after failures keep the sum below the fleet's rate at any time.
+ * Random pauses after failures prevent all hosts from overloading the service at once when it recovers.
  */
 import type { Clock, Random } from '@fuchsiahitch/base';
 
 export interface CallBudgetOptions {
-  /** Calls a second that the fleet may make. */
+  /** The allowed call rate of the fleet. */
   readonly fleetPerSecond: number;
-  /** How many calls may be made at once after a quiet time. */
+  /** The number of calls that may be made at once after an idle period. */
   readonly burst: number;
   readonly basePauseMs: number;
   readonly maxPauseMs: number;
 }
 
-const MS_A_SECOND = 1000;
+const MS_PER_SECOND = 1000;
 
-/** A token bucket whose rate is a share of the fleet's. */
+/** A token bucket whose rate is the fleet's rate divided by the number of hosts. */
 export class CallBudget {
   private readonly _clock: Clock;
   private readonly _random: Random;
   private readonly _options: CallBudgetOptions;
   private _hosts = 1;
   private _tokens: number;
-  private _filledMs: number;
+  private _refilledMs: number;
   private _failures = 0;
   private _pausedUntilMs = 0;
 
@@ -34,22 +32,22 @@
     this._random = random;
     this._options = options;
     this._tokens = options.burst;
-    this._filledMs = clock.nowMs();
+    this._refilledMs = clock.nowMs();
   }
 
-  /** Sets how many hosts share the rate. */
+  /** Sets the number of hosts that share the rate. */
   setHosts(count: number): void {
-    this._fill();
+    this._refill();
     this._hosts = Math.max(1, count);
   }
 
-  /** Takes one call, or says in how many milliseconds to ask again. */
+  /** Takes a token for one call, or returns the time until the next attempt. */
   take(): { readonly granted: boolean; readonly waitMs: number } {
-    this._fill();
+    this._refill();
     const pauseMs = this._pausedUntilMs - this._clock.nowMs();
     if (pauseMs > 0) return { granted: false, waitMs: pauseMs };
     if (this._tokens < 1)
-      return { granted: false, waitMs: ((1 - this._tokens) / this._rate()) * MS_A_SECOND };
+      return { granted: false, waitMs: ((1 - this._tokens) / this._rate()) * MS_PER_SECOND };
     this._tokens -= 1;
     return { granted: true, waitMs: 0 };
   }
@@ -58,7 +56,7 @@
     this._failures = 0;
   }
 
-  /** Lengthens the pause: doubled each time, and drawn at random over its whole length. */
+  /** Starts a pause after a failed call: exponential backoff with full jitter. */
   failed(): void {
     this._failures += 1;
     const ceilingMs = Math.min(this._options.maxPauseMs, this._options.basePauseMs * 2 ** this._failures);
@@ -69,10 +67,10 @@
     return this._options.fleetPerSecond / this._hosts;
   }
 
-  private _fill(): void {
+  private _refill(): void {
     const nowMs = this._clock.nowMs();
-    const gained = ((nowMs - this._filledMs) / MS_A_SECOND) * this._rate();
+    const gained = ((nowMs - this._refilledMs) / MS_PER_SECOND) * this._rate();
     this._tokens = Math.min(this._options.burst, this._tokens + gained);
-    this._filledMs = nowMs;
+    this._refilledMs = nowMs;
   }
 }
--- a/packages/membership/src/hostView.ts
+++ b/packages/membership/src/hostView.ts
@@ -1,9 +1,9 @@
 /**
- * One host's view of the other hosts of its failure domain.
+ * A host's view of the other hosts of its failure domain.
  *
- * Each host pings one peer a second in a shuffled round, and changes ride on pings and their answers, so
- * the bytes a host spends do not grow with the domain. The view only steers work: two hosts may disagree,
- * and whatever must not happen twice is fenced by an epoch instead (docs/design/keys.md).
+ * Each host pings one peer per second in a shuffled round. Updates are piggybacked on pings and their answers,
+ * so the traffic of a host does not grow with the domain. Views may disagree: they only guide the distribution of
+ * work, and operations that must not happen twice are fenced by an epoch (docs/design/keys.md).
  */
 import type { Clock, Random } from '@fuchsiahitch/base';
 import * as z from 'zod';
@@ -12,8 +12,8 @@
 export type MemberState = (typeof memberStates)[number];
 
 /**
- * A change that rides on pings. `incarnation` tells one process of a host from the next; `refutation` is
- * raised by the host itself when it hears that it is suspected or dead.
+ * An update that is piggybacked on pings. `incarnation` identifies a process of the host. The host increments
+ * `refutation` when it learns that it is considered suspect or dead.
  */
 export const memberUpdateSchema = z
   .strictObject({
@@ -26,22 +26,21 @@
   .readonly();
 export type MemberUpdate = z.infer<typeof memberUpdateSchema>;
 
-/** A member as this host sees it. */
+/** A member in the view of this host. */
 export interface Member extends MemberUpdate {
   readonly sinceMs: number;
 }
 
-/** A suspect that does not refute within this time counts as dead. */
+/** A suspect that does not refute within this time is considered dead. */
 export const SUSPECT_TIMEOUT_MS = 3000;
-/** A dead member is forgotten after this time, long after every host has heard of it. */
-const FORGET_AFTER_MS = 120_000;
-const UPDATES_A_MESSAGE = 6;
-/** An update is sent about this often for each doubling of the domain. */
+/** A dead member is removed after this time, which is long enough for every host to learn of its death. */
+const REMOVE_DEAD_AFTER_MS = 120_000;
+const UPDATES_PER_MESSAGE = 6;
+/** The number of times that an update is sent, for each doubling of the domain's size. */
 const SENDS_PER_DOUBLING = 3;
 
-const RANK: Readonly<Record<MemberState, number>> = { live: 0, leaving: 1, suspect: 2, dead: 3 };
+const STATE_RANK: Readonly<Record<MemberState, number>> = { live: 0, leaving: 1, suspect: 2, dead: 3 };
 
-/** The view of one failure domain. */
 export class HostView {
   private readonly _clock: Clock;
   private readonly _random: Random;
@@ -60,17 +59,17 @@
     return this._self;
   }
 
-  /** Announces that this host leaves: it keeps answering, and gets no new duties. */
+  /** Announces that this host is leaving. It continues to answer, but gets no new duties. */
   leave(): void {
     this._self = { ...this._self, state: 'leaving', refutation: this._self.refutation + 1 };
   }
 
-  /** All members but this host. */
+  /** All members except this host. */
   members(): readonly Member[] {
     return [...this._members.values()];
   }
 
-  /** Identifiers of the hosts that can take duties, this one included while it stays. Sorted. */
+  /** The sorted identifiers of the hosts that can take duties, including this host unless it is leaving. */
   liveIds(): readonly string[] {
     const ids = this.members()
       .filter(member => member.state === 'live' || member.state === 'suspect')
@@ -83,15 +82,15 @@
     return this._members.get(hostId);
   }
 
-  /** Adds hosts that the platform's list names and this view does not know yet. */
+  /** Adds a host from the platform's list unless the view already has it. */
   addListedHost(hostId: string, address: string): void {
     if (hostId === this._self.hostId || this._members.has(hostId)) return;
     this._store({ hostId, address, incarnation: 0, refutation: 0, state: 'live' });
-    // All hosts read the same list: there is nothing to tell.
+    // All hosts read the same list, so there is no update to send.
     this._sendsLeft.delete(hostId);
   }
 
-  /** Takes in what a peer says. The newer incarnation wins, then the refutation, then the worse state. */
+  /** Applies a peer's update. The newer incarnation wins, then the higher refutation, then the worse state. */
   apply(update: MemberUpdate): void {
     if (update.hostId === this._self.hostId) {
       this._refute(update);
@@ -103,18 +102,17 @@
   }
 
   /**
-   * The peer to ping next; each is reached once a round. The dead are pinged too until they are forgotten:
-   * after a partition heals, both halves hold each other for dead, and nobody else would end that.
+   * Returns the peer to ping next. Each peer is returned once per round, including dead peers until they are
+   * removed: after a partition heals, both sides consider each other dead, and only pings correct this.
    */
   nextPing(): Member | undefined {
     for (;;) {
-      if (this._round.length === 0 && !this._refill()) return undefined;
+      if (this._round.length === 0 && !this._startRound()) return undefined;
       const member = this._members.get(this._round.pop() ?? '');
       if (member) return member;
     }
   }
 
-  /** A ping was answered: the process is alive now. */
   pingAnswered(hostId: string, incarnation: number): void {
     const known = this._members.get(hostId);
     if (!known) return;
@@ -123,36 +121,36 @@
         this._store({ ...known, incarnation, refutation: 0, state: 'live' });
       return;
     }
-    // An answer received directly outweighs hearsay; the member refutes for the others by itself.
+    // A direct answer overrides gossip. No update is sent, because the member refutes the suspicion itself.
     if (known.state === 'suspect' || known.state === 'dead')
       this._members.set(hostId, { ...known, state: 'live', sinceMs: this._clock.nowMs() });
   }
 
-  /** Pings, direct and by another peer, stayed unanswered. */
+  /** Marks a member as suspect after direct and indirect pings were not answered. */
   pingFailed(hostId: string): void {
     const known = this._members.get(hostId);
     if (known && (known.state === 'live' || known.state === 'leaving'))
       this._store({ ...known, state: 'suspect' });
   }
 
-  /** Moves suspects to dead and forgets the long dead. */
+  /** Marks expired suspects as dead and removes members that have been dead for long. */
   tick(): void {
     const nowMs = this._clock.nowMs();
     for (const member of this._members.values()) {
       const ageMs = nowMs - member.sinceMs;
       if (member.state === 'suspect' && ageMs >= SUSPECT_TIMEOUT_MS)
         this._store({ ...member, state: 'dead' });
-      if (member.state === 'dead' && ageMs >= FORGET_AFTER_MS) this._forget(member.hostId);
+      if (member.state === 'dead' && ageMs >= REMOVE_DEAD_AFTER_MS) this._remove(member.hostId);
     }
   }
 
-  /** Up to six updates for the next message, the least often sent first, this host's own always among them. */
+  /** The updates for the next message: always that of this host, then those that were sent least often. */
   updatesToSend(): readonly MemberUpdate[] {
-    const waiting = [...this._sendsLeft.entries()]
+    const pending = [...this._sendsLeft.entries()]
       .sort((a, b) => b[1] - a[1])
-      .slice(0, UPDATES_A_MESSAGE - 1);
+      .slice(0, UPDATES_PER_MESSAGE - 1);
     const updates: MemberUpdate[] = [this._self];
-    for (const [hostId, left] of waiting) {
+    for (const [hostId, left] of pending) {
       const member = this._members.get(hostId);
       if (member) updates.push(updateOf(member));
       if (left <= 1) this._sendsLeft.delete(hostId);
@@ -161,20 +159,20 @@
     return updates;
   }
 
-  /** Everything, for a host that joins. */
+  /** The updates of all members, for a joining host. */
   allUpdates(): readonly MemberUpdate[] {
     return [this._self, ...this.members().map(updateOf)];
   }
 
   private _refute(update: MemberUpdate): void {
-    // A host that restarted with its wall clock set back must not be taken for its own predecessor.
+    // A higher incarnation is from a previous process whose wall clock was ahead. Supersede it.
     if (update.incarnation > this._self.incarnation) {
       this._self = { ...this._self, incarnation: update.incarnation + 1, refutation: 0 };
       return;
     }
-    const isAboutThis = update.incarnation === this._self.incarnation;
+    const isThisIncarnation = update.incarnation === this._self.incarnation;
     const isWrong = update.state === 'suspect' || update.state === 'dead';
-    if (isAboutThis && isWrong && update.refutation >= this._self.refutation) {
+    if (isThisIncarnation && isWrong && update.refutation >= this._self.refutation) {
       this._self = { ...this._self, refutation: update.refutation + 1 };
     }
   }
@@ -185,12 +183,12 @@
     this._sendsLeft.set(update.hostId, SENDS_PER_DOUBLING * doublings);
   }
 
-  private _forget(hostId: string): void {
+  private _remove(hostId: string): void {
     this._members.delete(hostId);
     this._sendsLeft.delete(hostId);
   }
 
-  private _refill(): boolean {
+  private _startRound(): boolean {
     this._round = this.members().map(member => member.hostId);
     for (let i = this._round.length - 1; i > 0; i--) {
       const j = this._random.below(i + 1);
@@ -208,5 +206,5 @@
 function isNewer(update: MemberUpdate, known: MemberUpdate): boolean {
   if (update.incarnation !== known.incarnation) return update.incarnation > known.incarnation;
   if (update.refutation !== known.refutation) return update.refutation > known.refutation;
-  return RANK[update.state] > RANK[known.state];
+  return STATE_RANK[update.state] > STATE_RANK[known.state];
 }
--- a/packages/membership/src/index.ts
+++ b/packages/membership/src/index.ts
@@ -1,4 +1,4 @@
-/** Views of hosts and endpoints, shared by gossip. */
+/** Views of hosts and endpoints, exchanged by gossip. */
 export * from './callBudget.js';
 export * from './hostView.js';
 export * from './leavingEvidence.js';
--- a/packages/membership/src/leavingEvidence.ts
+++ b/packages/membership/src/leavingEvidence.ts
@@ -1,41 +1,40 @@
 /**
- * Whether an endpoint is leaving, from whichever source says so first.
+ * Tracks which endpoints are leaving, from whichever source reports it first.
  *
- * The platform's list lags and can be out of reach, so an endpoint's own answers and what peers saw count
- * as much. Leaving is final for one start of an endpoint: a lagging list that still shows it as live must
- * not bring it back.
+ * The platform's list can lag or be unreachable, so answers of endpoints and notices of peers have equal weight.
+ * Leaving is final for one start of an endpoint: a lagging list that still lists it as live does not revert it.
  */
 import type { Clock } from '@fuchsiahitch/base';
 import * as z from 'zod';
 
-/** What a peer passes on: the endpoint's identifier and the start that is leaving. */
+/** A notice that peers forward: the endpoint and the start that is leaving. */
 export const leavingNoticeSchema = z.strictObject({ endpointId: z.string(), startId: z.string() }).readonly();
 export type LeavingNotice = z.infer<typeof leavingNoticeSchema>;
 
-interface Seen {
+interface LeavingRecord {
   readonly startId: string;
   readonly sinceMs: number;
 }
 
-/** Notices are passed on for this long; by then every peer has been pinged. */
-const PASS_ON_MS = 90_000;
+/** How long notices are forwarded. Long enough for every peer to be pinged. */
+const FORWARD_DURATION_MS = 90_000;
 
 export class LeavingEvidence {
   private readonly _clock: Clock;
-  private readonly _leaving = new Map<string, Seen>();
+  private readonly _leaving = new Map<string, LeavingRecord>();
 
   constructor(clock: Clock) {
     this._clock = clock;
   }
 
-  /** True when the notice is new to this host, and so worth telling the peers at once. */
+  /** Records a notice. Returns true if it is new, in which case it should be sent to peers immediately. */
   note(notice: LeavingNotice): boolean {
     if (this._leaving.get(notice.endpointId)?.startId === notice.startId) return false;
     this._leaving.set(notice.endpointId, { startId: notice.startId, sinceMs: this._clock.nowMs() });
     return true;
   }
 
-  /** An answer of a later start of the endpoint ends the notice. */
+  /** Removes the notice of an endpoint that answered with a different start. */
   observeStart(endpointId: string, startId: string): void {
     const seen = this._leaving.get(endpointId);
     if (seen && seen.startId !== startId) this._leaving.delete(endpointId);
@@ -45,11 +44,11 @@
     return this._leaving.has(endpointId);
   }
 
-  /** Notices that are still passed on. */
+  /** The notices that are still forwarded. */
   recent(): readonly LeavingNotice[] {
     const nowMs = this._clock.nowMs();
     return [...this._leaving.entries()]
-      .filter(([, seen]) => nowMs - seen.sinceMs < PASS_ON_MS)
+      .filter(([, seen]) => nowMs - seen.sinceMs < FORWARD_DURATION_MS)
       .map(([endpointId, seen]) => ({ endpointId, startId: seen.startId }));
   }
 }
--- a/packages/membership/src/memberDocument.ts
+++ b/packages/membership/src/memberDocument.ts
@@ -1,19 +1,18 @@
 /**
- * What the platform's membership list says of one failure domain. The list lags; it is one source of
- * evidence among others.
+ * The platform's membership list of one failure domain. The list can lag and is only one of several sources.
  */
 import * as z from 'zod';
 
-const MAX_NAME = 63;
-const name = z.string().min(1).max(MAX_NAME);
+const MAX_NAME_LENGTH = 63;
+const name = z.string().min(1).max(MAX_NAME_LENGTH);
 
-/** A host of the system, with the address that peers call. */
+/** A host and the address at which peers call it. */
 export const hostEntrySchema = z
   .strictObject({ id: name, domain: name, peerAddress: z.string(), state: z.enum(['live', 'leaving']) })
   .readonly();
 export type HostEntry = z.infer<typeof hostEntrySchema>;
 
-/** What an endpoint is: an engine that generates, or a plain service. */
+/** Kinds of endpoints: an engine that generates, or a service. */
 export const endpointKinds = ['engine', 'service'] as const;
 
 export const endpointEntrySchema = z
--- a/packages/rules/src/check.ts
+++ b/packages/rules/src/check.ts
@@ -1,11 +1,11 @@
 /**
- * Finds what rules of several teams do together: rules that can never decide, shares over the whole, and
- * rules that together would take what is kept for customers.
+ * Detects conflicts between rules: rules that can never decide, pool shares above 100%, and rules that use
+ * the capacity reserved for customers.
  */
 import type { Condition, Rule } from './model.js';
 import { CUSTOMER_RESERVE_FLOOR } from './model.js';
 
-/** One finding. An error refuses the edit that causes it; a warning is shown to the editor. */
+/** A finding. An error refuses the edit that causes it, and a warning is shown to the author. */
 export interface Finding {
   readonly severity: 'error' | 'warning';
   readonly kind:
@@ -16,15 +16,14 @@
 
 const LIST_FIELDS = ['kind', 'caller', 'house', 'pool', 'domain', 'priority', 'version', 'host'] as const;
 
-/** All findings of a list of rules, in the order of the rules. */
 export function checkRules(rules: readonly Rule[]): readonly Finding[] {
-  return [...duplicateIds(rules), ...shadowedRules(rules), ...shareSums(rules), ...customerGuards(rules)];
+  return [...duplicateIds(rules), ...shadowedRules(rules), ...shareSums(rules), ...actionFindings(rules)];
 }
 
-/** The findings that an edit brings: those of the new list that the old list did not have. */
+/** Returns the errors of the new list that the old list does not have. */
 export function newErrors(before: readonly Rule[], after: readonly Rule[]): readonly Finding[] {
-  const known = new Set(checkRules(before).map(finding => finding.text));
-  return checkRules(after).filter(finding => finding.severity === 'error' && !known.has(finding.text));
+  const existing = new Set(checkRules(before).map(finding => finding.text));
+  return checkRules(after).filter(finding => finding.severity === 'error' && !existing.has(finding.text));
 }
 
 function duplicateIds(rules: readonly Rule[]): readonly Finding[] {
@@ -44,7 +43,7 @@
   return findings;
 }
 
-/** True when every request that `narrow` accepts is accepted by `wide` too, at any time and state. */
+/** True if every request that `narrow` accepts is also accepted by `wide`, at any time and in any state. */
 function covers(wide: Condition, narrow: Condition): boolean {
   if (wide.hoursUtc !== undefined || wide.state !== undefined) return false;
   if (!coversPaths(wide, narrow)) return false;
@@ -65,13 +64,13 @@
 function shadowedRules(rules: readonly Rule[]): readonly Finding[] {
   const findings: Finding[] = [];
   for (const [i, rule] of rules.entries()) {
-    const hider = rules.slice(0, i).find(earlier => covers(earlier.when, rule.when));
-    if (!hider) continue;
-    const same = JSON.stringify(hider.when) === JSON.stringify(rule.when);
-    const differs = JSON.stringify(hider.then) !== JSON.stringify(rule.then);
-    const kind = same && differs ? 'contradiction' : 'shadowed';
-    const text = `rule '${rule.id}' (team ${rule.team}) never decides: '${hider.id}' (team ${hider.team}) comes first`;
-    findings.push({ severity: 'warning', kind, ruleIds: [hider.id, rule.id], text });
+    const shadowing = rules.slice(0, i).find(earlier => covers(earlier.when, rule.when));
+    if (!shadowing) continue;
+    const isSameCondition = JSON.stringify(shadowing.when) === JSON.stringify(rule.when);
+    const isDifferentAction = JSON.stringify(shadowing.then) !== JSON.stringify(rule.then);
+    const kind = isSameCondition && isDifferentAction ? 'contradiction' : 'shadowed';
+    const text = `rule '${rule.id}' (team ${rule.team}) never decides: '${shadowing.id}' (team ${shadowing.team}) comes first`;
+    findings.push({ severity: 'warning', kind, ruleIds: [shadowing.id, rule.id], text });
   }
   return findings;
 }
@@ -96,15 +95,15 @@
   return findings;
 }
 
-function customerGuards(rules: readonly Rule[]): readonly Finding[] {
+function actionFindings(rules: readonly Rule[]): readonly Finding[] {
   const findings: Finding[] = [];
   for (const rule of rules) {
     if (rule.then.refuse !== undefined && refusesEveryCustomer(rule.when)) {
       const text = `rule '${rule.id}' would refuse every customer-facing request: name callers, houses or a state`;
       findings.push({ severity: 'error', kind: 'refuses-customers', ruleIds: [rule.id], text });
     }
-    const takesAll = (rule.then.share ?? 0) > 1 - CUSTOMER_RESERVE_FLOOR;
-    if (takesAll) {
+    const exceedsRolloutShare = (rule.then.share ?? 0) > 1 - CUSTOMER_RESERVE_FLOOR;
+    if (exceedsRolloutShare) {
       const text = `rule '${rule.id}' gives ${rule.then.share ?? 0} of a pool to rollouts and eats into the customers' reserve`;
       findings.push({ severity: 'error', kind: 'reserve', ruleIds: [rule.id], text });
     }
--- a/packages/rules/src/edit.ts
+++ b/packages/rules/src/edit.ts
@@ -1,5 +1,5 @@
 /**
- * Edits: small operations on one rule, replayed on top of what other teams accepted meanwhile.
+ * Edits: operations on a single rule, rebased onto edits of other teams that were accepted meanwhile.
  */
 import { digest, err, ok, type Result } from '@fuchsiahitch/base';
 import * as z from 'zod';
@@ -9,7 +9,7 @@
   .strictObject({ before: z.string().optional(), after: z.string().optional() })
   .refine(value => !(value.before && value.after), 'name a rule to stand before or after, not both');
 
-/** One operation. `base` is the digest of the rule that the editor saw: another team's change refuses it. */
+/** `base` is the digest of the rule that the author edited. The operation is refused if the rule has changed since. */
 export const operationSchema = z.discriminatedUnion('op', [
   z.strictObject({ op: z.literal('add'), rule: ruleSchema, place: place.readonly().optional() }),
   z.strictObject({ op: z.literal('replace'), rule: ruleSchema, base: z.string() }),
@@ -18,7 +18,7 @@
 ]);
 export type Operation = Readonly<z.infer<typeof operationSchema>>;
 
-/** An edit by one team. The identifier makes a retry idempotent. */
+/** An edit by one team. Its identifier makes retries idempotent. */
 export const editSchema = z
   .strictObject({
     id: z.string().min(8).max(64),
@@ -28,7 +28,7 @@
   .readonly();
 export type Edit = z.infer<typeof editSchema>;
 
-/** Why an edit cannot stand on the document as it is now. */
+/** The reason why an edit cannot be applied to the current document. */
 export type EditRefusal =
   | { readonly kind: 'exists'; readonly ruleId: string; readonly current: Rule }
   | { readonly kind: 'missing'; readonly ruleId: string }
@@ -40,17 +40,17 @@
     }
   | { readonly kind: 'anchor-missing'; readonly anchor: string };
 
-/** The digest by which an edit names the rule version that its author saw. */
+/** Returns the digest that identifies a version of a rule. */
 export function ruleDigest(rule: Rule): string {
   return digest(JSON.stringify(rule));
 }
 
-/** True when this very edit is already part of the document. */
+/** True if the edit has already been applied to the document. */
 export function hasEdit(document: RuleDocument, editId: string): boolean {
   return document.editIds.includes(editId);
 }
 
-/** The document after the edit. An edit that is already in it changes nothing. */
+/** Applies an edit. Returns the same document if the edit has already been applied. */
 export function applyEdit(document: RuleDocument, edit: Edit): Result<RuleDocument, EditRefusal> {
   if (hasEdit(document, edit.id)) return ok(document);
   const rules = applyOperation(document.rules, edit.operation);
--- a/packages/rules/src/index.ts
+++ b/packages/rules/src/index.ts
@@ -1,4 +1,4 @@
-/** Ordered rules: model, decision, edits, checks. */
+/** Ordered rules: model, evaluation, edits and checks. */
 export * from './check.js';
 export * from './edit.js';
 export * from './model.js';
--- a/packages/rules/src/model.ts
+++ b/packages/rules/src/model.ts
@@ -1,87 +1,87 @@
 /**
- * The rules document: ordered rules, the first that matches decides.
+ * The rules document: an ordered list of rules, of which the first match decides.
  *
- * Conditions are plain typed fields and not an expression language, so that a check can prove that one rule
- * hides another, and a decision costs the same whatever a team writes (docs/design/rules.md).
+ * Conditions are typed fields instead of an expression language. This makes it possible to prove that a rule
+ * shadows another, and bounds the cost of a decision (docs/design/rules.md).
  */
 import * as z from 'zod';
 
-const MAX_NAME = 63;
+const MAX_NAME_LENGTH = 63;
 const MAX_RULES = 4000;
-const MAX_NOTE = 500;
+const MAX_NOTE_LENGTH = 500;
 
-/** The lowest share of a pool's slots that is kept for customer-facing requests. No rule goes below it. */
+/** The minimum share of a pool's slots that is reserved for customer-facing requests. */
 export const CUSTOMER_RESERVE_FLOOR = 0.2;
-/** The most retries that a rule may allow: more would multiply load when endpoints fail. */
+/** The maximum number of retries that a rule may allow. More would multiply the load when endpoints fail. */
 export const MAX_RETRIES = 3;
 
 const name = z
   .string()
   .regex(/^[a-z0-9][a-z0-9.-]*$/, 'not a lower-case name')
-  .max(MAX_NAME);
+  .max(MAX_NAME_LENGTH);
 const names = z.array(name).min(1).max(100).readonly();
 const fraction = z.number().min(0).max(1);
 
-/** What a request is: a generation for a customer, a call to a plain service, or a trainer's sample. */
+/** Kinds of requests: a generation for a customer, a call to a service, or a trainer's sample. */
 export const requestKinds = ['completion', 'service', 'sample'] as const;
 export type RequestKind = (typeof requestKinds)[number];
 
-/** The signals that a state condition can read. */
+/** The signals that a state condition can use. */
 export const signals = ['queue', 'load', 'swapping'] as const;
 export type Signal = (typeof signals)[number];
 
 const stateSchema = z
   .strictObject({
     signal: z.enum(signals),
-    /** The condition begins to hold when the signal is above this. */
+    /** The condition is set when the signal is above this value. */
     above: z.number(),
-    /** It ceases to hold when the signal is below this: lower than `above`, or hosts would oscillate. */
+    /** The condition is cleared when the signal is below this value. Lower than `above`, to avoid oscillation. */
     clearBelow: z.number(),
-    /** The least time between two changes of the condition. */
+    /** The minimum time between two changes of the condition. */
     dwellMs: z.number().int().min(1000).default(5000),
   })
   .refine(state => state.clearBelow < state.above, 'clearBelow must be lower than above');
 
 const hour = z.number().int().min(0).max(24);
 
-/** How often a request may run: a batch is a job of many generations that is kept and run later. */
+/** How a request may be executed. A batch is a stored job of many generations that runs later. */
 export const runKinds = ['idempotent', 'non-idempotent', 'stream', 'batch'] as const;
 export type RunKind = (typeof runKinds)[number];
 
 const durationMs = z.number().min(0);
 
-/** Where the requests that a rule matches go, and what they may take. */
+/** The destination and limits of the requests that a rule matches. */
 export const routeSchema = z
   .strictObject({
     run: z.enum(runKinds),
-    /** Pools that share the requests by weight. */
+    /** Pools, to which requests are distributed by weight. */
     pools: z
       .array(z.strictObject({ pool: z.string().min(1), weight: z.number().min(0) }).readonly())
       .min(1)
       .readonly(),
-    /** The longest time that a request may be kept waiting; 0 for no limit. */
+    /** The maximum time that a request may wait, or 0 for no limit. */
     timeoutMs: durationMs,
-    /** Within this time an answer is worth most to its caller. */
+    /** The target latency. */
     targetMs: durationMs,
-    /** Endpoints that one request may be sent to. */
+    /** The maximum number of endpoints that a request is sent to. */
     maxAttempts: z.number().int().min(1),
-    /** 0 is the most urgent. */
+    /** The urgency of the request. 0 is the most urgent. */
     rank: z.number().int().min(0),
-    /** Anybody may send such a request: its caller needs no key of an account. */
+    /** Callers do not need an account key. */
     isPublic: z.boolean(),
-    /** A broken stream may go on at another endpoint. */
+    /** An interrupted stream may be resumed at another endpoint. */
     isResumable: z.boolean(),
-    /** All tokens of one result must come from one weight version. */
+    /** All tokens of a result must come from a single weight version. */
     isSingleVersion: z.boolean(),
-    /** For a batch: its results are due so long after it was submitted. */
+    /** For a batch: the time from submission until its results are due. */
     dueMs: durationMs,
-    /** For a batch: an item may be given up so long after it was submitted. */
+    /** For a batch: the time from submission after which an item may be abandoned. */
     keepMs: durationMs,
   })
   .readonly();
 export type Route = z.infer<typeof routeSchema>;
 
-/** When a rule holds: every field given must match; a list matches any of its values. */
+/** The conditions of a rule. All fields that are present must match. A list matches any of its values. */
 export const conditionSchema = z
   .strictObject({
     kind: z.array(z.enum(requestKinds)).min(1).readonly().optional(),
@@ -93,7 +93,7 @@
     version: names.optional(),
     /** The host name that a request was sent to. */
     host: z.array(z.string().min(1)).min(1).readonly().optional(),
-    /** Beginnings of the request's path; each begins and ends with a slash. */
+    /** Prefixes of the request path. Each begins and ends with a slash. */
     pathPrefix: z
       .array(z.string().regex(/^\/(.*\/)?$/, 'a path prefix begins and ends with a slash'))
       .min(1)
@@ -105,7 +105,7 @@
   .readonly();
 export type Condition = z.infer<typeof conditionSchema>;
 
-/** What a rule decides. Fields that a rule leaves out keep the defaults of the deployment. */
+/** The action of a rule. Absent fields keep the defaults of the deployment. */
 export const actionSchema = z
   .strictObject({
     pool: name.optional(),
@@ -120,9 +120,9 @@
     hedgeShare: z.number().min(0).max(0.2).optional(),
     stalenessVersions: z.number().int().min(0).max(100).optional(),
     stalenessMs: z.number().int().min(1000).optional(),
-    pinVersion: z.string().max(MAX_NAME).optional(),
+    pinVersion: z.string().max(MAX_NAME_LENGTH).optional(),
     stagedShare: fraction.optional(),
-    refuse: z.string().min(1).max(MAX_NOTE).optional(),
+    refuse: z.string().min(1).max(MAX_NOTE_LENGTH).optional(),
     route: routeSchema.optional(),
   })
   .readonly();
@@ -132,7 +132,7 @@
   .strictObject({
     id: name,
     team: name,
-    note: z.string().max(MAX_NOTE).optional(),
+    note: z.string().max(MAX_NOTE_LENGTH).optional(),
     when: conditionSchema,
     then: actionSchema,
   })
@@ -141,10 +141,10 @@
 
 export const ruleListSchema = z.array(ruleSchema).max(MAX_RULES).readonly();
 
-/** How many identifiers of accepted edits the document keeps, so that a retry finds its own. */
+/** The number of identifiers of accepted edits that a document retains to detect retries. */
 export const MAX_EDIT_IDS = 1024;
 
-/** The document as the store keeps it. `revision` grows by one with every accepted edit. */
+/** The stored document. Every accepted edit increments `revision`. */
 export const documentSchema = z
   .strictObject({
     revision: z.number().int().min(0),
@@ -156,7 +156,7 @@
 
 export const EMPTY_DOCUMENT: RuleDocument = { revision: 0, rules: [], editIds: [] };
 
-/** What a rule can ask about a request. */
+/** The properties of a request that conditions can match. */
 export interface RequestFacts {
   readonly kind: RequestKind;
   readonly caller: string;
@@ -165,7 +165,7 @@
   readonly domain: string;
   readonly priority: string;
   readonly version: string;
-  /** The host name and path of a call that is forwarded by name; rules on them match no other request. */
+  /** The host name and path of a call that is forwarded by name. Absent for other requests. */
   readonly host?: string;
   readonly path?: string;
 }
--- a/packages/rules/src/prefixRules.ts
+++ b/packages/rules/src/prefixRules.ts
@@ -1,9 +1,7 @@
-/**
- * Routes by host name and path as ordered rules.
- */
+/** Converts routes by host name and path to ordered rules. */
 import type { Route, Rule } from './model.js';
 
-/** Where the requests to a host name go whose path begins with a prefix. */
+/** The route of requests to a host name whose path begins with a prefix. */
 export interface PrefixRoute {
   readonly name: string;
   readonly host: string;
@@ -11,13 +9,13 @@
   readonly route: Route;
 }
 
-const MAX_ID = 63;
+const MAX_ID_LENGTH = 63;
 
-/** The longest prefix of a host decides: the first rule that matches does, so that rules stand in the order of their lengths. */
+/** Returns one rule per route, longest prefix first, so that the longest matching prefix decides. */
 export function prefixRules(team: string, routes: readonly PrefixRoute[]): readonly Rule[] {
   const ordered = [...routes].sort((a, b) => b.prefix.length - a.prefix.length);
   return ordered.map(({ name, host, prefix, route }, i) => ({
-    id: `${i}.${name.toLowerCase().replaceAll(/[^a-z0-9.-]/g, '-')}`.slice(0, MAX_ID),
+    id: `${i}.${name.toLowerCase().replaceAll(/[^a-z0-9.-]/g, '-')}`.slice(0, MAX_ID_LENGTH),
     team,
     when: { host: [host], pathPrefix: [prefix] },
     then: { route },
--- a/packages/rules/src/ruleEditor.ts
+++ b/packages/rules/src/ruleEditor.ts
@@ -1,5 +1,5 @@
 /**
- * Accepts edits of teams that race one another, by compare-and-swap on the store.
+ * Accepts concurrent edits by compare-and-swap on the store.
  */
 import { err, type Result } from '@fuchsiahitch/base';
 import { newErrors, type Finding } from './check.js';
@@ -7,7 +7,7 @@
 import type { RuleDocument } from './model.js';
 import type { NumberedEdit } from './ruleHistory.js';
 
-/** The rules as the store has them. `headVersion` is what the next write compares with. */
+/** The stored rules. The next write compares against `headVersion`. */
 export interface StoredRules {
   readonly document: RuleDocument;
   readonly headVersion: number;
@@ -15,18 +15,21 @@
   readonly edits: readonly NumberedEdit[];
 }
 
-/** `conflict`: another edit came first. `unknown`: sent, and no answer came. `unavailable`: not written. */
+/**
+ * `conflict`: another edit was written first. `unknown`: the write was sent but not answered.
+ * `unavailable`: nothing was written.
+ */
 export type RuleStoreError = 'conflict' | 'unknown' | 'unavailable' | 'too-large';
 
 export interface RuleStore {
   load(): Promise<Result<StoredRules, RuleStoreError>>;
-  /** Writes the document that the edit made, if the head still has the given version. */
+  /** Writes an edit and the resulting document if the head still has the given version. */
   append(headVersion: number, document: RuleDocument, edit: Edit): Promise<Result<undefined, RuleStoreError>>;
-  /** Puts a whole document back, if the head still has the given version. */
+  /** Writes back a complete document if the head still has the given version. */
   restore(headVersion: number, document: RuleDocument): Promise<Result<undefined, RuleStoreError>>;
 }
 
-/** How an edit ended, told truthfully. `unknown` is resolved by sending the same edit again. */
+/** The outcome of an edit. To resolve `unknown`, submit the same edit again. */
 export type EditOutcome =
   | { readonly kind: 'accepted'; readonly revision: number; readonly document: RuleDocument }
   | { readonly kind: 'refused'; readonly refusal: EditRefusal }
@@ -37,25 +40,25 @@
     }
   | { readonly kind: 'unknown' };
 
-const MAX_TRIES = 8;
+const MAX_ATTEMPTS = 8;
 
 export class RuleEditor {
   private readonly _store: RuleStore;
-  private readonly _inForce: () => RuleDocument;
+  private readonly _activeDocument: () => RuleDocument;
 
-  /** `inForce`: the document of this host, to notice a store that fell behind it. */
-  constructor(store: RuleStore, inForce: () => RuleDocument) {
+  /** `activeDocument`: returns the active document of this host, to detect a store that has an older revision. */
+  constructor(store: RuleStore, activeDocument: () => RuleDocument) {
     this._store = store;
-    this._inForce = inForce;
+    this._activeDocument = activeDocument;
   }
 
-  /** Accepts an edit once, however often it is sent and whatever answers are lost. */
+  /** Applies an edit exactly once, even if it is submitted repeatedly or responses are lost. */
   async submit(edit: Edit): Promise<EditOutcome> {
     let mayBeWritten = false;
-    for (let i = 0; i < MAX_TRIES; i++) {
+    for (let i = 0; i < MAX_ATTEMPTS; i++) {
       const stored = await this.loadRepaired();
-      if (!stored.ok) return unreadable(mayBeWritten, stored.error);
-      const step = await this._tryOnce(stored.value, edit);
+      if (!stored.ok) return loadFailure(mayBeWritten, stored.error);
+      const step = await this._attempt(stored.value, edit);
       if (step === 'unknown') mayBeWritten = true;
       else if (step !== 'again') return step;
     }
@@ -63,20 +66,20 @@
   }
 
   /**
-   * Reads the store, and brings it up to date first when it was restored from an older copy: what this host
-   * has in force is put back, with any edit on top that the restored store accepted meanwhile.
+   * Reads the store. If the store was restored from a backup, first writes back the active document of this
+   * host, with the edits that the restored store accepted meanwhile.
    */
   async loadRepaired(): Promise<Result<StoredRules, RuleStoreError>> {
-    for (let i = 0; i < MAX_TRIES; i++) {
+    for (let i = 0; i < MAX_ATTEMPTS; i++) {
       const stored = await this._store.load();
-      if (!stored.ok || stored.value.document.revision >= this._inForce().revision) return stored;
-      const repaired = mergeEdits(this._inForce(), stored.value.edits);
+      if (!stored.ok || stored.value.document.revision >= this._activeDocument().revision) return stored;
+      const repaired = mergeEdits(this._activeDocument(), stored.value.edits);
       await this._store.restore(stored.value.headVersion, repaired);
     }
     return err('unavailable');
   }
 
-  private async _tryOnce(stored: StoredRules, edit: Edit): Promise<EditOutcome | 'again' | 'unknown'> {
+  private async _attempt(stored: StoredRules, edit: Edit): Promise<EditOutcome | 'again' | 'unknown'> {
     const { document } = stored;
     if (hasEdit(document, edit.id)) return { kind: 'accepted', revision: document.revision, document };
     const applied = applyEdit(document, edit);
@@ -98,7 +101,7 @@
   }
 }
 
-/** The document with every edit on top that it does not have yet and that still stands. */
+/** Applies all edits that the document does not have yet and that do not conflict with it. */
 export function mergeEdits(document: RuleDocument, edits: readonly NumberedEdit[]): RuleDocument {
   let merged = document;
   for (const { edit } of edits) {
@@ -108,7 +111,7 @@
   return merged;
 }
 
-function unreadable(mayBeWritten: boolean, error: RuleStoreError): EditOutcome {
+function loadFailure(mayBeWritten: boolean, error: RuleStoreError): EditOutcome {
   if (mayBeWritten) return { kind: 'unknown' };
   return { kind: 'not-accepted', reason: error === 'too-large' ? 'too-large' : 'store-unavailable' };
 }
--- a/packages/rules/src/ruleEvaluator.ts
+++ b/packages/rules/src/ruleEvaluator.ts
@@ -1,18 +1,16 @@
-/**
- * Decides requests by the rules in force.
- */
+/** Evaluates the active rules for requests. */
 import type { Clock } from '@fuchsiahitch/base';
 import { StateCondition, type SignalReader } from './stateCondition.js';
 import type { Action, Condition, RequestFacts, Rule, RuleDocument } from './model.js';
 
-/** The rule that decided, and the revision that it stood in. Carried along so that a request is decided once. */
+/** The rule that decided and the revision of its document. Passed along with a request, so that it is decided once. */
 export interface Decision {
   readonly revision: number;
   readonly ruleId: string | undefined;
   readonly action: Action;
 }
 
-/** Why a rule did not decide a request. */
+/** Whether a rule matched a request, and the conditions that failed. */
 export interface Explanation {
   readonly ruleId: string;
   readonly matched: boolean;
@@ -24,15 +22,15 @@
 const WORD_BITS = 32;
 const NO_ACTION: Action = {};
 
-/** For one field: which rules accept a value. Bit i of a row stands for rule i. */
+/** Maps the values of one field to bitmaps of the rules that accept them. Bit i represents rule i. */
 class FieldIndex {
   private readonly _rows = new Map<string, Uint32Array>();
-  private readonly _any: Uint32Array;
+  private readonly _unconstrained: Uint32Array;
 
   constructor(rules: readonly Rule[], field: Field) {
-    this._any = new Uint32Array(Math.ceil(rules.length / WORD_BITS));
+    this._unconstrained = new Uint32Array(Math.ceil(rules.length / WORD_BITS));
     for (const [i, rule] of rules.entries()) {
-      if (!rule.when[field]) setBit(this._any, i);
+      if (!rule.when[field]) setBit(this._unconstrained, i);
     }
     for (const [i, rule] of rules.entries()) {
       for (const value of rule.when[field] ?? []) setBit(this._rowOf(value), i);
@@ -40,11 +38,11 @@
   }
 
   accepting(value: string): Uint32Array {
-    return this._rows.get(value) ?? this._any;
+    return this._rows.get(value) ?? this._unconstrained;
   }
 
   private _rowOf(value: string): Uint32Array {
-    const row = this._rows.get(value) ?? this._any.slice();
+    const row = this._rows.get(value) ?? this._unconstrained.slice();
     this._rows.set(value, row);
     return row;
   }
@@ -54,43 +52,43 @@
   row[i >>> 5] = (row[i >>> 5] ?? 0) | (1 << (i & 31));
 }
 
-/** The rules in force, indexed so that a decision looks at the rules that can match only. */
+/** Evaluates a rules document. Indexed, so that a decision inspects only rules that can match. */
 export class RuleEvaluator {
   readonly document: RuleDocument;
   private readonly _clock: Clock;
   private readonly _indexes: readonly FieldIndex[];
-  private readonly _gates: ReadonlyMap<string, StateCondition>;
-  private readonly _words: number;
+  private readonly _stateConditions: ReadonlyMap<string, StateCondition>;
+  private readonly _wordCount: number;
 
   constructor(document: RuleDocument, clock: Clock, signals: SignalReader) {
     this.document = document;
     this._clock = clock;
     this._indexes = FIELDS.map(field => new FieldIndex(document.rules, field));
-    this._words = Math.ceil(document.rules.length / WORD_BITS);
-    const gates = new Map<string, StateCondition>();
+    this._wordCount = Math.ceil(document.rules.length / WORD_BITS);
+    const stateConditions = new Map<string, StateCondition>();
     for (const rule of document.rules) {
-      if (rule.when.state) gates.set(rule.id, new StateCondition(rule.when.state, clock, signals));
+      if (rule.when.state) stateConditions.set(rule.id, new StateCondition(rule.when.state, clock, signals));
     }
-    this._gates = gates;
+    this._stateConditions = stateConditions;
   }
 
-  /** The first rule that matches decides; none leaves the defaults. */
+  /** Returns the decision of the first matching rule, or an empty action if no rule matches. */
   decide(facts: RequestFacts): Decision {
     const rows = this._indexes.map((index, i) => index.accepting(facts[FIELDS[i] ?? 'kind'] ?? ''));
-    for (let word = 0; word < this._words; word++) {
+    for (let word = 0; word < this._wordCount; word++) {
       let bits = 0xffffffff;
       for (const row of rows) bits &= row[word] ?? 0;
       while (bits !== 0) {
         const bit = 31 - Math.clz32(bits & -bits);
         const rule = this.document.rules[word * WORD_BITS + bit];
-        if (rule && this._restHolds(rule, facts)) return this._decision(rule);
+        if (rule && this._otherConditionsHold(rule, facts)) return this._decision(rule);
         bits &= bits - 1;
       }
     }
     return { revision: this.document.revision, ruleId: undefined, action: NO_ACTION };
   }
 
-  /** Every rule up to the one that decides, each with the conditions that failed. */
+  /** Returns all rules up to the one that decides, each with its failed conditions. */
   explain(facts: RequestFacts): readonly Explanation[] {
     const lines: Explanation[] = [];
     for (const rule of this.document.rules) {
@@ -105,10 +103,10 @@
     return { revision: this.document.revision, ruleId: rule.id, action: rule.then };
   }
 
-  private _restHolds(rule: Rule, facts: RequestFacts): boolean {
+  private _otherConditionsHold(rule: Rule, facts: RequestFacts): boolean {
     if (rule.when.hoursUtc && !isWithinHours(rule.when.hoursUtc, this._clock.wallMs())) return false;
     if (!hasPrefix(rule.when, facts.path ?? '')) return false;
-    return this._gates.get(rule.id)?.holds(facts.pool) ?? true;
+    return this._stateConditions.get(rule.id)?.holds(facts.pool) ?? true;
   }
 
   private _failedConditions(rule: Rule, facts: RequestFacts): readonly string[] {
@@ -116,12 +114,12 @@
     if (rule.when.hoursUtc && !isWithinHours(rule.when.hoursUtc, this._clock.wallMs()))
       failed.push('hoursUtc');
     if (!hasPrefix(rule.when, facts.path ?? '')) failed.push('pathPrefix');
-    if (this._gates.get(rule.id)?.holds(facts.pool) === false) failed.push('state');
+    if (this._stateConditions.get(rule.id)?.holds(facts.pool) === false) failed.push('state');
     return failed;
   }
 }
 
-/** True when the condition's list for the field is absent or names the value. */
+/** True if the condition's list for the field is absent or contains the value. */
 function accepts(condition: Condition, field: Field, value: string): boolean {
   const list: readonly string[] | undefined = condition[field];
   return !list || list.includes(value);
@@ -132,11 +130,11 @@
 }
 
 const HOUR_MS = 3_600_000;
-const HOURS_A_DAY = 24;
+const HOURS_PER_DAY = 24;
 
-/** True between the two hours; a window from 22 to 4 runs over midnight. */
+/** True if the time is within the hours. A range such as 22 to 4 spans midnight. */
 function isWithinHours(hours: { readonly from: number; readonly to: number }, wallMs: number): boolean {
-  const hour = Math.floor(wallMs / HOUR_MS) % HOURS_A_DAY;
+  const hour = Math.floor(wallMs / HOUR_MS) % HOURS_PER_DAY;
   if (hours.from <= hours.to) return hour >= hours.from && hour < hours.to;
   return hour >= hours.from || hour < hours.to;
 }
--- a/packages/rules/src/ruleFile.ts
+++ b/packages/rules/src/ruleFile.ts
@@ -1,18 +1,18 @@
 /**
- * Rules as people write them: a YAML list, checked whole, every problem with its line.
+ * The YAML format of rule files. Validation reports all problems, each with its line.
  */
 import { err, ok, type Result } from '@fuchsiahitch/base';
 import { LineCounter, parseDocument, stringify } from 'yaml';
 import type * as z from 'zod';
 import { ruleListSchema, type Rule } from './model.js';
 
-/** One problem in a file. Lines count from 1. */
+/** One problem in a file. Line numbers start at 1. */
 export interface FileProblem {
   readonly line: number;
   readonly text: string;
 }
 
-/** Reads a YAML file of the form `rules: [...]`. */
+/** Parses a YAML file of the form `rules: [...]`. */
 export function parseRuleFile(text: string): Result<readonly Rule[], readonly FileProblem[]> {
   const lines = new LineCounter();
   const document = parseDocument(text, { lineCounter: lines, uniqueKeys: true });
@@ -29,7 +29,7 @@
   return err(parsed.error.issues.map(issue => problemOf(issue, path => lineOf(document, lines, path))));
 }
 
-/** Writes rules as a YAML file that `parseRuleFile` reads back. */
+/** Formats rules as YAML that `parseRuleFile` accepts. */
 export function formatRuleFile(rules: readonly Rule[]): string {
   return stringify({ rules });
 }
@@ -47,7 +47,7 @@
   return { line: findLine(path), text: `${path.map(String).join('.')}: ${issue.message}` };
 }
 
-/** The line of the innermost part of the path that the file has. */
+/** Returns the line of the innermost node on the path that exists in the file. */
 function lineOf(
   document: ReturnType<typeof parseDocument>,
   lines: LineCounter,
--- a/packages/rules/src/stateCondition.ts
+++ b/packages/rules/src/stateCondition.ts
@@ -1,46 +1,45 @@
 /**
- * Conditions over state, damped so that rules that read load do not make the fleet oscillate.
+ * State conditions with hysteresis.
  *
- * What goes wrong without it: every host reads the same lagged load, moves its traffic at once, and moves
- * it back when the report catches up. One sees it as decisions that flip at the lag's period. The gap
- * between `above` and `clearBelow` and the least time between changes stop that.
+ * Load reports are delayed. Without damping, all hosts would move their traffic at once and move it back with
+ * the next report. The gap between `above` and `clearBelow` and the minimum time between changes prevent this.
  */
 import type { Clock } from '@fuchsiahitch/base';
 import type { Signal } from './model.js';
 
-/** Reads the present value of a signal for a pool. */
+/** Returns the current value of a signal for a pool. */
 export type SignalReader = (signal: Signal, pool: string) => number;
 
-interface GateSettings {
+interface StateConditionSettings {
   readonly signal: Signal;
   readonly above: number;
   readonly clearBelow: number;
   readonly dwellMs: number;
 }
 
-interface GateState {
+interface ConditionState {
   readonly holds: boolean;
   readonly sinceMs: number;
 }
 
-/** One state condition with hysteresis, kept for each pool. */
+/** A state condition, evaluated separately for each pool. */
 export class StateCondition {
-  private readonly _settings: GateSettings;
+  private readonly _settings: StateConditionSettings;
   private readonly _clock: Clock;
-  private readonly _read: SignalReader;
-  private readonly _states = new Map<string, GateState>();
+  private readonly _readSignal: SignalReader;
+  private readonly _states = new Map<string, ConditionState>();
 
-  constructor(settings: GateSettings, clock: Clock, read: SignalReader) {
+  constructor(settings: StateConditionSettings, clock: Clock, read: SignalReader) {
     this._settings = settings;
     this._clock = clock;
-    this._read = read;
+    this._readSignal = read;
   }
 
   holds(pool: string): boolean {
     const state = this._states.get(pool) ?? { holds: false, sinceMs: -Infinity };
     const nowMs = this._clock.nowMs();
     if (nowMs - state.sinceMs < this._settings.dwellMs) return state.holds;
-    const value = this._read(this._settings.signal, pool);
+    const value = this._readSignal(this._settings.signal, pool);
     const next = state.holds ? value >= this._settings.clearBelow : value > this._settings.above;
     if (next !== state.holds) this._states.set(pool, { holds: next, sinceMs: nowMs });
     return next;
--- a/packages/steps/src/fairSchedule.ts
+++ b/packages/steps/src/fairSchedule.ts
@@ -1,11 +1,11 @@
 /**
- * Which house's step a worker serves next: stride scheduling by house, within a house the earliest deadline.
+ * Selects the step that a worker serves next: stride scheduling between houses, earliest deadline first within
+ * a house.
  *
- * It is charged by house and not by step or request, so that splitting a step gains nothing. A house that has
- * no work is passed over, and the others use the engines meanwhile.
+ * Usage is charged to houses instead of steps or requests, so that splitting a step gains nothing. Idle houses
+ * are skipped, and the others use their share of the engines.
  */
 
-/** A step that can be served, as a worker knows it. */
 export interface SchedulableStep {
   readonly key: string;
   readonly house: string;
@@ -13,30 +13,30 @@
   readonly deadlineInMs: number;
 }
 
-const LOWEST_SHARE = 0.01;
+const MIN_SHARE = 0.01;
 
 export class FairSchedule {
   private readonly _passes = new Map<string, number>();
-  private _now = 0;
+  private _virtualTime = 0;
 
-  /** The step to serve next, or undefined when there is none. */
+  /** Returns the step to serve next, or undefined if there is none. */
   next<T extends SchedulableStep>(steps: readonly T[]): T | undefined {
     let best: T | undefined;
     for (const step of steps) {
       if (!best || this._isBefore(step, best)) best = step;
     }
-    if (best) this._now = Math.max(this._now, this._passOf(best.house));
+    if (best) this._virtualTime = Math.max(this._virtualTime, this._passOf(best.house));
     return best;
   }
 
   /** Charges a house for tokens that were generated for it. */
   charge(house: string, share: number, tokens: number): void {
-    this._passes.set(house, this._passOf(house) + tokens / Math.max(LOWEST_SHARE, share));
+    this._passes.set(house, this._passOf(house) + tokens / Math.max(MIN_SHARE, share));
   }
 
-  /** A house that was idle begins where the others are: it has saved up nothing. */
+  /** The pass of a house. An idle house resumes at the current virtual time and accumulates no credit. */
   private _passOf(house: string): number {
-    return Math.max(this._passes.get(house) ?? 0, this._now);
+    return Math.max(this._passes.get(house) ?? 0, this._virtualTime);
   }
 
   private _isBefore(a: SchedulableStep, b: SchedulableStep): boolean {
--- a/packages/steps/src/index.ts
+++ b/packages/steps/src/index.ts
@@ -1,4 +1,4 @@
-/** Decisions about training steps: ledger, provenance, staleness, schedule. */
+/** Training steps: ledger, provenance, staleness and scheduling. */
 export * from './fairSchedule.js';
 export * from './model.js';
 export * from './provenance.js';
--- a/packages/steps/src/model.ts
+++ b/packages/steps/src/model.ts
@@ -1,34 +1,32 @@
 /**
  * Steps, groups, slots and samples.
  *
- * A step asks for a number of samples for each of its groups of prompts. A slot is one place in a group; it
- * is filled by exactly one sample. A sample has an identifier of its own, so that a second attempt at a slot
- * is another sample and never mistaken for the first.
+ * A step requests a number of samples for the prompt of each of its groups. A slot is one position in a group and
+ * is filled by exactly one sample. Each attempt at a slot has its own sample identifier.
  */
 import * as z from 'zod';
 
-const MAX_NAME = 63;
-const MAX_PROMPT = 20_000;
+const MAX_NAME_LENGTH = 63;
+const MAX_PROMPT_LENGTH = 20_000;
 const MAX_GROUPS = 8192;
-const MAX_SAMPLES_A_GROUP = 256;
-/** The most samples of one step. */
+const MAX_SAMPLES_PER_GROUP = 256;
 export const MAX_SAMPLES_PER_STEP = 65_536;
 
 const name = z
   .string()
   .regex(/^[a-z0-9][a-z0-9:.-]*$/, 'not a lower-case name')
-  .max(MAX_NAME);
+  .max(MAX_NAME_LENGTH);
 
 export const groupSpecSchema = z
   .strictObject({
-    prompt: z.string().min(1).max(MAX_PROMPT),
-    samples: z.number().int().min(1).max(MAX_SAMPLES_A_GROUP),
-    /** A guess of the length, in tokens: longer ones are begun first. */
+    prompt: z.string().min(1).max(MAX_PROMPT_LENGTH),
+    samples: z.number().int().min(1).max(MAX_SAMPLES_PER_GROUP),
+    /** The estimated length in tokens. Longer groups are started first. */
     expectedTokens: z.number().int().min(0).default(0),
   })
   .readonly();
 
-/** What a trainer asks for. */
+/** A trainer's request for a step. */
 export const stepSpecSchema = z
   .strictObject({
     trainer: name,
@@ -37,11 +35,11 @@
     pool: name,
     groups: z.array(groupSpecSchema).min(1).max(MAX_GROUPS).readonly(),
     maxTokens: z.number().int().min(1).max(1_000_000),
-    /** A sample is too old when its oldest tokens are this many weight versions behind the trainer. */
+    /** The maximum number of weight versions by which a sample's oldest tokens may lag behind the trainer. */
     stalenessVersions: z.number().int().min(0).max(1000),
-    /** A sample is too old this long after its generation was assigned. */
+    /** The maximum age of a sample since its generation was assigned. */
     stalenessMs: z.number().int().min(1000),
-    /** The step ends this long after it was opened; groups that are not whole by then are reported. */
+    /** The time from the opening of the step until it ends. Groups that are incomplete by then are reported. */
     deadlineMs: z.number().int().min(1000),
   })
   .readonly()
@@ -55,7 +53,7 @@
   return groups.reduce((sum, group) => sum + group.samples, 0);
 }
 
-/** Consecutive tokens that one weight version produced. */
+/** Consecutive tokens that were produced by one weight version. */
 export const spanSchema = z
   .strictObject({ version: z.number().int().min(0), tokens: z.number().int().min(1) })
   .readonly();
@@ -69,13 +67,13 @@
     text: z.string(),
     spans: z.array(spanSchema).min(1).readonly(),
     score: z.number(),
-    /** Time since its generation began at the worker. */
+    /** The time since its generation started at the worker. */
     ageMs: z.number().min(0),
   })
   .readonly();
 export type Sample = z.infer<typeof sampleSchema>;
 
-/** The name of a step across the fleet. */
+/** Returns the fleet-wide key of a step. */
 export function stepKey(trainer: string, step: number): string {
   return `${trainer}/${step}`;
 }
--- a/packages/steps/src/provenance.ts
+++ b/packages/steps/src/provenance.ts
@@ -1,21 +1,21 @@
 /**
- * Which weight versions produced a sample, only from what the engine's stream says.
+ * Records which weight versions produced a sample.
  *
- * What goes wrong otherwise: the version that was ordered is written down although the swap failed, or came
- * in the middle of the sample. One would notice only that a trainer learns from ratios that don't fit.
+ * Uses only the versions in the engine's stream. The version that was ordered may be wrong, because a swap can
+ * fail or complete in the middle of a sample, and training on a wrong version computes wrong probability ratios.
  */
 import { err, ok, type Result } from '@fuchsiahitch/base';
 import type { Span } from './model.js';
 
-/** Why a sample has no provable provenance; such a sample is not handed over. */
+/** The reason why a sample's provenance cannot be proven. Such a sample is not handed over. */
 export type ProvenanceError = 'no-version-on-a-chunk' | 'no-tokens' | 'token-count-differs';
 
-/** Records the spans of one sample, over every engine that continued it. */
+/** Records the spans of one sample across all engines that generated parts of it. */
 export class SpanRecorder {
   private readonly _spans: { version: number; tokens: number }[] = [];
   private _isProvable = true;
 
-  /** Adds tokens of one chunk of the stream. */
+  /** Adds the tokens of one stream chunk. */
   add(version: number | undefined, tokens: number): void {
     if (tokens === 0) return;
     if (version === undefined) {
@@ -31,7 +31,7 @@
     return this._spans.reduce((sum, span) => sum + span.tokens, 0);
   }
 
-  /** The spans, if every token has its version and their number is the engine's own count. */
+  /** Returns the spans if every token has a version and the total equals the engine's count. */
   finish(engineTokens: number): Result<readonly Span[], ProvenanceError> {
     if (!this._isProvable) return err('no-version-on-a-chunk');
     if (this._spans.length === 0) return err('no-tokens');
--- a/packages/steps/src/staleness.ts
+++ b/packages/steps/src/staleness.ts
@@ -1,6 +1,6 @@
 /**
- * Whether a sample may still be handed over. Decided at each hand-over, against what the trainer says of
- * itself in that very call: a sample that was fresh when it was sealed can be too old when fetched again.
+ * Decides whether a sample is fresh enough to be handed over. Evaluated at each hand-over against the version
+ * in the trainer's call, because a sample that was fresh when sealed can be stale when it is fetched again.
  */
 import type { Span } from './model.js';
 
--- a/packages/steps/src/stepLedger.ts
+++ b/packages/steps/src/stepLedger.ts
@@ -1,27 +1,27 @@
 /**
- * The slots of one step at its owner: each is filled by exactly one sample.
+ * The owner's state of the slots of a step. Each slot is filled by exactly one sample.
  */
 import type { Clock, Random } from '@fuchsiahitch/base';
 import type { Sample, StepSpec } from './model.js';
 import { isFresh } from './staleness.js';
 
-/** One attempt at a slot, given to a worker. */
+/** An attempt at a slot that is assigned to a worker. */
 export interface Assignment {
   readonly slot: number;
   readonly sampleId: string;
   readonly prompt: string;
 }
 
-/** Slots that a worker was given in one call. It renews them together. */
+/** The slots that are assigned to a worker in one call. The worker renews them together. */
 export interface AssignmentBatch {
   readonly batch: number;
   readonly assignments: readonly Assignment[];
 }
 
-/** What became of a sample that a worker reported. */
+/** The result of reporting a sample. */
 export type SampleVerdict = 'taken' | 'duplicate' | 'unknown-attempt' | 'step-over';
 
-/** Why a slot has no sample and will not get one. */
+/** The reason why a slot is permanently without a sample. */
 export type SlotFailure = 'generation-failed' | 'deadline';
 
 interface Attempt {
@@ -30,7 +30,7 @@
   readonly worker: string;
   readonly batch: number;
   readonly assignedMs: number;
-  /** True once its sample was replaced: a message that comes again must not bring it back as fresh. */
+  /** True once its sample was replaced, so that a repeated message does not restore it. */
   isRetired: boolean;
 }
 
@@ -50,19 +50,19 @@
   failures: number;
 }
 
-/** The engines that ended under one prompt, each with the time of its last end. */
-interface EngineEnds {
+/** The engines that terminated while generating for a prompt, each with the time of its last termination. */
+interface EngineTerminations {
   count: number;
   readonly lastMs: Map<string, number>;
 }
 
-/** A sample that is ready to be handed over, with the moment its age counts from. */
+/** A sample that is ready to be handed over, with the time from which its age is measured. */
 export interface ReadySample {
   readonly sample: Sample;
   readonly ageStartMs: number;
 }
 
-/** How far a step is. */
+/** The number of slots in each state. */
 export interface StepCounts {
   readonly open: number;
   readonly assigned: number;
@@ -73,25 +73,24 @@
 }
 
 /**
- * A batch that its worker did not renew for this long is given to others. What goes wrong without it: the
- * reply that gave the slots was lost, or a worker in another failure domain died unseen, and the step waits for
- * samples that nobody makes.
+ * A batch that is not renewed for this long is reassigned. Covers lost replies to assignments, and workers in
+ * other failure domains whose death is not observed.
  */
 export const BATCH_LEASE_MS = 10_000;
-/** A slot that failed this often on its own account is given up: the prompt itself is at fault. */
+/** The number of failures caused by the prompt after which its slot is abandoned. */
 export const MAX_FAILURES_PER_SLOT = 4;
 /**
- * A group whose prompt this many engines ended under is given up. Without it the owner gives its slots to one worker after the
- * other, and every engine of the pool ends again and again until the step's time is over.
+ * The number of engine terminations after which the group of the prompt is abandoned. Prevents a prompt from
+ * terminating all engines of the pool repeatedly until the step's deadline.
  */
 export const MAX_TERMINATED_ENGINES = 3;
-/** Slots that break with one engine tell of one end. */
-const SAME_END_MS = 1000;
-/** Hedging begins when no slot is open and this share of the slots is left. */
+/** Failures of slots on the same engine within this time count as one termination. */
+const SAME_TERMINATION_MS = 1000;
+/** Hedging starts when no slot is open and at most this share of the slots is assigned. */
 const HEDGE_TAIL_SHARE = 0.1;
-/** A slot is a straggler after this many times the median duration. */
+/** A slot is a straggler if its attempt takes longer than this multiple of the median duration. */
 const STRAGGLER_FACTOR = 2;
-const MIN_DURATIONS = 8;
+const MIN_RECORDED_DURATIONS = 8;
 
 export class StepLedger {
   readonly spec: StepSpec;
@@ -104,13 +103,13 @@
   private readonly _queue: Slot[];
   private readonly _durationsMs: number[] = [];
   private readonly _renewedMs = new Map<number, number>();
-  /** By group: the engines that have ended under its prompt, since a sample of it was last made. */
-  private readonly _ends = new Map<number, EngineEnds>();
+  /** By group: the engines that terminated under its prompt since its last completed sample. */
+  private readonly _engineTerminations = new Map<number, EngineTerminations>();
   private _lastBatch = 0;
   private _hedges = 0;
   private _duplicates = 0;
 
-  /** `hedgeShare`: second attempts at stragglers, as a share of the slots, at most. */
+  /** `hedgeShare`: the maximum number of second attempts at stragglers, as a share of the slots. */
   constructor(spec: StepSpec, clock: Clock, random: Random, hedgeShare: number) {
     this.spec = spec;
     this._clock = clock;
@@ -118,19 +117,19 @@
     this._hedgeShare = hedgeShare;
     this._groups = makeGroups(spec);
     this._slots = this._groups.flat();
-    // Longest expected first: a long sample begun last is what a step waits for.
+    // Longest expected first, because a long sample that is started last delays the step.
     const expected = (slot: Slot): number => spec.groups[slot.group]?.expectedTokens ?? 0;
     this._queue = [...this._slots].sort((a, b) => expected(a) - expected(b) || b.index - a.index);
   }
 
-  /** Gives up to `count` open slots to a worker, then hedges stragglers of other workers. */
+  /** Assigns up to `count` slots to a worker: open slots first, then hedges of other workers' stragglers. */
   assign(worker: string, count: number): AssignmentBatch {
     const batch = this._lastBatch + 1;
     const assignments: Assignment[] = [];
     while (assignments.length < count) {
       const slot = this._nextOpen() ?? this._nextStraggler(worker);
       if (!slot) break;
-      assignments.push(this._begin(slot, worker, batch));
+      assignments.push(this._startAttempt(slot, worker, batch));
     }
     if (assignments.length > 0) {
       this._lastBatch = batch;
@@ -139,14 +138,14 @@
     return { batch, assignments };
   }
 
-  /** A worker says that it still works on these batches. */
+  /** Renews the leases of batches. */
   renew(batches: readonly number[]): void {
     for (const batch of batches) {
       if (this._renewedMs.has(batch)) this._renewedMs.set(batch, this._clock.nowMs());
     }
   }
 
-  /** Gives the slots of batches that were not renewed to others. */
+  /** Drops the attempts of batches that were not renewed, so that their slots are reassigned. */
   expire(): void {
     const nowMs = this._clock.nowMs();
     const expired = new Set<number>();
@@ -163,9 +162,9 @@
   }
 
   /**
-   * Takes in a finished sample of an attempt that this ledger gave out. The first for a slot counts; a hedge
-   * that comes second is dropped whole. Its age counts from the assignment on this host's clock: a message
-   * may lie in a paused process for minutes, and the age that it carries would be too low.
+   * Accepts a finished sample of an attempt that this ledger assigned. The first sample of a slot counts, and
+   * later ones are dropped. The age is measured from the assignment on this host's clock, because a message can
+   * be delayed in a paused process, which makes the age that it carries too low.
    */
   sampleDone(sample: Sample): SampleVerdict {
     const attempt = this._attempts.get(sample.sampleId);
@@ -181,13 +180,13 @@
     return 'taken';
   }
 
-  /** Takes in a sample that a worker kept for a former owner. Its age counts from when it was asked for. */
-  adopt(sample: Sample, askedMs: number): void {
+  /** Accepts a sample that a worker retained for a former owner. Its age is measured from the request for it. */
+  adopt(sample: Sample, requestedMs: number): void {
     const slot = this._slots[sample.slot];
     const known = this._attempts.get(sample.sampleId);
-    const isSealedOne = slot?.state.kind === 'sealed' && slot.state.sampleIds.includes(sample.sampleId);
-    if (!slot || known || !(isUnfilled(slot) || isSealedOne)) return;
-    const ageStartMs = askedMs - sample.ageMs;
+    const isSealedSample = slot?.state.kind === 'sealed' && slot.state.sampleIds.includes(sample.sampleId);
+    if (!slot || known || !(isUnfilled(slot) || isSealedSample)) return;
+    const ageStartMs = requestedMs - sample.ageMs;
     this._attempts.set(sample.sampleId, {
       sampleId: sample.sampleId,
       slot,
@@ -199,7 +198,7 @@
     this._fill(slot, sample, ageStartMs);
   }
 
-  /** An attempt failed. `isOwnFault`: the prompt failed, and not the engine or the host under it. */
+  /** Records a failed attempt. `isOwnFault`: the cause is the prompt, not the engine or the host. */
   sampleFailed(sampleId: string, isOwnFault: boolean): void {
     const failed = this._attempts.get(sampleId);
     if (!failed) return;
@@ -211,25 +210,29 @@
     else this._reopen(slot);
   }
 
-  /** The attempt's engine ended as it began to generate; its prompt, or another request's, may be to blame. */
+  /** Records that the attempt's engine terminated as it began to generate, possibly because of the prompt. */
   engineEnded(sampleId: string, engine: string): void {
     const group = this._attempts.get(sampleId)?.slot.group;
     if (group === undefined) return;
-    const ends = this._ends.get(group) ?? { count: 0, lastMs: new Map<string, number>() };
+    const terminations = this._engineTerminations.get(group) ?? {
+      count: 0,
+      lastMs: new Map<string, number>(),
+    };
     const nowMs = this._clock.nowMs();
-    if (nowMs - (ends.lastMs.get(engine) ?? -Infinity) >= SAME_END_MS) ends.count += 1;
-    ends.lastMs.set(engine, nowMs);
-    this._ends.set(group, ends);
-    if (ends.count >= MAX_TERMINATED_ENGINES) this._giveUp(group);
+    if (nowMs - (terminations.lastMs.get(engine) ?? -Infinity) >= SAME_TERMINATION_MS)
+      terminations.count += 1;
+    terminations.lastMs.set(engine, nowMs);
+    this._engineTerminations.set(group, terminations);
+    if (terminations.count >= MAX_TERMINATED_ENGINES) this._failGroup(group);
     this.sampleFailed(sampleId, false);
   }
 
-  /** A worker is gone: what it had is given to others. If it returns, its samples are taken or dropped. */
+  /** Drops the attempts of a lost worker. If it returns, its samples are accepted unless the slot is filled. */
   workerLost(worker: string): void {
     this._dropAttempts(attempt => attempt.worker === worker);
   }
 
-  /** Whole groups whose samples are all ready and fresh, up to `maxSamples`. Stale samples are replaced. */
+  /** Returns the samples of complete, fresh groups, up to `maxSamples`. Slots of stale samples are reopened. */
   readyGroups(trainerVersion: number, maxSamples: number): readonly ReadySample[] {
     const picked: ReadySample[] = [];
     for (const group of this._groups) {
@@ -243,7 +246,7 @@
     return picked;
   }
 
-  /** True if the sample is ready here and still fresh. */
+  /** True if the sample is ready and fresh. */
   isDeliverable(sampleId: string, trainerVersion: number): boolean {
     const ready = this.find(sampleId);
     return ready !== undefined && this._isFresh(ready, trainerVersion);
@@ -255,13 +258,13 @@
     return { sample: state.sample, ageStartMs: state.ageStartMs };
   }
 
-  /** The group of a slot, as the slots that belong to it. */
+  /** Returns all slots of the group that contains the given slot. */
   groupOf(slot: number): readonly number[] {
     const group = this._slots[slot]?.group ?? -1;
     return (this._groups[group] ?? []).map(member => member.index);
   }
 
-  /** Slots that the trainer holds. They are never filled again. */
+  /** Marks slots that the trainer holds. They are never filled again. */
   markDelivered(slots: readonly number[]): void {
     for (const index of slots) {
       const slot = this._slots[index];
@@ -269,7 +272,7 @@
     }
   }
 
-  /** A sealed manifest of a former owner names this slot with a sample that is not here. */
+  /** Marks a slot as sealed by a former owner with a sample that this host does not have. */
   markSealed(index: number, sampleId: string): void {
     const slot = this._slots[index];
     if (!slot) return;
@@ -277,13 +280,13 @@
     slot.state = { kind: 'sealed', sampleIds: [...others, sampleId] };
   }
 
-  /** Makes a slot open again whose sealed sample is lost or too old. */
+  /** Reopens a slot whose sealed sample is lost or stale. */
   reopen(index: number): void {
     const slot = this._slots[index];
     if (slot && slot.state.kind !== 'delivered' && slot.state.kind !== 'failed') this._reopen(slot);
   }
 
-  /** Ends every slot that is not delivered or ready: the step's deadline passed. */
+  /** Fails all slots that are neither ready nor delivered, because the step's deadline has passed. */
   endAtDeadline(): void {
     for (const slot of this._slots) {
       if (isUnfilled(slot) || slot.state.kind === 'sealed')
@@ -291,7 +294,7 @@
     }
   }
 
-  /** Groups that will not become whole, with the reason. */
+  /** The groups that cannot be completed, with the reason. */
   failedGroups(): readonly { readonly group: number; readonly reason: SlotFailure }[] {
     const failed: { group: number; reason: SlotFailure }[] = [];
     for (const [group, slots] of this._groups.entries()) {
@@ -304,7 +307,7 @@
     return failed;
   }
 
-  /** True when every group is delivered, or reported as failed. */
+  /** True if every group is either delivered or failed. */
   isOver(): boolean {
     return this._groups.every(
       group =>
@@ -319,7 +322,7 @@
     return counts;
   }
 
-  /** Samples that came for slots that had one. */
+  /** The number of samples that were reported for slots that were already filled. */
   duplicates(): number {
     return this._duplicates;
   }
@@ -328,15 +331,15 @@
     return this._hedges;
   }
 
-  private _dropAttempts(isGone: (attempt: Attempt) => boolean): void {
+  private _dropAttempts(isDropped: (attempt: Attempt) => boolean): void {
     for (const slot of this._slots) {
       if (slot.state.kind !== 'assigned') continue;
-      slot.attempts = slot.attempts.filter(attempt => !isGone(attempt));
+      slot.attempts = slot.attempts.filter(attempt => !isDropped(attempt));
       if (slot.attempts.length === 0) this._reopen(slot);
     }
   }
 
-  private _begin(slot: Slot, worker: string, batch: number): Assignment {
+  private _startAttempt(slot: Slot, worker: string, batch: number): Assignment {
     const sampleId = `${this.spec.trainer}/${this.spec.step}/${slot.index}/${this._random.id()}`;
     const attempt = { sampleId, slot, worker, batch, assignedMs: this._clock.nowMs(), isRetired: false };
     slot.attempts.push(attempt);
@@ -355,8 +358,8 @@
   private _fill(slot: Slot, sample: Sample, ageStartMs: number): void {
     slot.state = { kind: 'ready', sample, ageStartMs };
     slot.attempts = [];
-    // A sample of the prompt is made: it is not what engines end under.
-    this._ends.delete(slot.group);
+    // The prompt yields samples, so it is not the cause of the terminations.
+    this._engineTerminations.delete(slot.group);
   }
 
   private _reopen(slot: Slot): void {
@@ -384,10 +387,11 @@
     return slot;
   }
 
-  /** One attempt on the way, for longer than most took. */
+  /** True if the slot's only attempt takes unusually long. */
   private _isStraggler(slot: Slot): boolean {
     const [attempt] = slot.attempts;
-    if (!attempt || slot.attempts.length > 1 || this._durationsMs.length < MIN_DURATIONS) return false;
+    if (!attempt || slot.attempts.length > 1 || this._durationsMs.length < MIN_RECORDED_DURATIONS)
+      return false;
     return this._clock.nowMs() - attempt.assignedMs > STRAGGLER_FACTOR * median(this._durationsMs);
   }
 
@@ -397,7 +401,7 @@
     }
   }
 
-  private _giveUp(group: number): void {
+  private _failGroup(group: number): void {
     for (const slot of this._groups[group] ?? [])
       if (isUnfilled(slot)) slot.state = { kind: 'failed', reason: 'generation-failed' };
   }
--- a/packages/steps/src/stepMessages.ts
+++ b/packages/steps/src/stepMessages.ts
@@ -1,5 +1,5 @@
 /**
- * The trainer's calls, and messages about steps between hosts.
+ * Trainer calls, and messages about steps between hosts.
  */
 import * as z from 'zod';
 import { sampleSchema, stepSpecSchema } from './model.js';
@@ -7,21 +7,20 @@
 const count = z.number().int().min(0);
 const key = z.string().min(1).max(130);
 
-/** Opens a step. Idempotent by trainer and step. */
+/** Opens a step. Idempotent per trainer and step. */
 export const openRequestSchema = stepSpecSchema;
 
-/** Takes the next samples. */
 export const takeRequestSchema = z
   .strictObject({
     key,
-    /** Chunks that the trainer holds whole. */
+    /** The number of chunks that the trainer has received completely. */
     cursor: count,
-    /** The generation of the last chunk that it holds; 0 for none. */
+    /** The generation of the last chunk that the trainer holds, or 0 for none. */
     generation: count,
-    /** The weight version that the trainer is at now. */
+    /** The trainer's current weight version. */
     trainerVersion: count,
     maxSamples: z.number().int().min(1).max(4096),
-    /** Slots that the trainer holds, as ranges [from, to): given, no store is needed to hand over. */
+    /** Slots that the trainer holds, as ranges [from, to). If present, hand-over does not need the store. */
     held: z
       .array(z.strictObject({ from: count, to: count }).readonly())
       .readonly()
@@ -41,7 +40,7 @@
   })
   .readonly();
 
-/** Why there is nothing to hand over now. */
+/** Reasons why no samples can be handed over yet. */
 export const waitReasons = ['generating', 'store-unavailable', 'owner-moving'] as const;
 
 export const takeReplySchema = z.discriminatedUnion('kind', [
@@ -83,7 +82,7 @@
   .strictObject({ known: z.boolean(), progress: progressSchema, hedges: count, duplicates: count })
   .readonly();
 
-/** Tells hosts that a step has work. */
+/** Announces that a step has work. */
 export const stepOfferSchema = z
   .strictObject({
     key,
@@ -91,14 +90,14 @@
     pool: z.string(),
     owner: z.string(),
     ownerAddress: z.string(),
-    /** The owner's epoch: an offer of a former owner is ignored. */
+    /** The owner's epoch. Offers of former owners are ignored. */
     epoch: count,
     share: z.number().min(0).max(1),
     hasWork: z.boolean(),
     isOver: z.boolean(),
     maxTokens: count,
     deadlineInMs: z.number(),
-    /** Other hosts of the receiver's failure domain are told by the receiver. */
+    /** The receiver forwards the offer to the other hosts of its failure domain. */
     passOn: z.boolean(),
   })
   .readonly();
@@ -115,7 +114,7 @@
   })
   .readonly();
 
-/** A worker says which batches it still works on, so that they are not given to others. */
+/** Renews the batches that a worker still processes, so that they are not reassigned. */
 export const workAliveSchema = z
   .strictObject({ key, batches: z.array(count).max(4096).readonly() })
   .readonly();
@@ -125,18 +124,18 @@
   .strictObject({ verdict: z.enum(['taken', 'duplicate', 'unknown-attempt', 'step-over', 'unknown-step']) })
   .readonly();
 
-/** `endedEngine`: the engine that ended as it began to generate, if that is why. */
+/** `endedEngine`: the engine that terminated when it began to generate, if that was the cause. */
 export const sampleFailedSchema = z
   .strictObject({ key, sampleId: z.string(), isOwnFault: z.boolean(), endedEngine: z.string().optional() })
   .readonly();
 
-/** Asks a worker for samples that it keeps of a step, some at a time. */
+/** Requests a page of the samples of a step that a worker retains. */
 export const heldSamplesSchema = z.strictObject({ key, from: count }).readonly();
 export const heldSamplesReplySchema = z
   .strictObject({ samples: z.array(sampleSchema).readonly(), next: count, hasMore: z.boolean() })
   .readonly();
 
-/** An owner that made a sample itself asks a peer to fetch a second copy. */
+/** Sent by an owner that generated a sample itself, to request that a peer fetch a second copy. */
 export const sampleCopyRequestSchema = z.strictObject({ key }).readonly();
 
 export const emptySchema = z.strictObject({}).readonly();
--- a/packages/steps/src/stepOwner.ts
+++ b/packages/steps/src/stepOwner.ts
@@ -1,9 +1,9 @@
 /**
- * The owner of one step: answers the trainer's takes so that each sample reaches it exactly once.
+ * The owner of a step: answers the trainer's take calls so that each sample is delivered exactly once.
  *
- * Two serialising parties, by the trainer's means (docs/design/ledger.md). A trainer that sends the slots it
- * holds is one itself, and no store is needed. For a trainer that merely asks again, each chunk's manifest is
- * sealed in the store by a write that only the present owner can make, before any of it is handed over.
+ * What serialises deliveries depends on the trainer (docs/design/ledger.md). A trainer that sends the slots it
+ * holds serialises them itself, without the store. For other trainers, the manifest of each chunk is sealed in the
+ * store before hand-over, by a fenced write that only the current owner can make.
  */
 import { err, ok, type Clock, type Random, type Result } from '@fuchsiahitch/base';
 import type { Sample, StepSpec } from './model.js';
@@ -19,7 +19,7 @@
   readonly hedgeShare: number;
 }
 
-/** How long a trainer waits before it asks again when nothing is ready. */
+/** How long a trainer waits before it retries if no samples are ready. */
 const RETRY_AFTER_MS = 200;
 const STORE_RETRY_AFTER_MS = 1000;
 
@@ -33,7 +33,7 @@
   private readonly _headVersion: number;
   private readonly _chunks = new Map<number, Chunk>();
   private _isFenced = false;
-  private _busy: Promise<unknown> = Promise.resolve();
+  private _lastTake: Promise<unknown> = Promise.resolve();
 
   constructor(stored: StoredStep, options: StepOwnerOptions) {
     this._options = options;
@@ -41,7 +41,7 @@
     this._headVersion = stored.headVersion;
     this._openedMs = options.clock.nowMs();
     this.ledger = new StepLedger(stored.spec, options.clock, options.random, options.hedgeShare);
-    for (const chunk of stored.chunks) this._recall(chunk);
+    for (const chunk of stored.chunks) this._restoreChunk(chunk);
   }
 
   get key(): string {
@@ -56,12 +56,12 @@
     return this._head.epoch;
   }
 
-  /** Another host owns the step now. */
+  /** Called when another host owns the step. */
   fence(): void {
     this._isFenced = true;
   }
 
-  /** True once another host was found to own the step: this object must be dropped. */
+  /** True once another host owns the step. This object must then be discarded. */
   isFenced(): boolean {
     return this._isFenced;
   }
@@ -83,56 +83,56 @@
     return this._head.state === 'open' ? this.ledger.sampleDone(sample) : 'step-over';
   }
 
-  /** Ends what is late. Called from time to time. */
+  /** Expires leases and enforces the deadline. Called periodically. */
   tick(): void {
     this.ledger.expire();
     if (this.deadlineInMs() <= 0) this.ledger.endAtDeadline();
   }
 
-  /** Answers a take. Takes of one step are answered one after the other. */
+  /** Answers a take call. The take calls of a step are processed sequentially. */
   async take(request: TakeRequest): Promise<TakeReply> {
-    const answer = this._busy.then(() => this._take(request));
-    this._busy = answer.catch(() => undefined);
+    const answer = this._lastTake.then(() => this._take(request));
+    this._lastTake = answer.catch(() => undefined);
     return answer;
   }
 
-  /** The trainer gives the step up. */
+  /** Abandons the step on behalf of the trainer. */
   async abandon(): Promise<boolean> {
     return (await this._close('abandoned')).ok;
   }
 
   private async _take(request: TakeRequest): Promise<TakeReply> {
-    if (this._isFenced) return this._wait('owner-moving', RETRY_AFTER_MS);
+    if (this._isFenced) return this._waitReply('owner-moving', RETRY_AFTER_MS);
     if (this._head.state === 'abandoned') return { kind: 'abandoned' };
-    // Closed before, maybe by a write whose answer was lost: the trainer is told the same again.
-    if (this._head.state === 'closed') return this._over(this._head.failedGroups);
-    if (!request.held && this._isOutrun(request)) return this._storeFailed('fenced');
-    this._noteReceipts(request);
+    // The step is already closed. The answer may have been lost, so repeat it.
+    if (this._head.state === 'closed') return this._overReply(this._head.failedGroups);
+    if (!request.held && this._isBehindTrainer(request)) return this._storeFailed('fenced');
+    this._recordReceipts(request);
     this.tick();
-    const reply = request.held ? this._takeHeld(request) : await this._takeSealed(request);
-    return reply.kind === 'over' ? this._end(reply, request) : reply;
+    const reply = request.held ? this._takeUnsealed(request) : await this._takeSealed(request);
+    return reply.kind === 'over' ? this._endStep(reply, request) : reply;
   }
 
   /**
-   * True if the trainer holds a chunk that is not known here: another host handed it over, and this one was
-   * paused meanwhile. Going on from what is known here would take samples for delivered that never were.
+   * True if the trainer holds a chunk that this host does not have, because another host handed it over while
+   * this process was paused. Continuing would mark samples as delivered that never were.
    */
-  private _isOutrun(request: TakeRequest): boolean {
+  private _isBehindTrainer(request: TakeRequest): boolean {
     if (request.cursor === 0 || this._head.state !== 'open') return false;
     const last = this._chunks.get(request.cursor - 1);
     if (!last) return true;
     return request.generation > 0 && !last.generations.some(one => one.generation === request.generation);
   }
 
-  /** Ends the step. For a trainer without receipts only the present owner may say that it is over. */
-  private async _end(over: TakeReply, request: TakeRequest): Promise<TakeReply> {
+  /** Closes the step. For a trainer without receipts, only the current owner may report that it is over. */
+  private async _endStep(over: TakeReply, request: TakeRequest): Promise<TakeReply> {
     const closed = await this._close('closed');
     if (closed.ok || request.held) return over;
     return this._storeFailed(closed.error);
   }
 
-  /** What the call says about what the trainer holds. */
-  private _noteReceipts(request: TakeRequest): void {
+  /** Marks the slots that the trainer holds according to the call. */
+  private _recordReceipts(request: TakeRequest): void {
     for (const range of request.held ?? []) {
       this.ledger.markDelivered(
         Array.from({ length: Math.max(0, range.to - range.from) }, (_, i) => range.from + i),
@@ -140,32 +140,34 @@
     }
     if (request.held) return;
     for (const chunk of this._chunks.values()) {
-      if (chunk.chunk < request.cursor) this._received(chunk, request);
+      if (chunk.chunk < request.cursor) this._markChunkReceived(chunk, request);
     }
   }
 
-  private _received(chunk: Chunk, request: TakeRequest): void {
+  private _markChunkReceived(chunk: Chunk, request: TakeRequest): void {
     const isLast = chunk.chunk === request.cursor - 1;
-    const named = isLast ? chunk.generations.find(one => one.generation === request.generation) : undefined;
-    const manifest = named ?? chunk.generations.at(-1);
+    const acknowledged = isLast
+      ? chunk.generations.find(one => one.generation === request.generation)
+      : undefined;
+    const manifest = acknowledged ?? chunk.generations.at(-1);
     this.ledger.markDelivered((manifest?.entries ?? []).map(entry => entry.slot));
     if (!isLast) this._chunks.delete(chunk.chunk);
   }
 
-  /** The trainer is the serialising party: whatever it does not hold may be handed over. */
-  private _takeHeld(request: TakeRequest): TakeReply {
+  /** Hands over any ready samples, because the trainer serialises deliveries by reporting the slots it holds. */
+  private _takeUnsealed(request: TakeRequest): TakeReply {
     const ready = this.ledger.readyGroups(request.trainerVersion, request.maxSamples);
-    if (ready.length === 0) return this._nothing();
+    if (ready.length === 0) return this._noneReady();
     return this._handOver(request.cursor, 1, ready);
   }
 
   private async _takeSealed(request: TakeRequest): Promise<TakeReply> {
     const sealed = this._chunks.get(request.cursor);
-    const ready = sealed ? this._stillGood(sealed, request) : undefined;
+    const ready = sealed ? this._deliverableSamples(sealed, request) : undefined;
     if (sealed && ready) return this._handOver(sealed.chunk, sealed.generations.length, ready);
     if (sealed) this._reopenStale(sealed, request.trainerVersion);
     const groups = this.ledger.readyGroups(request.trainerVersion, request.maxSamples);
-    if (groups.length === 0) return this._nothing();
+    if (groups.length === 0) return this._noneReady();
     return this._seal(request, groups, sealed);
   }
 
@@ -186,13 +188,15 @@
     const written = await this._options.store.writeChunk(this.key, this._headVersion, chunk);
     if (!written.ok) return this._storeFailed(written.error);
     this._chunks.set(chunk.chunk, chunk);
-    // The write may have taken long: what went stale meanwhile is not handed over.
-    const ready = this._stillGood(chunk, request);
-    return ready ? this._handOver(chunk.chunk, generation, ready) : this._wait('generating', RETRY_AFTER_MS);
+    // Samples may have become stale during the write.
+    const ready = this._deliverableSamples(chunk, request);
+    return ready
+      ? this._handOver(chunk.chunk, generation, ready)
+      : this._waitReply('generating', RETRY_AFTER_MS);
   }
 
-  /** The samples of the chunk's last generation, if all are here and fresh for the trainer as it is now. */
-  private _stillGood(chunk: Chunk, request: TakeRequest): readonly ReadySample[] | undefined {
+  /** Returns the samples of the chunk's last generation if all are available and fresh for the trainer's version. */
+  private _deliverableSamples(chunk: Chunk, request: TakeRequest): readonly ReadySample[] | undefined {
     const ready: ReadySample[] = [];
     for (const { sampleId } of chunk.generations.at(-1)?.entries ?? []) {
       const found = this.ledger.find(sampleId);
@@ -202,7 +206,7 @@
     return ready;
   }
 
-  /** Sealed samples that are lost or too old are generated again; the rest waits for its group. */
+  /** Reopens the slots of sealed samples that are lost or stale. The other samples wait for their group. */
   private _reopenStale(chunk: Chunk, trainerVersion: number): void {
     for (const { slot, sampleId } of chunk.generations.at(-1)?.entries ?? []) {
       if (!this.ledger.isDeliverable(sampleId, trainerVersion)) this.ledger.reopen(slot);
@@ -215,22 +219,22 @@
     return { kind: 'chunk', chunk, generation, samples, progress: this.ledger.counts() };
   }
 
-  private _nothing(): TakeReply {
-    if (!this.ledger.isOver()) return this._wait('generating', RETRY_AFTER_MS);
-    return this._over(this.ledger.failedGroups());
+  private _noneReady(): TakeReply {
+    if (!this.ledger.isOver()) return this._waitReply('generating', RETRY_AFTER_MS);
+    return this._overReply(this.ledger.failedGroups());
   }
 
-  private _over(failedGroups: StepHead['failedGroups']): TakeReply {
+  private _overReply(failedGroups: StepHead['failedGroups']): TakeReply {
     return { kind: 'over', failedGroups, progress: this.ledger.counts() };
   }
 
   private _storeFailed(error: StepStoreError): TakeReply {
-    if (error !== 'fenced') return this._wait('store-unavailable', STORE_RETRY_AFTER_MS);
+    if (error !== 'fenced') return this._waitReply('store-unavailable', STORE_RETRY_AFTER_MS);
     this._isFenced = true;
-    return this._wait('owner-moving', RETRY_AFTER_MS);
+    return this._waitReply('owner-moving', RETRY_AFTER_MS);
   }
 
-  private _wait(reason: WaitReason, retryAfterMs: number): TakeReply {
+  private _waitReply(reason: WaitReason, retryAfterMs: number): TakeReply {
     return { kind: 'wait', reason, retryAfterMs, progress: this.ledger.counts() };
   }
 
@@ -242,7 +246,7 @@
     return closed;
   }
 
-  private _recall(chunk: Chunk): void {
+  private _restoreChunk(chunk: Chunk): void {
     this._chunks.set(chunk.chunk, chunk);
     for (const manifest of chunk.generations) {
       for (const { slot, sampleId } of manifest.entries) this.ledger.markSealed(slot, sampleId);
@@ -250,7 +254,7 @@
   }
 }
 
-/** Takes over a step from an owner that is gone, by a compare-and-swap that fences it. */
+/** Takes over a step from a lost owner, by a compare-and-swap that fences it. */
 export async function takeOver(
   store: StepStore,
   key: string,
--- a/packages/steps/src/stepStore.ts
+++ b/packages/steps/src/stepStore.ts
@@ -1,19 +1,19 @@
 /**
- * What the owner of a step keeps in the platform's key-value service: who owns it, what was asked for, and
- * one manifest for each sealed chunk. Calls grow with chunks, not with samples.
+ * The state of a step in the platform's key-value service: its owner, its specification and the manifests of
+ * its sealed chunks. The number of calls grows with chunks, not with samples.
  */
 import * as z from 'zod';
 import type { Result } from '@fuchsiahitch/base';
 import type { StepSpec } from './model.js';
 import { stepSpecSchema } from './model.js';
 
-/** Who owns a step. Each change of owner raises the epoch, which fences the former one. */
+/** The owner of a step. Each change of owner raises the epoch, which fences the former owner. */
 export const stepHeadSchema = z
   .strictObject({
     owner: z.string(),
     epoch: z.number().int().min(1),
     state: z.enum(['open', 'closed', 'abandoned']),
-    /** Groups that ended without samples, once the step is closed. */
+    /** Groups that ended without samples. Set when the step is closed. */
     failedGroups: z
       .array(z.strictObject({ group: z.number().int(), reason: z.string() }).readonly())
       .readonly(),
@@ -24,13 +24,13 @@
 const manifestEntrySchema = z.strictObject({ slot: z.number().int(), sampleId: z.string() }).readonly();
 export type ManifestEntry = z.infer<typeof manifestEntrySchema>;
 
-/** The samples of one chunk in one generation. A generation replaces the last one when samples went stale. */
+/** The samples of one generation of a chunk. A new generation replaces the last one if samples became stale. */
 export const manifestSchema = z
   .strictObject({ generation: z.number().int().min(1), entries: z.array(manifestEntrySchema).readonly() })
   .readonly();
 export type Manifest = z.infer<typeof manifestSchema>;
 
-/** All generations of a chunk: the trainer's receipt says which one it holds. */
+/** All generations of a chunk. The trainer's receipt names the one that it holds. */
 export const chunkSchema = z
   .strictObject({ chunk: z.number().int().min(0), generations: z.array(manifestSchema).min(1).readonly() })
   .readonly();
@@ -40,7 +40,7 @@
   .strictObject({ head: stepHeadSchema, spec: stepSpecSchema, chunks: z.array(chunkSchema).readonly() })
   .readonly();
 
-/** A step as it stands in the store. `headVersion` is what a fenced write compares with. */
+/** A stored step. Fenced writes compare against `headVersion`. */
 export interface StoredStep {
   readonly head: StepHead;
   readonly headVersion: number;
@@ -48,18 +48,18 @@
   readonly chunks: readonly Chunk[];
 }
 
-/** `fenced`: another host owns the step now. `unavailable`: nobody knows whether the write took effect. */
+/** `fenced`: another host owns the step. `unavailable`: the write may or may not have taken effect. */
 export type StepStoreError = 'fenced' | 'unavailable' | 'too-large';
 
-/** The store, as the owner of a step needs it. */
+/** The store operations that the owner of a step uses. */
 export interface StepStore {
   load(key: string): Promise<Result<StoredStep | undefined, StepStoreError>>;
-  /** Creates a step if it is absent; the version of its head. */
+  /** Creates a step if it is absent and returns the version of its head. */
   create(key: string, head: StepHead, spec: StepSpec): Promise<Result<number, StepStoreError>>;
-  /** Replaces the head if its version is still the given one; the new version. */
+  /** Replaces the head if its version is still the given one and returns the new version. */
   replaceHead(key: string, headVersion: number, head: StepHead): Promise<Result<number, StepStoreError>>;
   /** Writes a chunk if the head's version is still the given one. */
   writeChunk(key: string, headVersion: number, chunk: Chunk): Promise<Result<undefined, StepStoreError>>;
-  /** Ends a step: its chunks and prompts are removed, the head stays to answer late calls. */
+  /** Closes a step. Removes its chunks and prompts, and retains the head to answer late calls. */
   close(key: string, headVersion: number, head: StepHead): Promise<Result<undefined, StepStoreError>>;
 }
--- a/tests/golden.spec.ts
+++ b/tests/golden.spec.ts
@@ -1,5 +1,6 @@
 /**
- * Golden files of whole sessions, byte for byte. `npm run golden:update` rewrites them; read the difference.
+ * Compares complete sessions byte for byte with golden files. `npm run golden:update` rewrites the files; review
+ * their diff.
  */
 import fs from 'node:fs';
 import tap, { type Test } from 'tap';
@@ -10,7 +11,7 @@
 const FOLDER = 'tests/golden';
 const PATIENCE_MS = 200_000;
 
-/** What happened in a session, line by line, with the virtual time. */
+/** Records the events of a session, one per line, with the virtual time. */
 class Session {
   readonly fleet: SimFleet;
   readonly lines: string[] = [];
@@ -75,7 +76,7 @@
   t.equal(text, fs.readFileSync(file, 'utf8'));
 }
 
-await tap.test('should run a step with a swap in its middle as before', async t => {
+await tap.test('should reproduce a step with a swap in the middle', async t => {
   const session = await sessionOf(101);
   const { fleet } = session;
   const spec = specOf(6, 'long tail');
@@ -90,13 +91,13 @@
   await fleet.stop();
 });
 
-await tap.test('should run a step whose owner is lost as before', async t => {
+await tap.test('should reproduce a step that loses its owner', async t => {
   const session = await sessionOf(102);
   const { fleet } = session;
   const spec = specOf(6, 'night');
   const trainer = new SimTrainer(fleet, spec, false);
   await session.runStep(trainer, spec, async () => {
-    await fleet.until('a chunk', () => trainer.deliveries.length > 0);
+    await fleet.until('a chunk delivered', () => trainer.deliveries.length > 0);
     const owner = fleet.liveHosts().find(host => host.ready.steps.ownedCount() > 0);
     session.note(`killed: ${owner?.id ?? 'none'}`);
     owner?.process.kill();
@@ -105,7 +106,7 @@
   await fleet.stop();
 });
 
-await tap.test('should serve a cloud-night surge of rebookings over a step as before', async t => {
+await tap.test('should reproduce a surge of rebookings during a step', async t => {
   const session = await sessionOf(103);
   const { fleet } = session;
   const spec = specOf(8, 'long tail');
--- a/tests/knownRed.spec.ts
+++ b/tests/knownRed.spec.ts
@@ -1,5 +1,5 @@
 /**
- * The verdict of a test run: listed failures are passed over and printed, and nothing else is.
+ * The verdict of a test run: failures on the known-red list are tolerated and printed, all others fail the run.
  */
 import { execFileSync } from 'node:child_process';
 import fs from 'node:fs';
@@ -8,7 +8,7 @@
 
 const LISTED = 'orders.spec.ts: should wait | npm test -- orders, seed 7 | it does not wait | issue 9';
 
-/** One file whose tests end as given. */
+/** Returns the TAP output of one file with the given test lines. */
 function tapOf(file: string, ...tests: readonly string[]): string {
   const isFailed = tests.some(test => test.startsWith('not ok'));
   const lines = tests.map(test => `    ${test} # time=3ms`);
@@ -27,13 +27,13 @@
   return execFileSync(process.execPath, ['utils/testVerdict.mjs', file], { input: output, encoding: 'utf8' });
 }
 
-await tap.test('should pass over a listed failure, and print it', t => {
+await tap.test('should tolerate a listed failure, and print it', t => {
   const output = tapOf('orders.spec.js', 'ok 1 - should order', 'not ok 2 - should wait');
   t.equal(verdict(t, output, LISTED), `known red: ${LISTED}\n1 passed, 0 failed\n`);
   t.end();
 });
 
-await tap.test('should fail for a test that is not listed, also in the file of a listed one', t => {
+await tap.test('should fail for an unlisted test, also in the file of a listed one', t => {
   const output = tapOf('orders.spec.js', 'not ok 1 - should order', 'not ok 2 - should wait');
   t.match(verdict(t, output, LISTED), /^0 passed, 1 failed$/m);
   t.match(verdict(t, tapOf('rules.spec.js', 'not ok 1 - should wait'), LISTED), /^0 passed, 1 failed$/m);
@@ -46,19 +46,19 @@
   t.end();
 });
 
-await tap.test('should fail for a file that ends in the middle, also after a listed failure', t => {
+await tap.test('should fail for truncated output of a file, also after a listed failure', t => {
   const output = tapOf('orders.spec.js', 'not ok 1 - should wait').replace('    1..1\n', '');
   t.match(verdict(t, output, LISTED), /^0 passed, 1 failed$/m);
   t.end();
 });
 
-await tap.test('should say that a listed test did not fail', t => {
+await tap.test('should report a listed test that did not fail', t => {
   const output = tapOf('orders.spec.js', 'ok 1 - should wait');
   t.match(verdict(t, output, LISTED), /did not fail in this run/);
   t.end();
 });
 
-await tap.test('should refuse a list of four, and a line without its issue', t => {
+await tap.test('should refuse a list of four entries, and an entry without an issue', t => {
   t.throws(() => verdict(t, '', LISTED, LISTED, LISTED, LISTED));
   t.throws(() => verdict(t, '', 'orders.spec.ts: should wait | npm test | it does not wait'));
   t.end();
--- a/tests/rules.spec.ts
+++ b/tests/rules.spec.ts
@@ -1,5 +1,5 @@
 /**
- * Rules: decided by the first match, edited by many, in force everywhere, never going back.
+ * Rules: first-match evaluation, concurrent edits, distribution to all hosts, and revisions that never decrease.
  */
 import fc from 'fast-check';
 import tap from 'tap';
@@ -58,7 +58,7 @@
   return new RuleEvaluator(documentOf(...rules), new VirtualClock(), () => 0);
 }
 
-await tap.test('should let the first rule that matches decide', t => {
+await tap.test('should decide by the first matching rule', t => {
   const book = bookOf(
     rule('bots', { caller: ['bot'] }),
     rule('web', { caller: ['web', 'app'] }),
@@ -76,7 +76,7 @@
   t.end();
 });
 
-await tap.test('should decide as a plain walk through the list does', t => {
+await tap.test('should decide the same as a linear search', t => {
   const name = fc.constantFrom('a', 'b', 'c', 'd');
   const list = fc.option(fc.uniqueArray(name, { minLength: 1, maxLength: 3 }), { nil: undefined });
   const when = fc.record({ caller: list, house: list, pool: list, domain: list });
@@ -96,9 +96,8 @@
   t.end();
 });
 
-await tap.test('should keep a state condition from oscillating with a lagging load', async t => {
-  // Symptom: decisions flip at the period of the load reports. Sequence: load above the threshold sends traffic
-  // away, the late report shows it low, traffic returns. Cause: one threshold, and no least time between changes.
+await tap.test('should not oscillate a state condition with a delayed load signal', async t => {
+  // Guards against decisions that flip at the period of the load reports when traffic follows a delayed signal.
   const clock = new VirtualClock();
   let load = 0;
   const state = { signal: 'load', above: 0.8, clearBelow: 0.5, dwellMs: 5000 } as const;
@@ -116,10 +115,10 @@
     if (now !== last) changes += 1;
     last = now;
   }
-  t.equal(changes, 1, 'it began to hold once, and the dips to 0.6 do not clear it');
+  t.equal(changes, 1, 'the condition is set once, and dips to 0.6 do not clear it');
 });
 
-await tap.test('should name the line of each problem in a file', t => {
+await tap.test('should report the line of each problem in a file', t => {
   const text =
     'rules:\n  - id: ok\n    team: a\n    when: {}\n    then: { retries: 1 }\n  - id: Bad Id\n    team: a\n    when: { colour: [red] }\n    then: { retries: 9 }\n';
   const read = parseRuleFile(text);
@@ -133,7 +132,7 @@
   return t.end();
 });
 
-await tap.test('should find what rules of several teams do together', t => {
+await tap.test('should find conflicts between rules of several teams', t => {
   const kinds = (...rules: readonly Rule[]): readonly string[] =>
     checkRules(rules).map(finding => finding.kind);
   t.same(kinds(rule('all'), rule('late', { caller: ['a'] })), ['shadowed']);
@@ -151,11 +150,11 @@
   t.same(kinds(rule('closed', {}, { refuse: 'closed' })), ['refuses-customers']);
   t.same(kinds(rule('night', { hoursUtc: { from: 22, to: 4 } }), rule('day')), []);
   const before = [rule('closed', {}, { refuse: 'closed' })];
-  t.same(newErrors(before, [...before, rule('b')]), [], 'an old fault does not refuse a new edit');
+  t.same(newErrors(before, [...before, rule('b')]), [], 'an existing error does not refuse a new edit');
   t.end();
 });
 
-await tap.test('should replay an edit on top of others, and refuse one that touches theirs', t => {
+await tap.test('should rebase an edit onto other edits, and refuse one that conflicts with them', t => {
   const one = rule('one');
   const document = documentOf(one, rule('two'));
   const changed = applyEdit(document, {
@@ -180,7 +179,7 @@
   return t.end();
 });
 
-await tap.test('should plan edits that lead from any list to any other', t => {
+await tap.test('should plan edits that turn any list into any other', t => {
   const id = fc.constantFrom('a', 'b', 'c', 'd', 'e', 'f');
   const rules = fc
     .uniqueArray(fc.tuple(id, fc.integer({ min: 0, max: 2 })), { selector: ([name]) => name })
@@ -200,7 +199,7 @@
   t.end();
 });
 
-await tap.test('should show what a proposed list changes', t => {
+await tap.test('should report the decisions that a proposed list changes', t => {
   const before = documentOf(rule('all'));
   const after = documentOf(rule('web', { caller: ['web'] }, { retries: 0 }), rule('all'));
   const changes = simulate([FACTS, { ...FACTS, caller: 'x' }], before, after, new VirtualClock(), () => 0);
@@ -211,7 +210,7 @@
   t.end();
 });
 
-await tap.test('should never go back, whatever is offered', t => {
+await tap.test('should never decrease the revision', t => {
   const history = new RuleHistory();
   t.equal(history.offerDocument(documentOf(rule('a'), rule('b'))), 'taken');
   t.equal(history.offerDocument(documentOf(rule('a'))), 'old');
@@ -223,9 +222,8 @@
   t.end();
 });
 
-await tap.test('should keep the fleet within its calls after an outage', async t => {
-  // Symptom: the store sinks again the second it returns. Sequence: an outage; every host retries at once when
-  // it ends. Cause: each host counts for itself. 330 hosts share 600 calls a second here.
+await tap.test('should limit the call rate of the fleet after an outage', async t => {
+  // Guards against an overload of the store when all hosts retry at once. Here 330 hosts share 600 calls per second.
   const clock = new VirtualClock();
   const random = new SeededRandom(3);
   const hosts = Array.from({ length: 330 }, () => {
@@ -279,27 +277,26 @@
   return box;
 }
 
-await tap.test('should find out whether an edit was accepted when the answer is lost', async t => {
-  // Symptom: a team's edit stands twice, or undoes a later one. Sequence: the write takes effect, its answer is
-  // lost, the editor sends it again. Cause: the second attempt cannot tell that the first one counted.
+await tap.test('should determine whether an edit was accepted when the response is lost', async t => {
+  // Guards against a retry that applies an edit twice, or reverts a later one, after the first write took effect.
   const fleet = await fleetOf(1);
   fleet.store.loseAnswers = 1;
   const box = submit(fleet.host('tekapo-0'), add('lost', rule('once')));
-  await fleet.until('told', () => box.outcome !== undefined);
+  await fleet.until('outcome reported', () => box.outcome !== undefined);
   t.match(box.outcome, { kind: 'accepted', revision: 1 });
-  await fleet.until('in force', () => revisions(fleet).every(revision => revision === 1));
+  await fleet.until('active', () => revisions(fleet).every(revision => revision === 1));
   const again = submit(fleet.host('twizel-1'), add('lost', rule('once')));
-  await fleet.until('told again', () => again.outcome !== undefined);
+  await fleet.until('outcome of the retry reported', () => again.outcome !== undefined);
   t.match(again.outcome, { kind: 'accepted', revision: 1 });
   await fleet.stop();
 });
 
-await tap.test('should accept every edit of editors that race', async t => {
+await tap.test('should accept all concurrent edits', async t => {
   const fleet = await fleetOf(2);
   const boxes = [...fleet.hosts.values()].map((host, i) => submit(host, add(`race-${i}`, rule(`race-${i}`))));
-  await fleet.until('all told', () => boxes.every(box => box.outcome !== undefined));
+  await fleet.until('all outcomes reported', () => boxes.every(box => box.outcome !== undefined));
   t.ok(boxes.every(box => box.outcome?.kind === 'accepted'));
-  await fleet.until('in force', () => revisions(fleet).every(revision => revision === 4));
+  await fleet.until('active', () => revisions(fleet).every(revision => revision === 4));
   t.same(
     fleet
       .host('tekapo-0')
@@ -311,27 +308,27 @@
   await fleet.stop();
 });
 
-await tap.test('should be in force although the watches are silent', async t => {
-  // Symptom: one failure domain goes on with old rules. Sequence: the watch stays open and reports nothing.
-  // Cause: an open watch was taken for proof that nothing changed. Watchers also read, and pings tell revisions.
+await tap.test('should activate rules although watches report nothing', async t => {
+  // Guards against a failure domain that keeps old rules because an open watch reports no events. Watchers also
+  // read periodically, and pings carry revisions.
   const fleet = await fleetOf(3);
   fleet.store.areWatchesSilent = true;
   const box = submit(fleet.host('tekapo-0'), add('quiet', rule('quiet')));
-  await fleet.until('in force', () => revisions(fleet).every(revision => revision === 1), 11_000);
+  await fleet.until('active', () => revisions(fleet).every(revision => revision === 1), 11_000);
   t.match(box.outcome, { kind: 'accepted' });
   await fleet.stop();
 });
 
-await tap.test('should not be ready without rules in a domain that is cut off', async t => {
-  // Symptom: a host serves by empty rules. Sequence: it restarts in a domain that cannot reach the store.
-  // Cause: no rules were taken for no rule. It learns from its peers, and alone it is not ready.
+await tap.test('should not be ready without rules in a partitioned domain', async t => {
+  // Guards against a host that serves with empty rules after a restart without access to the store. It loads them
+  // from its peers, and reports that it is not ready if no peer has them.
   const fleet = await fleetOf(4);
   submit(fleet.host('tekapo-0'), add('kept', rule('kept')));
-  await fleet.until('in force', () => revisions(fleet).every(revision => revision === 1));
+  await fleet.until('active', () => revisions(fleet).every(revision => revision === 1));
   fleet.cutBetween(fleet.namesOf('tekapo'), ['store', 'list', ...fleet.namesOf('twizel')]);
   void fleet.startHost('tekapo', 'tekapo-1');
   const first = fleet.host('tekapo-1');
-  await fleet.until('ready by its peer', () => first.services?.status.isReady() === true);
+  await fleet.until('ready with the rules of its peer', () => first.services?.status.isReady() === true);
   t.equal(first.ready.rules.revision(), 1);
   void fleet.startHost('tekapo', 'tekapo-0');
   void fleet.startHost('tekapo', 'tekapo-1');
@@ -340,7 +337,7 @@
   t.same(
     both.map(host => host.services?.status.isReady() ?? false),
     [false, false],
-    'nobody left who knows',
+    'no host has the rules',
   );
   fleet.net.heal();
   await fleet.until('ready with the rules', () => both.every(host => host.services?.rules.revision() === 1));
@@ -351,16 +348,15 @@
   await fleet.stop();
 });
 
-await tap.test('should put back what a store restored from an older copy lost', async t => {
-  // Symptom: an accepted rule disappears days later. Sequence: the store is restored from a backup; hosts that
-  // restart read the older rules, and one accepts an edit on top. Cause: the store was believed over the hosts.
+await tap.test('should write back rules that a store restored from a backup lost', async t => {
+  // Guards against the loss of an accepted rule when hosts trust the restored store over their own newer revision.
   const fleet = await fleetOf(5);
   const first = submit(fleet.host('tekapo-0'), add('first', rule('first')));
   await fleet.until('first', () => first.outcome !== undefined);
   const saved = fleet.store.save();
   const second = submit(fleet.host('twizel-0'), add('second', rule('second')));
   await fleet.until(
-    'second in force',
+    'second active',
     () => second.outcome !== undefined && revisions(fleet).every(r => r === 2),
   );
   fleet.store.restore(saved);
@@ -398,7 +394,7 @@
 );
 type Step = typeof step extends fc.Arbitrary<infer S> ? S : never;
 
-/** Applies random steps, watching that no process's revision ever falls. */
+/** Applies random steps and checks that the revision of a process never decreases. */
 class RulesRun {
   readonly fleet: SimFleet;
   readonly sent: { readonly edit: Edit; readonly box: { outcome: EditOutcome | undefined } }[] = [];
@@ -452,7 +448,7 @@
   checkRevisions(): void {
     for (const host of this.fleet.liveHosts()) {
       const revision = host.ready.rules.revision();
-      if (revision < (this._highest.get(host) ?? 0)) throw new Error(`${host.id} went back to ${revision}`);
+      if (revision < (this._highest.get(host) ?? 0)) throw new Error(`${host.id} reverted to ${revision}`);
       this._highest.set(host, revision);
     }
   }
@@ -470,7 +466,7 @@
   }
 }
 
-/** Ends all faults, sends the undecided edits again, and returns the rules that all hosts agree on. */
+/** Clears all faults, resends undecided edits, and returns the rules that all hosts agree on. */
 async function converge(run: RulesRun): Promise<readonly Rule[]> {
   const { fleet, sent } = run;
   fleet.net.heal();
@@ -479,11 +475,11 @@
   await fleet.clock.advance(20_000);
   const undecided = sent.filter(({ box }) => box.outcome === undefined || box.outcome.kind === 'unknown');
   for (const { edit } of undecided) run.send('tekapo-0', edit);
-  await fleet.until('edits decided', () =>
+  await fleet.until('all edits decided', () =>
     sent.slice(-undecided.length).every(({ box }) => box.outcome !== undefined),
   );
   await fleet.until(
-    'all agree',
+    'all hosts agree',
     () => new Set(revisions(fleet)).size === 1 && fleet.liveHosts().length === 4,
     30_000,
   );
@@ -502,34 +498,38 @@
     const count = rules.filter(one => one.id === operation.rule.id).length;
     const expected = removed.has(operation.rule.id) ? 0 : 1;
     if (count !== expected)
-      throw new Error(`accepted rule ${operation.rule.id} stands ${count} times, not ${expected}`);
+      throw new Error(`accepted rule ${operation.rule.id} is present ${count} times, expected ${expected}`);
   }
 }
 
-await tap.test('should keep every accepted edit once under random faults', { timeout: 0 }, async t => {
-  let accepted = 0;
-  const property = fc.asyncProperty(
-    fc.integer({ min: 1, max: 1_000_000 }),
-    fc.array(fc.tuple(step, fc.constantFrom(0, 50, 400, 3000)), { minLength: 10, maxLength: 30 }),
-    async (seed, steps) => {
-      const run = new RulesRun(await fleetOf(seed));
-      for (const [one, waitMs] of steps) {
-        run.apply(one);
-        await run.fleet.clock.advance(waitMs);
+await tap.test(
+  'should apply every accepted edit exactly once under random faults',
+  { timeout: 0 },
+  async t => {
+    let accepted = 0;
+    const property = fc.asyncProperty(
+      fc.integer({ min: 1, max: 1_000_000 }),
+      fc.array(fc.tuple(step, fc.constantFrom(0, 50, 400, 3000)), { minLength: 10, maxLength: 30 }),
+      async (seed, steps) => {
+        const run = new RulesRun(await fleetOf(seed));
+        for (const [one, waitMs] of steps) {
+          run.apply(one);
+          await run.fleet.clock.advance(waitMs);
+          run.checkRevisions();
+        }
+        const rules = await converge(run);
         run.checkRevisions();
-      }
-      const rules = await converge(run);
-      run.checkRevisions();
-      checkAccepted(run, rules);
-      accepted += run.sent.filter(({ box }) => box.outcome?.kind === 'accepted').length;
-      await run.fleet.stop();
-    },
-  );
-  await fc.assert(property, fuzzRuns(25));
-  t.ok(accepted > 25, `${accepted} edits accepted`);
-});
+        checkAccepted(run, rules);
+        accepted += run.sent.filter(({ box }) => box.outcome?.kind === 'accepted').length;
+        await run.fleet.stop();
+      },
+    );
+    await fc.assert(property, fuzzRuns(25));
+    t.ok(accepted > 25, `${accepted} edits accepted`);
+  },
+);
 
-await tap.test('should begin with no rules', t => {
+await tap.test('should start with no rules', t => {
   t.equal(bookOf().decide(FACTS).ruleId, undefined);
   t.equal(EMPTY_DOCUMENT.revision, 0);
   t.end();
--- a/tests/stepMatrix.spec.ts
+++ b/tests/stepMatrix.spec.ts
@@ -1,7 +1,7 @@
 /**
- * The fault matrix of samples: every fault at every step of a sample's life. Each cell runs real hosts on a
- * virtual clock, causes the fault at the third time that a sample reaches the stage, and checks that every slot
- * was delivered once, with true provenance, in bound, scored once.
+ * Fault matrix of samples: every fault at every stage of a sample's life cycle. Each cell runs hosts on a virtual
+ * clock, injects the fault when a sample reaches the stage for the third time, and checks that every slot was
+ * delivered exactly once, with correct provenance, within its staleness bound, and scored once.
  */
 import tap from 'tap';
 import type { StepSpec } from '@fuchsiahitch/steps';
@@ -22,7 +22,7 @@
 ] as const;
 type Stage = (typeof STAGES)[number];
 
-/** What a fault may act on. */
+/** The objects that a fault acts on. */
 interface Scene {
   readonly fleet: SimFleet;
   readonly trainer: SimTrainer;
@@ -89,7 +89,7 @@
 type Fault = keyof typeof FAULTS;
 const FAULT_NAMES = Object.keys(FAULTS) as Fault[];
 
-/** Two faults at once, where each alone already moves the owner, the store or the samples. */
+/** Simultaneous faults, each of which affects the owner, the store or the samples by itself. */
 const PAIRS: readonly (readonly [Fault, Fault])[] = [
   ['entry host killed', 'store down'],
   ['entry host killed', "store's answer lost"],
@@ -147,28 +147,28 @@
   await fleet
     .until('step over', () => trainer.end !== undefined, PATIENCE_MS)
     .catch((thrown: unknown) => problems.push(String(thrown)));
-  if (caused.length === 0) problems.push('the fault was never caused');
+  if (caused.length === 0) problems.push('the fault was never injected');
   if (trainer.end?.kind !== 'over') problems.push(`the step ended as ${trainer.end?.kind ?? 'nothing'}`);
   problems.push(...brokenPromises(fleet, spec, trainer));
   await fleet.stop();
   return problems;
 }
 
-/** A trainer that tells what it holds needs no sealed chunks, so that stage does not occur for it. */
+/** A trainer that reports the slots that it holds needs no sealed chunks, so that stage does not occur. */
 function stagesFor(sendsHeld: boolean): readonly Stage[] {
   return sendsHeld ? STAGES.filter(stage => stage !== 'sealed') : STAGES;
 }
 
 tap.setTimeout(0);
 
-/** Runs only the cells whose name holds this text. */
+/** Runs only the cells whose name contains this text. */
 const only = process.env.CELL ?? '';
 for (const sendsHeld of [false, true]) {
-  const mode = sendsHeld ? 'tells what it holds' : 'merely asks again';
+  const mode = sendsHeld ? 'reports held slots' : 'retries without receipts';
   for (const fault of FAULT_NAMES) {
     if (!`${fault}/${mode}`.includes(only)) continue;
     await tap.test(
-      `should keep every promise with ${fault} at each stage, trainer ${mode}`,
+      `should preserve all delivery guarantees with ${fault} at each stage, trainer ${mode}`,
       { timeout: 0 },
       async t => {
         for (const stage of stagesFor(sendsHeld))
@@ -180,7 +180,12 @@
 
 for (const [first, second] of PAIRS) {
   if (!`${first}+${second}`.includes(only)) continue;
-  await tap.test(`should keep every promise with ${first} and ${second} at once`, { timeout: 0 }, async t => {
-    for (const stage of STAGES) t.same(await runCell([first, second], stage, false), [], `both at ${stage}`);
-  });
+  await tap.test(
+    `should preserve all delivery guarantees with ${first} and ${second} at once`,
+    { timeout: 0 },
+    async t => {
+      for (const stage of STAGES)
+        t.same(await runCell([first, second], stage, false), [], `both at ${stage}`);
+    },
+  );
 }
--- a/tests/steps.spec.ts
+++ b/tests/steps.spec.ts
@@ -1,5 +1,5 @@
 /**
- * The ledger, the provenance and the schedule by themselves.
+ * Unit tests of the step ledger, provenance and scheduling, and step runs on a simulated fleet.
  */
 import fc from 'fast-check';
 import tap from 'tap';
@@ -55,14 +55,13 @@
 }
 
 await tap.test('should count one of two hedged samples', async t => {
-  // Symptom: two samples for one slot. Sequence: a straggler is hedged, and both attempts finish. Cause: each was
-  // counted as it came.
+  // Guards against two samples for one slot when both a straggler and its hedge complete.
   const { clock, ledger } = ledgerOf(specOf(10, 1));
   const { assignments } = ledger.assign('w1', 10);
   const [slow, ...fast] = assignments;
   await clock.advance(100);
   for (const one of fast) ledger.sampleDone(sampleOf(one));
-  t.same(ledger.assign('w2', 5).assignments, [], 'not yet a straggler');
+  t.same(ledger.assign('w2', 5).assignments, [], 'not a straggler yet');
   await clock.advance(200);
   const [hedge] = ledger.assign('w2', 5).assignments;
   t.equal(hedge?.slot, slow?.slot);
@@ -72,7 +71,7 @@
   t.equal(ledger.readyGroups(1, 100).length, 10);
 });
 
-await tap.test('should give a batch that is not renewed to another worker', async t => {
+await tap.test('should reassign a batch that is not renewed', async t => {
   const { clock, ledger } = ledgerOf(specOf(2, 1));
   const kept = ledger.assign('w1', 1);
   const lost = ledger.assign('w2', 1);
@@ -86,8 +85,8 @@
   );
 });
 
-await tap.test('should end a poisoned prompt with a stated outcome', t => {
-  // Symptom: a step hangs on one prompt. Sequence: the engine rejects it each time. Cause: it was tried for ever.
+await tap.test('should fail the group of a poisoned prompt', t => {
+  // Guards against a step that never ends because a prompt that engines reject is retried without limit.
   const { ledger } = ledgerOf(specOf(2, 2));
   for (let i = 0; i < 40; i++) {
     for (const one of ledger.assign('w', 10).assignments) {
@@ -102,10 +101,10 @@
   t.end();
 });
 
-await tap.test('should not blame a prompt for one engine that ends, nor one that gives samples', t => {
+await tap.test('should not fail a prompt for one terminated engine, nor one that yields samples', t => {
   const { ledger } = ledgerOf(specOf(2, 8));
   for (const one of ledger.assign('w', 8).assignments) ledger.engineEnded(one.sampleId, 'engine-1');
-  t.same(ledger.failedGroups(), [], 'eight slots broke with one engine');
+  t.same(ledger.failedGroups(), [], 'eight slots failed with one engine');
   for (const engine of ['engine-2', 'engine-3', 'engine-4']) {
     const [made, broken] = ledger.assign('w', 2).assignments;
     if (!made || !broken) return t.end();
@@ -116,20 +115,20 @@
   return t.end();
 });
 
-await tap.test('should replace a sample that went stale, and not take it back', t => {
+await tap.test('should replace a stale sample, and refuse it when it is sent again', t => {
   const { ledger } = ledgerOf(specOf(1, 1));
   const [one] = ledger.assign('w', 1).assignments;
   if (!one) return t.end();
   ledger.sampleDone(sampleOf(one, 1));
-  t.equal(ledger.readyGroups(3, 10).length, 0, 'two versions behind, bound one');
-  t.equal(ledger.sampleDone(sampleOf(one, 1)), 'duplicate', 'the same message again');
+  t.equal(ledger.readyGroups(3, 10).length, 0, 'two versions behind, with a bound of one');
+  t.equal(ledger.sampleDone(sampleOf(one, 1)), 'duplicate', 'the same message is repeated');
   const [next] = ledger.assign('w', 1).assignments;
   if (next) ledger.sampleDone(sampleOf(next, 3));
   t.equal(ledger.readyGroups(3, 10).length, 1);
   return t.end();
 });
 
-await tap.test('should release a group whole', t => {
+await tap.test('should release only complete groups', t => {
   const { ledger } = ledgerOf(specOf(2, 3));
   const { assignments } = ledger.assign('w', 6);
   for (const one of assignments.slice(0, 5)) ledger.sampleDone(sampleOf(one));
@@ -139,7 +138,7 @@
   t.end();
 });
 
-await tap.test('should begin the longest first', t => {
+await tap.test('should assign the longest groups first', t => {
   const spec = specOf(3, 1);
   const groups = spec.groups.map((group, i) => ({ ...group, expectedTokens: [10, 500, 100][i] ?? 0 }));
   const { ledger } = ledgerOf({ ...spec, groups });
@@ -150,7 +149,7 @@
   t.end();
 });
 
-await tap.test('should hand over nothing whose provenance is not provable', t => {
+await tap.test('should refuse samples without provable provenance', t => {
   const missing = new SpanRecorder();
   missing.add(1, 2);
   missing.add(undefined, 1);
@@ -180,12 +179,12 @@
       3,
       { stalenessVersions: 1, stalenessMs: 1 },
     ),
-    'the oldest tokens count',
+    'staleness is that of the oldest tokens',
   );
   t.end();
 });
 
-await tap.test('should share by house, and gain nothing by splitting', t => {
+await tap.test('should share by house, regardless of its number of steps', t => {
   const schedule = new FairSchedule();
   const steps = [
     { key: 'a1', house: 'a', share: 0.5, deadlineInMs: 10 },
@@ -204,12 +203,12 @@
   t.equal(
     schedule.next(steps.slice(0, 3))?.key,
     'a2',
-    'the earliest deadline within a house; an idle house is passed over',
+    'the earliest deadline within a house; an idle house is skipped',
   );
   t.end();
 });
 
-await tap.test('should refuse a step that cannot be meant', t => {
+await tap.test('should refuse an invalid step specification', t => {
   t.notOk(stepSpecSchema.safeParse(specOf(0, 1)).success);
   t.notOk(stepSpecSchema.safeParse(specOf(8192, 256)).success, 'more samples than a step may have');
   t.notOk(stepSpecSchema.safeParse({ ...specOf(1, 1), trainer: 'Not A Name' }).success);
@@ -252,10 +251,10 @@
     }),
     fuzzRuns(300),
   );
-  t.pass('no slot twice');
+  t.pass('no slot was filled twice');
 });
 
-await tap.test('should end a step with a poisoned prompt on a whole deployment', async t => {
+await tap.test('should end a step with a poisoned prompt on a simulated deployment', async t => {
   const fleet = await SimFleet.start({
     seed: 4,
     domains: ['tekapo'],
@@ -272,10 +271,8 @@
   await fleet.stop();
 });
 
-await tap.test('should give up a prompt under which engines end', async t => {
-  // Symptom: the engines of all trainers restart every few seconds until a step's time is over. Sequence: a prompt ends the engine
-  // that begins to generate for it; each worker goes on elsewhere eight times, and the owner then gives the slot to another.
-  // Cause: a stream that breaks counts as the engine's fault, and an owner hears of no more than that an engine failed.
+await tap.test('should fail a prompt that terminates engines', async t => {
+  // Guards against a prompt that terminates one engine after another until the deadline of its step.
   const fleet = await SimFleet.start({
     seed: 6,
     domains: ['tekapo'],
@@ -288,14 +285,14 @@
   void trainer.run();
   await fleet.until('step over', () => trainer.end !== undefined, 100_000);
   t.match(trainer.end, { kind: 'over', failedGroups: [{ group: 1, reason: 'generation-failed' }] });
-  t.equal(trainer.deliveries.length, 4, 'the other groups are whole');
+  t.equal(trainer.deliveries.length, 4, 'the other groups are complete');
   const crashes = [...fleet.engines.values()].reduce((sum, engine) => sum + engine.crashes, 0);
-  // Three prove it, and the group's two samples run at the same time.
-  t.ok(crashes <= 4, `${crashes} engines ended`);
+  // Three terminations fail the group, and its two samples run concurrently.
+  t.ok(crashes <= 4, `${crashes} engines terminated`);
   await fleet.stop();
 });
 
-await tap.test('should replace what a new version made stale, in time', async t => {
+await tap.test('should replace samples that a new version made stale, before the deadline', async t => {
   const fleet = await SimFleet.start({
     seed: 5,
     domains: ['tekapo'],
