--- a/packages/membership/src/hostView.ts
+++ b/packages/membership/src/hostView.ts
@@ -96,8 +96,8 @@
       this._refute(update);
       return;
     }
-    const known = this._members.get(update.hostId);
-    if (known && !isNewer(update, known)) return;
+    const current = this._members.get(update.hostId);
+    if (current && !isNewer(update, current)) return;
     this._store(update);
   }
 
@@ -114,23 +114,23 @@
   }
 
   pingAnswered(hostId: string, incarnation: number): void {
-    const known = this._members.get(hostId);
-    if (!known) return;
-    if (incarnation !== known.incarnation) {
-      if (incarnation > known.incarnation)
-        this._store({ ...known, incarnation, refutation: 0, state: 'live' });
+    const current = this._members.get(hostId);
+    if (!current) return;
+    if (incarnation !== current.incarnation) {
+      if (incarnation > current.incarnation)
+        this._store({ ...current, incarnation, refutation: 0, state: 'live' });
       return;
     }
     // A direct answer overrides gossip. No update is sent, because the member refutes the suspicion itself.
-    if (known.state === 'suspect' || known.state === 'dead')
-      this._members.set(hostId, { ...known, state: 'live', sinceMs: this._clock.nowMs() });
+    if (current.state === 'suspect' || current.state === 'dead')
+      this._members.set(hostId, { ...current, state: 'live', sinceMs: this._clock.nowMs() });
   }
 
   /** Marks a member as suspect after direct and indirect pings were not answered. */
   pingFailed(hostId: string): void {
-    const known = this._members.get(hostId);
-    if (known && (known.state === 'live' || known.state === 'leaving'))
-      this._store({ ...known, state: 'suspect' });
+    const current = this._members.get(hostId);
+    if (current && (current.state === 'live' || current.state === 'leaving'))
+      this._store({ ...current, state: 'suspect' });
   }
 
   /** Marks expired suspects as dead and removes members that have been dead for long. */
@@ -203,8 +203,8 @@
   return { hostId, incarnation, refutation, state, address };
 }
 
-function isNewer(update: MemberUpdate, known: MemberUpdate): boolean {
-  if (update.incarnation !== known.incarnation) return update.incarnation > known.incarnation;
-  if (update.refutation !== known.refutation) return update.refutation > known.refutation;
-  return STATE_RANK[update.state] > STATE_RANK[known.state];
+function isNewer(update: MemberUpdate, current: MemberUpdate): boolean {
+  if (update.incarnation !== current.incarnation) return update.incarnation > current.incarnation;
+  if (update.refutation !== current.refutation) return update.refutation > current.refutation;
+  return STATE_RANK[update.state] > STATE_RANK[current.state];
 }
--- a/packages/rules/src/ruleEditor.ts
+++ b/packages/rules/src/ruleEditor.ts
@@ -58,9 +58,9 @@
     for (let i = 0; i < MAX_ATTEMPTS; i++) {
       const stored = await this.loadRepaired();
       if (!stored.ok) return loadFailure(mayBeWritten, stored.error);
-      const step = await this._attempt(stored.value, edit);
-      if (step === 'unknown') mayBeWritten = true;
-      else if (step !== 'again') return step;
+      const result = await this._attempt(stored.value, edit);
+      if (result === 'unknown') mayBeWritten = true;
+      else if (result !== 'again') return result;
     }
     return mayBeWritten ? { kind: 'unknown' } : { kind: 'not-accepted', reason: 'too-many-conflicts' };
   }
--- a/packages/rules/src/simulate.ts
+++ b/packages/rules/src/simulate.ts
@@ -20,12 +20,12 @@
   clock: Clock,
   signals: SignalReader,
 ): readonly DecisionChange[] {
-  const oldBook = new RuleEvaluator(before, clock, signals);
-  const newBook = new RuleEvaluator(after, clock, signals);
+  const oldEvaluator = new RuleEvaluator(before, clock, signals);
+  const newEvaluator = new RuleEvaluator(after, clock, signals);
   const changes: DecisionChange[] = [];
   for (const request of facts) {
-    const old = oldBook.decide(request);
-    const next = newBook.decide(request);
+    const old = oldEvaluator.decide(request);
+    const next = newEvaluator.decide(request);
     if (JSON.stringify(old.action) === JSON.stringify(next.action)) continue;
     changes.push({ facts: request, before: old.ruleId, after: next.ruleId });
   }
--- a/packages/steps/src/stepLedger.ts
+++ b/packages/steps/src/stepLedger.ts
@@ -83,7 +83,7 @@
  * The number of engine terminations after which the group of the prompt is abandoned. Prevents a prompt from
  * terminating all engines of the pool repeatedly until the step's deadline.
  */
-export const MAX_TERMINATED_ENGINES = 3;
+export const MAX_ENGINE_TERMINATIONS = 3;
 /** Failures of slots on the same engine within this time count as one termination. */
 const SAME_TERMINATION_MS = 1000;
 /** Hedging starts when no slot is open and at most this share of the slots is assigned. */
@@ -180,7 +180,7 @@
     return 'taken';
   }
 
-  /** Accepts a sample that a worker retained for a former owner. Its age is measured from the request for it. */
+  /** Accepts a sample that a worker retained for a former owner. `requestedMs`: when it was requested. */
   adopt(sample: Sample, requestedMs: number): void {
     const slot = this._slots[sample.slot];
     const known = this._attempts.get(sample.sampleId);
@@ -223,7 +223,7 @@
       terminations.count += 1;
     terminations.lastMs.set(engine, nowMs);
     this._engineTerminations.set(group, terminations);
-    if (terminations.count >= MAX_TERMINATED_ENGINES) this._failGroup(group);
+    if (terminations.count >= MAX_ENGINE_TERMINATIONS) this._failGroup(group);
     this.sampleFailed(sampleId, false);
   }
 
@@ -413,9 +413,9 @@
 
 function makeGroups(spec: StepSpec): readonly (readonly Slot[])[] {
   let index = 0;
-  return spec.groups.map((group, number) =>
+  return spec.groups.map((group, groupIndex) =>
     Array.from({ length: group.samples }, (): Slot => {
-      const slot: Slot = { index, group: number, state: { kind: 'open' }, attempts: [], failures: 0 };
+      const slot: Slot = { index, group: groupIndex, state: { kind: 'open' }, attempts: [], failures: 0 };
       index += 1;
       return slot;
     }),
--- a/packages/steps/src/stepOwner.ts
+++ b/packages/steps/src/stepOwner.ts
@@ -1,8 +1,8 @@
 /**
  * The owner of a step: answers the trainer's take calls so that each sample is delivered exactly once.
  *
- * What serialises deliveries depends on the trainer (docs/design/ledger.md). A trainer that sends the slots it
- * holds serialises them itself, without the store. For other trainers, the manifest of each chunk is sealed in the
+ * What serializes deliveries depends on the trainer (docs/design/ledger.md). A trainer that sends the slots it
+ * holds serializes them itself, without the store. For other trainers, the manifest of each chunk is sealed in the
  * store before hand-over, by a fenced write that only the current owner can make.
  */
 import { err, ok, type Clock, type Random, type Result } from '@fuchsiahitch/base';
@@ -56,7 +56,7 @@
     return this._head.epoch;
   }
 
-  /** Called when another host owns the step. */
+  /** Fences this owner, because another host owns the step. */
   fence(): void {
     this._isFenced = true;
   }
@@ -154,7 +154,7 @@
     if (!isLast) this._chunks.delete(chunk.chunk);
   }
 
-  /** Hands over any ready samples, because the trainer serialises deliveries by reporting the slots it holds. */
+  /** Hands over any ready samples, because the trainer serializes deliveries by reporting the slots it holds. */
   private _takeUnsealed(request: TakeRequest): TakeReply {
     const ready = this.ledger.readyGroups(request.trainerVersion, request.maxSamples);
     if (ready.length === 0) return this._noneReady();
--- a/tests/rules.spec.ts
+++ b/tests/rules.spec.ts
@@ -54,20 +54,20 @@
   return { revision: rules.length, rules, editIds: [] };
 }
 
-function bookOf(...rules: readonly Rule[]): RuleEvaluator {
+function evaluatorOf(...rules: readonly Rule[]): RuleEvaluator {
   return new RuleEvaluator(documentOf(...rules), new VirtualClock(), () => 0);
 }
 
 await tap.test('should decide by the first matching rule', t => {
-  const book = bookOf(
+  const evaluator = evaluatorOf(
     rule('bots', { caller: ['bot'] }),
     rule('web', { caller: ['web', 'app'] }),
     rule('all'),
   );
-  t.equal(book.decide(FACTS).ruleId, 'web');
-  t.equal(book.decide({ ...FACTS, caller: 'x' }).ruleId, 'all');
+  t.equal(evaluator.decide(FACTS).ruleId, 'web');
+  t.equal(evaluator.decide({ ...FACTS, caller: 'x' }).ruleId, 'all');
   t.same(
-    book.explain(FACTS).map(line => [line.ruleId, line.matched, line.failed]),
+    evaluator.explain(FACTS).map(line => [line.ruleId, line.matched, line.failed]),
     [
       ['bots', false, ['caller']],
       ['web', true, []],
@@ -89,7 +89,9 @@
     fc.property(fc.array(when, { maxLength: 80 }), facts, (conditions, some) => {
       const request = { ...FACTS, ...some };
       const rules = conditions.map((condition, i) => rule(`r${i}`, condition));
-      return bookOf(...rules).decide(request).ruleId === rules.find(one => accepts(one.when, request))?.id;
+      return (
+        evaluatorOf(...rules).decide(request).ruleId === rules.find(one => accepts(one.when, request))?.id
+      );
     }),
     fuzzRuns(300),
   );
@@ -101,17 +103,17 @@
   const clock = new VirtualClock();
   let load = 0;
   const state = { signal: 'load', above: 0.8, clearBelow: 0.5, dwellMs: 5000 } as const;
-  const book = new RuleEvaluator(
+  const evaluator = new RuleEvaluator(
     documentOf(rule('busy', { state }, { refuse: 'busy' }), rule('all')),
     clock,
     () => load,
   );
   let changes = 0;
-  let last = book.decide(FACTS).ruleId;
+  let last = evaluator.decide(FACTS).ruleId;
   for (let i = 0; i < 600; i++) {
     await clock.advance(100);
     load = i % 10 < 5 ? 0.9 : 0.6;
-    const now = book.decide(FACTS).ruleId;
+    const now = evaluator.decide(FACTS).ruleId;
     if (now !== last) changes += 1;
     last = now;
   }
@@ -282,7 +284,7 @@
   const fleet = await fleetOf(1);
   fleet.store.loseAnswers = 1;
   const box = submit(fleet.host('tekapo-0'), add('lost', rule('once')));
-  await fleet.until('outcome reported', () => box.outcome !== undefined);
+  await fleet.until('told', () => box.outcome !== undefined);
   t.match(box.outcome, { kind: 'accepted', revision: 1 });
   await fleet.until('active', () => revisions(fleet).every(revision => revision === 1));
   const again = submit(fleet.host('twizel-1'), add('lost', rule('once')));
@@ -530,7 +532,7 @@
 );
 
 await tap.test('should start with no rules', t => {
-  t.equal(bookOf().decide(FACTS).ruleId, undefined);
+  t.equal(evaluatorOf().decide(FACTS).ruleId, undefined);
   t.equal(EMPTY_DOCUMENT.revision, 0);
   t.end();
 });
--- a/tests/stepMatrix.spec.ts
+++ b/tests/stepMatrix.spec.ts
@@ -23,13 +23,13 @@
 type Stage = (typeof STAGES)[number];
 
 /** The objects that a fault acts on. */
-interface Scene {
+interface FaultContext {
   readonly fleet: SimFleet;
   readonly trainer: SimTrainer;
 }
 
 const OUTAGE_MS = 12_000;
-const PATIENCE_MS = 200_000;
+const STEP_TIMEOUT_MS = 200_000;
 const OCCURRENCE = 3;
 
 function ownerOf(fleet: SimFleet): SimHost {
@@ -85,7 +85,7 @@
   "scorer's answer lost": ({ fleet }) => {
     fleet.scorer.loseAnswers = 2;
   },
-} satisfies Record<string, (scene: Scene) => void>;
+} satisfies Record<string, (scene: FaultContext) => void>;
 type Fault = keyof typeof FAULTS;
 const FAULT_NAMES = Object.keys(FAULTS) as Fault[];
 
@@ -115,7 +115,7 @@
     maxTokens: 100,
     stalenessVersions: 1,
     stalenessMs: 30_000,
-    deadlineMs: PATIENCE_MS,
+    deadlineMs: STEP_TIMEOUT_MS,
   };
 }
 
@@ -133,21 +133,21 @@
   });
   const spec = specOf();
   const trainer = new SimTrainer(fleet, spec, sendsHeld);
-  let seen = 0;
-  const caused: Fault[] = [];
+  let occurrences = 0;
+  const injected: Fault[] = [];
   fleet.onStage = reached => {
-    if (reached !== stage || caused.length > 0) return;
-    seen += 1;
-    if (seen < OCCURRENCE && stage !== 'opened' && stage !== 'sealed') return;
-    caused.push(...faults);
+    if (reached !== stage || injected.length > 0) return;
+    occurrences += 1;
+    if (occurrences < OCCURRENCE && stage !== 'opened' && stage !== 'sealed') return;
+    injected.push(...faults);
     for (const fault of faults) FAULTS[fault]({ fleet, trainer });
   };
   void trainer.run();
   const problems: string[] = [];
   await fleet
-    .until('step over', () => trainer.end !== undefined, PATIENCE_MS)
+    .until('step over', () => trainer.end !== undefined, STEP_TIMEOUT_MS)
     .catch((thrown: unknown) => problems.push(String(thrown)));
-  if (caused.length === 0) problems.push('the fault was never injected');
+  if (injected.length === 0) problems.push('the fault was never injected');
   if (trainer.end?.kind !== 'over') problems.push(`the step ended as ${trainer.end?.kind ?? 'nothing'}`);
   problems.push(...brokenPromises(fleet, spec, trainer));
   await fleet.stop();
@@ -162,11 +162,11 @@
 tap.setTimeout(0);
 
 /** Runs only the cells whose name contains this text. */
-const only = process.env.CELL ?? '';
+const cellFilter = process.env.CELL ?? '';
 for (const sendsHeld of [false, true]) {
   const mode = sendsHeld ? 'reports held slots' : 'retries without receipts';
   for (const fault of FAULT_NAMES) {
-    if (!`${fault}/${mode}`.includes(only)) continue;
+    if (!`${fault}/${mode}`.includes(cellFilter)) continue;
     await tap.test(
       `should preserve all delivery guarantees with ${fault} at each stage, trainer ${mode}`,
       { timeout: 0 },
@@ -179,7 +179,7 @@
 }
 
 for (const [first, second] of PAIRS) {
-  if (!`${first}+${second}`.includes(only)) continue;
+  if (!`${first}+${second}`.includes(cellFilter)) continue;
   await tap.test(
     `should preserve all delivery guarantees with ${first} and ${second} at once`,
     { timeout: 0 },
--- a/tests/steps.spec.ts
+++ b/tests/steps.spec.ts
@@ -224,22 +224,22 @@
   await fc.assert(
     fc.asyncProperty(fc.array(event, { maxLength: 200 }), async events => {
       const { clock, ledger } = ledgerOf(specOf(4, 3));
-      const given: Assignment[] = [];
+      const assignments: Assignment[] = [];
       const delivered: number[] = [];
       let version = 1;
-      for (const { do: what, at } of events) {
-        const one = given[at % Math.max(1, given.length)];
-        if (what === 'assign') given.push(...ledger.assign(`w${at % 3}`, 1 + (at % 4)).assignments);
-        else if (what === 'version') version += at % 2;
-        else if (what === 'gone') ledger.workerLost(`w${at % 3}`);
-        else if (what === 'expire') {
+      for (const { do: action, at } of events) {
+        const one = assignments[at % Math.max(1, assignments.length)];
+        if (action === 'assign') assignments.push(...ledger.assign(`w${at % 3}`, 1 + (at % 4)).assignments);
+        else if (action === 'version') version += at % 2;
+        else if (action === 'gone') ledger.workerLost(`w${at % 3}`);
+        else if (action === 'expire') {
           await clock.advance(BATCH_LEASE_MS);
           ledger.expire();
-        } else if (what === 'take') {
+        } else if (action === 'take') {
           const slots = ledger.readyGroups(version, 6).map(({ sample }) => sample.slot);
           delivered.push(...slots);
           ledger.markDelivered(slots);
-        } else if (one && what === 'fail') ledger.sampleFailed(one.sampleId, false);
+        } else if (one && action === 'fail') ledger.sampleFailed(one.sampleId, false);
         else if (one) ledger.sampleDone(sampleOf(one, version));
       }
       const counts = ledger.counts();
