--- a/packages/base/src/afterPendingIo.ts
+++ b/packages/base/src/afterPendingIo.ts
@@ -8,12 +8,12 @@
 
 /** A timer that runs later than this indicates event loop lag. */
 const LATE_THRESHOLD_MS = 50;
-/** Additional wait after event loop lag: requests that were written late may not have been answered yet. */
+/** Additional wait after event loop lag, for answers to requests that were written late. */
 const GRACE_MS = 100;
 
 /**
- * Calls `decide` after `delayMs`, once pending I/O was read. If the event loop lags, waits for another `GRACE_MS`
- * and reads again. The returned function cancels the timer until `decide` is called.
+ * Calls `decide` after `delayMs`, once pending I/O was read. If the event loop lags, waits another `GRACE_MS` and
+ * reads again.
  */
 export function afterPendingIo(clock: Clock, delayMs: number, decide: () => void): CancelTimer {
   const dueMs = clock.nowMs() + delayMs;
--- a/packages/base/src/clock.ts
+++ b/packages/base/src/clock.ts
@@ -9,13 +9,12 @@
 export interface Clock {
   /** Monotonic time, for leases, deadlines and staleness. */
   nowMs(): number;
-  /** Wall time since the Unix epoch, for logs, user interfaces and rules that name a time of day. */
+  /** Wall time since the Unix epoch. */
   wallMs(): number;
   /** Calls `run` once after `delayMs`. The timer does not keep the process alive. */
   after(delayMs: number, run: () => void): CancelTimer;
 }
 
-/** The clock of the operating system. */
 export class SystemClock implements Clock {
   nowMs(): number {
     return performance.now();
@@ -62,7 +61,6 @@
     };
   }
 
-  /** Advances time by `durationMs` and runs the timers that become due. */
   async advance(durationMs: number): Promise<void> {
     const endMs = this._nowMs + durationMs;
     await settle();
@@ -76,8 +74,8 @@
   }
 
   /**
-   * Simulates an event loop that is blocked for `durationMs`. All timers that became due run late and before
-   * `read`, which handles the I/O that arrived meanwhile, as on a real event loop.
+   * Simulates an event loop that is blocked for `durationMs`. Timers that became due run late, and before `read`,
+   * which handles the I/O that arrived meanwhile.
    */
   async blockEventLoop(durationMs: number, read: () => void): Promise<void> {
     await settle();
@@ -89,7 +87,6 @@
   }
 }
 
-/** A binary min-heap of timers. */
 class TimerHeap {
   private readonly _items: PendingTimer[] = [];
 
@@ -158,7 +155,7 @@
       return;
     }
     const end = (): void => {
-      // The signal may live as long as the process, so each remaining listener would be a leak.
+      // The signal may live as long as the process, so a remaining listener would leak.
       signal?.removeEventListener('abort', end);
       cancel();
       resolve();
--- a/packages/base/src/deadline.ts
+++ b/packages/base/src/deadline.ts
@@ -1,7 +1,6 @@
-/** Deadlines, passed down every call so that no layer waits longer than its caller. */
+/** A deadline is passed down every call, so that no layer waits longer than its caller. */
 import type { Clock } from './clock.js';
 
-/** A point on the monotonic clock by which an operation must have completed. */
 export class Deadline {
   private readonly _clock: Clock;
   private readonly _atMs: number;
--- a/packages/base/src/hash.ts
+++ b/packages/base/src/hash.ts
@@ -1,6 +1,4 @@
-/**
- * Deterministic hashing: all hosts map keys to slots, and names to responsible hosts, alike.
- */
+/** Hashing that is identical on all hosts. */
 import { createHash } from 'node:crypto';
 import xxhash from 'xxhash-wasm';
 
@@ -17,8 +15,8 @@
 }
 
 /**
- * Returns a 128-bit digest of a list of parts, in hexadecimal. Collision-resistant: use it where a caller could
- * benefit from impersonating another.
+ * Returns a 128-bit digest of a list of parts, in hexadecimal. Use it where a caller could benefit from a
+ * collision.
  */
 export function strongDigest(parts: readonly (string | Uint8Array)[]): string {
   const hash = createHash('sha256');
--- a/packages/base/src/index.ts
+++ b/packages/base/src/index.ts
@@ -1,4 +1,3 @@
-/** Utilities shared by all packages. */
 export * from './afterPendingIo.js';
 export * from './clock.js';
 export * from './deadline.js';
--- a/packages/base/src/random.ts
+++ b/packages/base/src/random.ts
@@ -8,14 +8,12 @@
 export interface Random {
   /** Returns an integer from 0 (inclusive) to `limit` (exclusive). */
   below(limit: number): number;
-  /** Returns a random identifier. */
   id(): string;
 }
 
 const ID_BYTES = 12;
 const HEX_RADIX = 16;
 
-/** Unseeded randomness. */
 export class SystemRandom implements Random {
   below(limit: number): number {
     return Math.floor(Math.random() * limit);
@@ -26,7 +24,6 @@
   }
 }
 
-/** Seeded randomness for tests and benchmarks. */
 export class SeededRandom implements Random {
   private readonly _generator: ReturnType<typeof xoroshiro128plus>;
 
--- a/packages/base/src/result.ts
+++ b/packages/base/src/result.ts
@@ -27,7 +27,6 @@
   if (!condition) throw new Error(`invariant violated: ${text}`);
 }
 
-/** Returns the message of a thrown value, which may be any type. */
 export function messageOf(thrown: unknown): string {
   return thrown instanceof Error ? thrown.message : String(thrown);
 }
--- a/packages/base/src/settings.ts
+++ b/packages/base/src/settings.ts
@@ -6,22 +6,18 @@
 import * as z from 'zod';
 import { err, ok, type Result } from './result.js';
 
-/** A setting: its schema, its description for `--help` and its default. */
 export interface Setting<T = unknown> {
   readonly schema: z.ZodType<T>;
   readonly help: string;
   readonly fallback?: string;
 }
 
-/** The settings of a program, by flag name. */
 export type SettingTable = Readonly<Record<string, Setting>>;
 
-/** The validated values of a setting table. */
 export type SettingValues<T extends SettingTable> = {
   readonly [K in keyof T]: T[K] extends Setting<infer V> ? V : never;
 };
 
-/** The reason why a program exits instead of starting. */
 export type SettingsExit =
   | { readonly kind: 'help'; readonly text: string }
   | { readonly kind: 'version' }
@@ -32,7 +28,7 @@
   return `FUCHSIAHITCH_${flag.replaceAll('-', '_').toUpperCase()}`;
 }
 
-/** Reads and validates all settings. Reports all invalid settings, not only the first. */
+/** Reads and validates all settings. Reports all problems, not only the first. */
 export function readSettings<T extends SettingTable>(
   program: string,
   table: T,
@@ -89,7 +85,7 @@
   return [`usage: ${program} [flags]`, ...lines, '  --help', '  --version'].join('\n');
 }
 
-/** Prints the reason and exits: with 0 after help or version, with 2 after invalid settings. */
+/** Prints help, version or problems, and exits with 2 after problems, otherwise with 0. */
 export function exitWith(program: string, version: string, stop: SettingsExit): never {
   switch (stop.kind) {
     case 'help':
@@ -121,7 +117,6 @@
   .string()
   .regex(/^[a-z0-9][a-z0-9-]{0,62}$/, 'not a lower-case name of up to 63 characters');
 
-/** Splits `IP:port`. */
 export function splitAddress(address: string): { readonly ip: string; readonly port: number } {
   const [ip = '', port = '0'] = address.split(':');
   return { ip, port: Number(port) };
--- a/packages/membership/src/callBudget.ts
+++ b/packages/membership/src/callBudget.ts
@@ -1,14 +1,12 @@
 /**
- * Limits the calls of a host to its share of the rate that the platform's key-value service allows the fleet.
- *
- * Random pauses after failures prevent all hosts from overloading the service at once when it recovers.
+ * A token bucket that limits the calls of a host to its share of the rate that the platform's key-value service
+ * allows the fleet. Random pauses after failures prevent a load spike when the service recovers.
  */
 import type { Clock, Random } from '@fuchsiahitch/base';
 
 export interface CallBudgetOptions {
-  /** The allowed call rate of the fleet. */
   readonly fleetPerSecond: number;
-  /** The number of calls that may be made at once after an idle period. */
+  /** Calls that may be made at once after an idle period. */
   readonly burst: number;
   readonly basePauseMs: number;
   readonly maxPauseMs: number;
@@ -16,7 +14,6 @@
 
 const MS_PER_SECOND = 1000;
 
-/** A token bucket whose rate is the fleet's rate divided by the number of hosts. */
 export class CallBudget {
   private readonly _clock: Clock;
   private readonly _random: Random;
@@ -35,7 +32,6 @@
     this._refilledMs = clock.nowMs();
   }
 
-  /** Sets the number of hosts that share the rate. */
   setHosts(count: number): void {
     this._refill();
     this._hosts = Math.max(1, count);
@@ -56,7 +52,7 @@
     this._failures = 0;
   }
 
-  /** Starts a pause after a failed call: exponential backoff with full jitter. */
+  /** Exponential backoff with full jitter. */
   failed(): void {
     this._failures += 1;
     const ceilingMs = Math.min(this._options.maxPauseMs, this._options.basePauseMs * 2 ** this._failures);
--- a/packages/membership/src/hostView.ts
+++ b/packages/membership/src/hostView.ts
@@ -1,9 +1,9 @@
 /**
  * A host's view of the other hosts of its failure domain.
  *
- * Each host pings one peer per second in a shuffled round. Updates are piggybacked on pings and their answers,
- * so the traffic of a host does not grow with the domain. Views may disagree: they only guide the distribution of
- * work, and operations that must not happen twice are fenced by an epoch (docs/design/keys.md).
+ * Each host pings one peer per second in a shuffled round, with updates piggybacked, so that its traffic does not
+ * grow with the domain. Views may disagree: operations that must not happen twice are fenced by an epoch
+ * (docs/design/keys.md).
  */
 import type { Clock, Random } from '@fuchsiahitch/base';
 import * as z from 'zod';
@@ -12,8 +12,8 @@
 export type MemberState = (typeof memberStates)[number];
 
 /**
- * An update that is piggybacked on pings. `incarnation` identifies a process of the host. The host increments
- * `refutation` when it learns that it is considered suspect or dead.
+ * `incarnation` identifies a process of the host. The host increments `refutation` when it learns that it is
+ * considered suspect or dead.
  */
 export const memberUpdateSchema = z
   .strictObject({
@@ -26,17 +26,16 @@
   .readonly();
 export type MemberUpdate = z.infer<typeof memberUpdateSchema>;
 
-/** A member in the view of this host. */
 export interface Member extends MemberUpdate {
   readonly sinceMs: number;
 }
 
 /** A suspect that does not refute within this time is considered dead. */
 export const SUSPECT_TIMEOUT_MS = 3000;
-/** A dead member is removed after this time, which is long enough for every host to learn of its death. */
+/** Long enough for every host to receive the update first. */
 const REMOVE_DEAD_AFTER_MS = 120_000;
 const UPDATES_PER_MESSAGE = 6;
-/** The number of times that an update is sent, for each doubling of the domain's size. */
+/** How often an update is sent, for each doubling of the domain's size. */
 const SENDS_PER_DOUBLING = 3;
 
 const STATE_RANK: Readonly<Record<MemberState, number>> = { live: 0, leaving: 1, suspect: 2, dead: 3 };
@@ -59,12 +58,11 @@
     return this._self;
   }
 
-  /** Announces that this host is leaving. It continues to answer, but gets no new duties. */
+  /** A leaving host continues to answer, but gets no new duties. */
   leave(): void {
     this._self = { ...this._self, state: 'leaving', refutation: this._self.refutation + 1 };
   }
 
-  /** All members except this host. */
   members(): readonly Member[] {
     return [...this._members.values()];
   }
@@ -102,8 +100,8 @@
   }
 
   /**
-   * Returns the peer to ping next. Each peer is returned once per round, including dead peers until they are
-   * removed: after a partition heals, both sides consider each other dead, and only pings correct this.
+   * Returns the peer to ping next. Includes dead peers until they are removed: after a partition heals, both sides
+   * consider each other dead, and only pings correct this.
    */
   nextPing(): Member | undefined {
     for (;;) {
@@ -121,19 +119,19 @@
         this._store({ ...current, incarnation, refutation: 0, state: 'live' });
       return;
     }
-    // A direct answer overrides gossip. No update is sent, because the member refutes the suspicion itself.
+    // A direct answer overrides gossip. No update is sent: the member refutes the suspicion itself.
     if (current.state === 'suspect' || current.state === 'dead')
       this._members.set(hostId, { ...current, state: 'live', sinceMs: this._clock.nowMs() });
   }
 
-  /** Marks a member as suspect after direct and indirect pings were not answered. */
+  /** Called after direct and indirect pings were not answered. */
   pingFailed(hostId: string): void {
     const current = this._members.get(hostId);
     if (current && (current.state === 'live' || current.state === 'leaving'))
       this._store({ ...current, state: 'suspect' });
   }
 
-  /** Marks expired suspects as dead and removes members that have been dead for long. */
+  /** Marks expired suspects as dead and removes expired dead members. */
   tick(): void {
     const nowMs = this._clock.nowMs();
     for (const member of this._members.values()) {
@@ -144,7 +142,7 @@
     }
   }
 
-  /** The updates for the next message: always that of this host, then those that were sent least often. */
+  /** The updates for the next message: that of this host, then those that were sent least often. */
   updatesToSend(): readonly MemberUpdate[] {
     const pending = [...this._sendsLeft.entries()]
       .sort((a, b) => b[1] - a[1])
@@ -165,7 +163,7 @@
   }
 
   private _refute(update: MemberUpdate): void {
-    // A higher incarnation is from a previous process whose wall clock was ahead. Supersede it.
+    // The previous process had a higher incarnation because its wall clock was ahead. Supersede it.
     if (update.incarnation > this._self.incarnation) {
       this._self = { ...this._self, incarnation: update.incarnation + 1, refutation: 0 };
       return;
--- a/packages/membership/src/index.ts
+++ b/packages/membership/src/index.ts
@@ -1,4 +1,3 @@
-/** Views of hosts and endpoints, exchanged by gossip. */
 export * from './callBudget.js';
 export * from './hostView.js';
 export * from './leavingEvidence.js';
--- a/packages/membership/src/leavingEvidence.ts
+++ b/packages/membership/src/leavingEvidence.ts
@@ -1,13 +1,10 @@
 /**
- * Tracks which endpoints are leaving, from whichever source reports it first.
- *
- * The platform's list can lag or be unreachable, so answers of endpoints and notices of peers have equal weight.
- * Leaving is final for one start of an endpoint: a lagging list that still lists it as live does not revert it.
+ * Tracks which endpoints are leaving, from whichever source reports it first: the platform's list, answers of
+ * endpoints or notices of peers. Leaving is final for one start of an endpoint.
  */
 import type { Clock } from '@fuchsiahitch/base';
 import * as z from 'zod';
 
-/** A notice that peers forward: the endpoint and the start that is leaving. */
 export const leavingNoticeSchema = z.strictObject({ endpointId: z.string(), startId: z.string() }).readonly();
 export type LeavingNotice = z.infer<typeof leavingNoticeSchema>;
 
@@ -27,14 +24,14 @@
     this._clock = clock;
   }
 
-  /** Records a notice. Returns true if it is new, in which case it should be sent to peers immediately. */
+  /** Returns true if the notice is new and should be sent to peers immediately. */
   note(notice: LeavingNotice): boolean {
     if (this._leaving.get(notice.endpointId)?.startId === notice.startId) return false;
     this._leaving.set(notice.endpointId, { startId: notice.startId, sinceMs: this._clock.nowMs() });
     return true;
   }
 
-  /** Removes the notice of an endpoint that answered with a different start. */
+  /** Removes the notice of an endpoint that reports a different start. */
   observeStart(endpointId: string, startId: string): void {
     const seen = this._leaving.get(endpointId);
     if (seen && seen.startId !== startId) this._leaving.delete(endpointId);
@@ -44,7 +41,6 @@
     return this._leaving.has(endpointId);
   }
 
-  /** The notices that are still forwarded. */
   recent(): readonly LeavingNotice[] {
     const nowMs = this._clock.nowMs();
     return [...this._leaving.entries()]
--- a/packages/membership/src/memberDocument.ts
+++ b/packages/membership/src/memberDocument.ts
@@ -1,18 +1,14 @@
-/**
- * The platform's membership list of one failure domain. The list can lag and is only one of several sources.
- */
+/** The platform's membership list of one failure domain, which can lag. */
 import * as z from 'zod';
 
 const MAX_NAME_LENGTH = 63;
 const name = z.string().min(1).max(MAX_NAME_LENGTH);
 
-/** A host and the address at which peers call it. */
 export const hostEntrySchema = z
   .strictObject({ id: name, domain: name, peerAddress: z.string(), state: z.enum(['live', 'leaving']) })
   .readonly();
 export type HostEntry = z.infer<typeof hostEntrySchema>;
 
-/** Kinds of endpoints: an engine that generates, or a service. */
 export const endpointKinds = ['engine', 'service'] as const;
 
 export const endpointEntrySchema = z
--- a/packages/membership/src/watchRoles.ts
+++ b/packages/membership/src/watchRoles.ts
@@ -1,13 +1,13 @@
 /**
- * Selects the hosts of a failure domain that read from the platform on behalf of the others, so that calls
- * to the platform grow with the number of domains instead of hosts.
+ * Selects the hosts of a failure domain that read from the platform for the others, so that calls grow with the
+ * number of domains instead of hosts.
  */
 import { rendezvous } from '@fuchsiahitch/base';
 
 /** Two, so that one still receives every change while the other is being replaced. */
 export const WATCHERS_PER_DOMAIN = 2;
 
-/** The hosts that watch `topic`. While views differ, more hosts may watch, which only costs extra calls. */
+/** Returns the hosts that watch `topic`. While views differ, more hosts may watch, at the cost of extra calls. */
 export function watchersOf(topic: string, liveIds: readonly string[]): readonly string[] {
   return rendezvous(topic, liveIds).slice(0, WATCHERS_PER_DOMAIN);
 }
--- a/packages/rules/src/edit.ts
+++ b/packages/rules/src/edit.ts
@@ -9,7 +9,7 @@
   .strictObject({ before: z.string().optional(), after: z.string().optional() })
   .refine(value => !(value.before && value.after), 'name a rule to stand before or after, not both');
 
-/** `base` is the digest of the rule that the author edited. The operation is refused if the rule has changed since. */
+/** `base` is the digest of the rule that the author saw. The operation is refused if the rule has changed since. */
 export const operationSchema = z.discriminatedUnion('op', [
   z.strictObject({ op: z.literal('add'), rule: ruleSchema, place: place.readonly().optional() }),
   z.strictObject({ op: z.literal('replace'), rule: ruleSchema, base: z.string() }),
@@ -28,7 +28,6 @@
   .readonly();
 export type Edit = z.infer<typeof editSchema>;
 
-/** The reason why an edit cannot be applied to the current document. */
 export type EditRefusal =
   | { readonly kind: 'exists'; readonly ruleId: string; readonly current: Rule }
   | { readonly kind: 'missing'; readonly ruleId: string }
@@ -40,12 +39,10 @@
     }
   | { readonly kind: 'anchor-missing'; readonly anchor: string };
 
-/** Returns the digest that identifies a version of a rule. */
 export function ruleDigest(rule: Rule): string {
   return digest(JSON.stringify(rule));
 }
 
-/** True if the edit has already been applied to the document. */
 export function hasEdit(document: RuleDocument, editId: string): boolean {
   return document.editIds.includes(editId);
 }
--- a/packages/rules/src/index.ts
+++ b/packages/rules/src/index.ts
@@ -1,4 +1,3 @@
-/** Ordered rules: model, evaluation, edits and checks. */
 export * from './check.js';
 export * from './edit.js';
 export * from './model.js';
--- a/packages/rules/src/model.ts
+++ b/packages/rules/src/model.ts
@@ -1,8 +1,8 @@
 /**
  * The rules document: an ordered list of rules, of which the first match decides.
  *
- * Conditions are typed fields instead of an expression language. This makes it possible to prove that a rule
- * shadows another, and bounds the cost of a decision (docs/design/rules.md).
+ * Conditions are typed fields instead of an expression language, so that shadowed rules can be detected and the
+ * cost of a decision is bounded (docs/design/rules.md).
  */
 import * as z from 'zod';
 
@@ -12,7 +12,7 @@
 
 /** The minimum share of a pool's slots that is reserved for customer-facing requests. */
 export const CUSTOMER_RESERVE_FLOOR = 0.2;
-/** The maximum number of retries that a rule may allow. More would multiply the load when endpoints fail. */
+/** The maximum number of retries that a rule may allow. */
 export const MAX_RETRIES = 3;
 
 const name = z
@@ -22,11 +22,10 @@
 const names = z.array(name).min(1).max(100).readonly();
 const fraction = z.number().min(0).max(1);
 
-/** Kinds of requests: a generation for a customer, a call to a service, or a trainer's sample. */
+/** A generation for a customer, a call to a service, or a trainer's sample. */
 export const requestKinds = ['completion', 'service', 'sample'] as const;
 export type RequestKind = (typeof requestKinds)[number];
 
-/** The signals that a state condition can use. */
 export const signals = ['queue', 'load', 'swapping'] as const;
 export type Signal = (typeof signals)[number];
 
@@ -35,22 +34,20 @@
     signal: z.enum(signals),
     /** The condition is set when the signal is above this value. */
     above: z.number(),
-    /** The condition is cleared when the signal is below this value. Lower than `above`, to avoid oscillation. */
+    /** The condition is cleared when the signal is below this value. */
     clearBelow: z.number(),
-    /** The minimum time between two changes of the condition. */
     dwellMs: z.number().int().min(1000).default(5000),
   })
   .refine(state => state.clearBelow < state.above, 'clearBelow must be lower than above');
 
 const hour = z.number().int().min(0).max(24);
 
-/** How a request may be executed. A batch is a stored job of many generations that runs later. */
+/** A batch is a stored job of many generations that runs later. */
 export const runKinds = ['idempotent', 'non-idempotent', 'stream', 'batch'] as const;
 export type RunKind = (typeof runKinds)[number];
 
 const durationMs = z.number().min(0);
 
-/** The destination and limits of the requests that a rule matches. */
 export const routeSchema = z
   .strictObject({
     run: z.enum(runKinds),
@@ -61,9 +58,7 @@
       .readonly(),
     /** The maximum time that a request may wait, or 0 for no limit. */
     timeoutMs: durationMs,
-    /** The target latency. */
     targetMs: durationMs,
-    /** The maximum number of endpoints that a request is sent to. */
     maxAttempts: z.number().int().min(1),
     /** The urgency of the request. 0 is the most urgent. */
     rank: z.number().int().min(0),
@@ -73,15 +68,15 @@
     isResumable: z.boolean(),
     /** All tokens of a result must come from a single weight version. */
     isSingleVersion: z.boolean(),
-    /** For a batch: the time from submission until its results are due. */
+    /** For batches: the time from submission until the results are due. */
     dueMs: durationMs,
-    /** For a batch: the time from submission after which an item may be abandoned. */
+    /** For batches: the time from submission after which an item may be abandoned. */
     keepMs: durationMs,
   })
   .readonly();
 export type Route = z.infer<typeof routeSchema>;
 
-/** The conditions of a rule. All fields that are present must match. A list matches any of its values. */
+/** All fields that are present must match. A list matches any of its values. */
 export const conditionSchema = z
   .strictObject({
     kind: z.array(z.enum(requestKinds)).min(1).readonly().optional(),
@@ -91,7 +86,6 @@
     domain: names.optional(),
     priority: names.optional(),
     version: names.optional(),
-    /** The host name that a request was sent to. */
     host: z.array(z.string().min(1)).min(1).readonly().optional(),
     /** Prefixes of the request path. Each begins and ends with a slash. */
     pathPrefix: z
@@ -105,7 +99,7 @@
   .readonly();
 export type Condition = z.infer<typeof conditionSchema>;
 
-/** The action of a rule. Absent fields keep the defaults of the deployment. */
+/** Absent fields keep the defaults of the deployment. */
 export const actionSchema = z
   .strictObject({
     pool: name.optional(),
@@ -141,10 +135,10 @@
 
 export const ruleListSchema = z.array(ruleSchema).max(MAX_RULES).readonly();
 
-/** The number of identifiers of accepted edits that a document retains to detect retries. */
+/** Identifiers of accepted edits that a document retains to detect retries. */
 export const MAX_EDIT_IDS = 1024;
 
-/** The stored document. Every accepted edit increments `revision`. */
+/** Every accepted edit increments `revision`. */
 export const documentSchema = z
   .strictObject({
     revision: z.number().int().min(0),
@@ -156,7 +150,6 @@
 
 export const EMPTY_DOCUMENT: RuleDocument = { revision: 0, rules: [], editIds: [] };
 
-/** The properties of a request that conditions can match. */
 export interface RequestFacts {
   readonly kind: RequestKind;
   readonly caller: string;
--- a/packages/rules/src/prefixRules.ts
+++ b/packages/rules/src/prefixRules.ts
@@ -1,7 +1,5 @@
-/** Converts routes by host name and path to ordered rules. */
 import type { Route, Rule } from './model.js';
 
-/** The route of requests to a host name whose path begins with a prefix. */
 export interface PrefixRoute {
   readonly name: string;
   readonly host: string;
--- a/packages/rules/src/ruleEditor.ts
+++ b/packages/rules/src/ruleEditor.ts
@@ -1,5 +1,6 @@
 /**
- * Accepts concurrent edits by compare-and-swap on the store.
+ * Accepts concurrent edits by compare-and-swap on the store. Writes fail with `conflict` unless the head still has
+ * the given version.
  */
 import { err, type Result } from '@fuchsiahitch/base';
 import { newErrors, type Finding } from './check.js';
@@ -7,7 +8,7 @@
 import type { RuleDocument } from './model.js';
 import type { NumberedEdit } from './ruleHistory.js';
 
-/** The stored rules. The next write compares against `headVersion`. */
+/** Writes compare against `headVersion`. */
 export interface StoredRules {
   readonly document: RuleDocument;
   readonly headVersion: number;
@@ -23,13 +24,11 @@
 
 export interface RuleStore {
   load(): Promise<Result<StoredRules, RuleStoreError>>;
-  /** Writes an edit and the resulting document if the head still has the given version. */
   append(headVersion: number, document: RuleDocument, edit: Edit): Promise<Result<undefined, RuleStoreError>>;
-  /** Writes back a complete document if the head still has the given version. */
   restore(headVersion: number, document: RuleDocument): Promise<Result<undefined, RuleStoreError>>;
 }
 
-/** The outcome of an edit. To resolve `unknown`, submit the same edit again. */
+/** To resolve `unknown`, submit the same edit again. */
 export type EditOutcome =
   | { readonly kind: 'accepted'; readonly revision: number; readonly document: RuleDocument }
   | { readonly kind: 'refused'; readonly refusal: EditRefusal }
@@ -46,13 +45,13 @@
   private readonly _store: RuleStore;
   private readonly _activeDocument: () => RuleDocument;
 
-  /** `activeDocument`: returns the active document of this host, to detect a store that has an older revision. */
+  /** `activeDocument`: the active document of this host, to detect a store with an older revision. */
   constructor(store: RuleStore, activeDocument: () => RuleDocument) {
     this._store = store;
     this._activeDocument = activeDocument;
   }
 
-  /** Applies an edit exactly once, even if it is submitted repeatedly or responses are lost. */
+  /** Applies an edit exactly once, even if it is submitted repeatedly. */
   async submit(edit: Edit): Promise<EditOutcome> {
     let mayBeWritten = false;
     for (let i = 0; i < MAX_ATTEMPTS; i++) {
@@ -66,8 +65,8 @@
   }
 
   /**
-   * Reads the store. If the store was restored from a backup, first writes back the active document of this
-   * host, with the edits that the restored store accepted meanwhile.
+   * Reads the store. If it was restored from a backup, first writes back the active document of this host, with
+   * the edits that the restored store accepted meanwhile.
    */
   async loadRepaired(): Promise<Result<StoredRules, RuleStoreError>> {
     for (let i = 0; i < MAX_ATTEMPTS; i++) {
--- a/packages/rules/src/ruleEvaluator.ts
+++ b/packages/rules/src/ruleEvaluator.ts
@@ -1,16 +1,14 @@
-/** Evaluates the active rules for requests. */
 import type { Clock } from '@fuchsiahitch/base';
 import { StateCondition, type SignalReader } from './stateCondition.js';
 import type { Action, Condition, RequestFacts, Rule, RuleDocument } from './model.js';
 
-/** The rule that decided and the revision of its document. Passed along with a request, so that it is decided once. */
+/** Passed along with a request, so that it is decided only once. */
 export interface Decision {
   readonly revision: number;
   readonly ruleId: string | undefined;
   readonly action: Action;
 }
 
-/** Whether a rule matched a request, and the conditions that failed. */
 export interface Explanation {
   readonly ruleId: string;
   readonly matched: boolean;
@@ -22,7 +20,7 @@
 const WORD_BITS = 32;
 const NO_ACTION: Action = {};
 
-/** Maps the values of one field to bitmaps of the rules that accept them. Bit i represents rule i. */
+/** Maps the values of a field to bitmaps of the rules that accept them. */
 class FieldIndex {
   private readonly _rows = new Map<string, Uint32Array>();
   private readonly _unconstrained: Uint32Array;
@@ -52,7 +50,7 @@
   row[i >>> 5] = (row[i >>> 5] ?? 0) | (1 << (i & 31));
 }
 
-/** Evaluates a rules document. Indexed, so that a decision inspects only rules that can match. */
+/** Evaluates rules with an index, so that a decision inspects only rules that can match. */
 export class RuleEvaluator {
   readonly document: RuleDocument;
   private readonly _clock: Clock;
@@ -119,7 +117,6 @@
   }
 }
 
-/** True if the condition's list for the field is absent or contains the value. */
 function accepts(condition: Condition, field: Field, value: string): boolean {
   const list: readonly string[] | undefined = condition[field];
   return !list || list.includes(value);
@@ -132,7 +129,7 @@
 const HOUR_MS = 3_600_000;
 const HOURS_PER_DAY = 24;
 
-/** True if the time is within the hours. A range such as 22 to 4 spans midnight. */
+/** A range such as 22 to 4 spans midnight. */
 function isWithinHours(hours: { readonly from: number; readonly to: number }, wallMs: number): boolean {
   const hour = Math.floor(wallMs / HOUR_MS) % HOURS_PER_DAY;
   if (hours.from <= hours.to) return hour >= hours.from && hour < hours.to;
--- a/packages/rules/src/ruleFile.ts
+++ b/packages/rules/src/ruleFile.ts
@@ -1,18 +1,16 @@
-/**
- * The YAML format of rule files. Validation reports all problems, each with its line.
- */
+/** The YAML format of rule files. */
 import { err, ok, type Result } from '@fuchsiahitch/base';
 import { LineCounter, parseDocument, stringify } from 'yaml';
 import type * as z from 'zod';
 import { ruleListSchema, type Rule } from './model.js';
 
-/** One problem in a file. Line numbers start at 1. */
+/** Line numbers start at 1. */
 export interface FileProblem {
   readonly line: number;
   readonly text: string;
 }
 
-/** Parses a YAML file of the form `rules: [...]`. */
+/** Parses a YAML file of the form `rules: [...]`. Reports all problems, each with its line. */
 export function parseRuleFile(text: string): Result<readonly Rule[], readonly FileProblem[]> {
   const lines = new LineCounter();
   const document = parseDocument(text, { lineCounter: lines, uniqueKeys: true });
--- a/packages/rules/src/ruleHistory.ts
+++ b/packages/rules/src/ruleHistory.ts
@@ -1,13 +1,10 @@
 /**
- * The active rules of a host, whose revision never decreases.
- *
- * Watches can skip revisions, stores can be restored from backups, and peers can lag. A document is therefore
- * accepted only if its revision is higher, and an edit only if it is the next one.
+ * The active rules of a host, whose revision never decreases: a document is accepted only if its revision is
+ * higher, and an edit only if it is the next one.
  */
 import { applyEdit, type Edit } from './edit.js';
 import { EMPTY_DOCUMENT, type RuleDocument } from './model.js';
 
-/** An accepted edit with the revision that it produced. */
 export interface NumberedEdit {
   readonly revision: number;
   readonly edit: Edit;
@@ -42,7 +39,7 @@
     if (numbered.revision <= this._document.revision) return 'old';
     if (numbered.revision !== this._document.revision + 1) return 'gap';
     const applied = applyEdit(this._document, numbered.edit);
-    // The edit was accepted for this revision, so a refusal means that the document of this host differs.
+    // The edit was accepted for this revision, so a refusal means that this host's document differs.
     if (!applied.ok || applied.value.revision !== numbered.revision) return 'gap';
     this._document = applied.value;
     this._recent = [...this._recent, numbered].slice(-MAX_RECENT_EDITS);
--- a/packages/rules/src/simulate.ts
+++ b/packages/rules/src/simulate.ts
@@ -1,12 +1,9 @@
-/**
- * Evaluates a proposed list of rules against recorded requests and returns the decisions that would change.
- */
+/** Evaluates proposed rules against recorded requests and returns the decisions that would change. */
 import type { Clock } from '@fuchsiahitch/base';
 import type { RequestFacts, RuleDocument } from './model.js';
 import { RuleEvaluator } from './ruleEvaluator.js';
 import type { SignalReader } from './stateCondition.js';
 
-/** A recorded request whose decision would change, with the identifiers of the deciding rules. */
 export interface DecisionChange {
   readonly facts: RequestFacts;
   readonly before: string | undefined;
--- a/packages/rules/src/stateCondition.ts
+++ b/packages/rules/src/stateCondition.ts
@@ -1,13 +1,11 @@
 /**
  * State conditions with hysteresis.
  *
- * Load reports are delayed. Without damping, all hosts would move their traffic at once and move it back with
- * the next report. The gap between `above` and `clearBelow` and the minimum time between changes prevent this.
+ * Load reports are delayed, so that without hysteresis all hosts would move their traffic back and forth at once.
  */
 import type { Clock } from '@fuchsiahitch/base';
 import type { Signal } from './model.js';
 
-/** Returns the current value of a signal for a pool. */
 export type SignalReader = (signal: Signal, pool: string) => number;
 
 interface StateConditionSettings {
@@ -22,7 +20,7 @@
   readonly sinceMs: number;
 }
 
-/** A state condition, evaluated separately for each pool. */
+/** Evaluated separately for each pool. */
 export class StateCondition {
   private readonly _settings: StateConditionSettings;
   private readonly _clock: Clock;
--- a/packages/steps/src/fairSchedule.ts
+++ b/packages/steps/src/fairSchedule.ts
@@ -1,9 +1,6 @@
 /**
- * Selects the step that a worker serves next: stride scheduling between houses, earliest deadline first within
- * a house.
- *
- * Usage is charged to houses instead of steps or requests, so that splitting a step gains nothing. Idle houses
- * are skipped, and the others use their share of the engines.
+ * Selects the step that a worker serves next: stride scheduling between houses, earliest deadline first within a
+ * house. Usage is charged to houses, so that splitting a step gains nothing.
  */
 
 export interface SchedulableStep {
@@ -19,7 +16,6 @@
   private readonly _passes = new Map<string, number>();
   private _virtualTime = 0;
 
-  /** Returns the step to serve next, or undefined if there is none. */
   next<T extends SchedulableStep>(steps: readonly T[]): T | undefined {
     let best: T | undefined;
     for (const step of steps) {
@@ -34,7 +30,7 @@
     this._passes.set(house, this._passOf(house) + tokens / Math.max(MIN_SHARE, share));
   }
 
-  /** The pass of a house. An idle house resumes at the current virtual time and accumulates no credit. */
+  /** An idle house resumes at the current virtual time and accumulates no credit. */
   private _passOf(house: string): number {
     return Math.max(this._passes.get(house) ?? 0, this._virtualTime);
   }
--- a/packages/steps/src/index.ts
+++ b/packages/steps/src/index.ts
@@ -1,4 +1,3 @@
-/** Training steps: ledger, provenance, staleness and scheduling. */
 export * from './fairSchedule.js';
 export * from './model.js';
 export * from './provenance.js';
--- a/packages/steps/src/model.ts
+++ b/packages/steps/src/model.ts
@@ -1,6 +1,4 @@
 /**
- * Steps, groups, slots and samples.
- *
  * A step requests a number of samples for the prompt of each of its groups. A slot is one position in a group and
  * is filled by exactly one sample. Each attempt at a slot has its own sample identifier.
  */
@@ -21,12 +19,11 @@
   .strictObject({
     prompt: z.string().min(1).max(MAX_PROMPT_LENGTH),
     samples: z.number().int().min(1).max(MAX_SAMPLES_PER_GROUP),
-    /** The estimated length in tokens. Longer groups are started first. */
+    /** The estimated length of a sample. Longer groups are started first. */
     expectedTokens: z.number().int().min(0).default(0),
   })
   .readonly();
 
-/** A trainer's request for a step. */
 export const stepSpecSchema = z
   .strictObject({
     trainer: name,
@@ -35,11 +32,11 @@
     pool: name,
     groups: z.array(groupSpecSchema).min(1).max(MAX_GROUPS).readonly(),
     maxTokens: z.number().int().min(1).max(1_000_000),
-    /** The maximum number of weight versions by which a sample's oldest tokens may lag behind the trainer. */
+    /** The number of weight versions by which a sample's oldest tokens may lag behind the trainer. */
     stalenessVersions: z.number().int().min(0).max(1000),
     /** The maximum age of a sample since its generation was assigned. */
     stalenessMs: z.number().int().min(1000),
-    /** The time from the opening of the step until it ends. Groups that are incomplete by then are reported. */
+    /** The maximum duration of the step. Incomplete groups are reported as failed. */
     deadlineMs: z.number().int().min(1000),
   })
   .readonly()
@@ -59,7 +56,6 @@
   .readonly();
 export type Span = z.infer<typeof spanSchema>;
 
-/** A finished and scored sample. */
 export const sampleSchema = z
   .strictObject({
     sampleId: z.string(),
@@ -73,7 +69,6 @@
   .readonly();
 export type Sample = z.infer<typeof sampleSchema>;
 
-/** Returns the fleet-wide key of a step. */
 export function stepKey(trainer: string, step: number): string {
   return `${trainer}/${step}`;
 }
--- a/packages/steps/src/provenance.ts
+++ b/packages/steps/src/provenance.ts
@@ -1,21 +1,18 @@
 /**
- * Records which weight versions produced a sample.
- *
- * Uses only the versions in the engine's stream. The version that was ordered may be wrong, because a swap can
- * fail or complete in the middle of a sample, and training on a wrong version computes wrong probability ratios.
+ * Records which weight versions produced a sample. Uses only the versions in the engine's stream, because a swap
+ * that was ordered can fail or complete in the middle of a sample.
  */
 import { err, ok, type Result } from '@fuchsiahitch/base';
 import type { Span } from './model.js';
 
-/** The reason why a sample's provenance cannot be proven. Such a sample is not handed over. */
+/** Samples without provable provenance are not handed over. */
 export type ProvenanceError = 'no-version-on-a-chunk' | 'no-tokens' | 'token-count-differs';
 
-/** Records the spans of one sample across all engines that generated parts of it. */
+/** Records the spans of a sample across all engines that generated parts of it. */
 export class SpanRecorder {
   private readonly _spans: { version: number; tokens: number }[] = [];
   private _isProvable = true;
 
-  /** Adds the tokens of one stream chunk. */
   add(version: number | undefined, tokens: number): void {
     if (tokens === 0) return;
     if (version === undefined) {
--- a/packages/steps/src/staleness.ts
+++ b/packages/steps/src/staleness.ts
@@ -1,6 +1,6 @@
 /**
- * Decides whether a sample is fresh enough to be handed over. Evaluated at each hand-over against the version
- * in the trainer's call, because a sample that was fresh when sealed can be stale when it is fetched again.
+ * Staleness is checked at each hand-over against the version in the trainer's call, because a sample that was fresh
+ * when sealed can be stale when it is fetched again.
  */
 import type { Span } from './model.js';
 
--- a/packages/steps/src/stepLedger.ts
+++ b/packages/steps/src/stepLedger.ts
@@ -5,23 +5,20 @@
 import type { Sample, StepSpec } from './model.js';
 import { isFresh } from './staleness.js';
 
-/** An attempt at a slot that is assigned to a worker. */
 export interface Assignment {
   readonly slot: number;
   readonly sampleId: string;
   readonly prompt: string;
 }
 
-/** The slots that are assigned to a worker in one call. The worker renews them together. */
+/** Slots that are assigned in one call and renewed together. */
 export interface AssignmentBatch {
   readonly batch: number;
   readonly assignments: readonly Assignment[];
 }
 
-/** The result of reporting a sample. */
 export type SampleVerdict = 'taken' | 'duplicate' | 'unknown-attempt' | 'step-over';
 
-/** The reason why a slot is permanently without a sample. */
 export type SlotFailure = 'generation-failed' | 'deadline';
 
 interface Attempt {
@@ -30,7 +27,7 @@
   readonly worker: string;
   readonly batch: number;
   readonly assignedMs: number;
-  /** True once its sample was replaced, so that a repeated message does not restore it. */
+  /** Its sample was replaced. Repeated messages must not restore it. */
   isRetired: boolean;
 }
 
@@ -50,19 +47,17 @@
   failures: number;
 }
 
-/** The engines that terminated while generating for a prompt, each with the time of its last termination. */
 interface EngineTerminations {
   count: number;
   readonly lastMs: Map<string, number>;
 }
 
-/** A sample that is ready to be handed over, with the time from which its age is measured. */
+/** A sample that is ready to be handed over, and the time from which its age is measured. */
 export interface ReadySample {
   readonly sample: Sample;
   readonly ageStartMs: number;
 }
 
-/** The number of slots in each state. */
 export interface StepCounts {
   readonly open: number;
   readonly assigned: number;
@@ -73,22 +68,19 @@
 }
 
 /**
- * A batch that is not renewed for this long is reassigned. Covers lost replies to assignments, and workers in
- * other failure domains whose death is not observed.
+ * A batch that is not renewed for this long is reassigned. Covers lost replies, and failures of workers in other
+ * failure domains, which are not observed.
  */
 export const BATCH_LEASE_MS = 10_000;
-/** The number of failures caused by the prompt after which its slot is abandoned. */
+/** Failures caused by the prompt after which its slot is abandoned. */
 export const MAX_FAILURES_PER_SLOT = 4;
-/**
- * The number of engine terminations after which the group of the prompt is abandoned. Prevents a prompt from
- * terminating all engines of the pool repeatedly until the step's deadline.
- */
+/** Engine terminations after which the group of a prompt is abandoned, before it terminates the whole pool. */
 export const MAX_ENGINE_TERMINATIONS = 3;
-/** Failures of slots on the same engine within this time count as one termination. */
+/** Failures on the same engine within this time count as one termination. */
 const SAME_TERMINATION_MS = 1000;
-/** Hedging starts when no slot is open and at most this share of the slots is assigned. */
+/** Stragglers are hedged when at most this share of the slots is still assigned. */
 const HEDGE_TAIL_SHARE = 0.1;
-/** A slot is a straggler if its attempt takes longer than this multiple of the median duration. */
+/** A straggler takes longer than this multiple of the median duration. */
 const STRAGGLER_FACTOR = 2;
 const MIN_RECORDED_DURATIONS = 8;
 
@@ -103,7 +95,7 @@
   private readonly _queue: Slot[];
   private readonly _durationsMs: number[] = [];
   private readonly _renewedMs = new Map<number, number>();
-  /** By group: the engines that terminated under its prompt since its last completed sample. */
+  /** By group, since its last completed sample. */
   private readonly _engineTerminations = new Map<number, EngineTerminations>();
   private _lastBatch = 0;
   private _hedges = 0;
@@ -117,12 +109,12 @@
     this._hedgeShare = hedgeShare;
     this._groups = makeGroups(spec);
     this._slots = this._groups.flat();
-    // Longest expected first, because a long sample that is started last delays the step.
+    // The longest group is popped first, because a long sample that is started last delays the step.
     const expected = (slot: Slot): number => spec.groups[slot.group]?.expectedTokens ?? 0;
     this._queue = [...this._slots].sort((a, b) => expected(a) - expected(b) || b.index - a.index);
   }
 
-  /** Assigns up to `count` slots to a worker: open slots first, then hedges of other workers' stragglers. */
+  /** Assigns open slots first, then hedges other workers' stragglers. */
   assign(worker: string, count: number): AssignmentBatch {
     const batch = this._lastBatch + 1;
     const assignments: Assignment[] = [];
@@ -138,14 +130,13 @@
     return { batch, assignments };
   }
 
-  /** Renews the leases of batches. */
   renew(batches: readonly number[]): void {
     for (const batch of batches) {
       if (this._renewedMs.has(batch)) this._renewedMs.set(batch, this._clock.nowMs());
     }
   }
 
-  /** Drops the attempts of batches that were not renewed, so that their slots are reassigned. */
+  /** Reopens the slots of batches that were not renewed. */
   expire(): void {
     const nowMs = this._clock.nowMs();
     const expired = new Set<number>();
@@ -162,9 +153,8 @@
   }
 
   /**
-   * Accepts a finished sample of an attempt that this ledger assigned. The first sample of a slot counts, and
-   * later ones are dropped. The age is measured from the assignment on this host's clock, because a message can
-   * be delayed in a paused process, which makes the age that it carries too low.
+   * Accepts the first finished sample of a slot, and drops later ones. The age is measured from the assignment on
+   * this host's clock, because the age in a message that was delayed is too low.
    */
   sampleDone(sample: Sample): SampleVerdict {
     const attempt = this._attempts.get(sample.sampleId);
@@ -198,7 +188,7 @@
     this._fill(slot, sample, ageStartMs);
   }
 
-  /** Records a failed attempt. `isOwnFault`: the cause is the prompt, not the engine or the host. */
+  /** `isOwnFault`: the cause is the prompt, not the engine or the host. */
   sampleFailed(sampleId: string, isOwnFault: boolean): void {
     const failed = this._attempts.get(sampleId);
     if (!failed) return;
@@ -210,7 +200,7 @@
     else this._reopen(slot);
   }
 
-  /** Records that the attempt's engine terminated as it began to generate, possibly because of the prompt. */
+  /** Records that the engine terminated as it began to generate, possibly because of the prompt. */
   engineEnded(sampleId: string, engine: string): void {
     const group = this._attempts.get(sampleId)?.slot.group;
     if (group === undefined) return;
@@ -227,12 +217,12 @@
     this.sampleFailed(sampleId, false);
   }
 
-  /** Drops the attempts of a lost worker. If it returns, its samples are accepted unless the slot is filled. */
+  /** Reopens the slots of a worker. If it returns, its samples are accepted for slots that are not filled. */
   workerLost(worker: string): void {
     this._dropAttempts(attempt => attempt.worker === worker);
   }
 
-  /** Returns the samples of complete, fresh groups, up to `maxSamples`. Slots of stale samples are reopened. */
+  /** Returns the samples of complete groups, up to `maxSamples`. Reopens the slots of stale samples. */
   readyGroups(trainerVersion: number, maxSamples: number): readonly ReadySample[] {
     const picked: ReadySample[] = [];
     for (const group of this._groups) {
@@ -246,7 +236,6 @@
     return picked;
   }
 
-  /** True if the sample is ready and fresh. */
   isDeliverable(sampleId: string, trainerVersion: number): boolean {
     const ready = this.find(sampleId);
     return ready !== undefined && this._isFresh(ready, trainerVersion);
@@ -258,13 +247,12 @@
     return { sample: state.sample, ageStartMs: state.ageStartMs };
   }
 
-  /** Returns all slots of the group that contains the given slot. */
   groupOf(slot: number): readonly number[] {
     const group = this._slots[slot]?.group ?? -1;
     return (this._groups[group] ?? []).map(member => member.index);
   }
 
-  /** Marks slots that the trainer holds. They are never filled again. */
+  /** Delivered slots are never filled again. */
   markDelivered(slots: readonly number[]): void {
     for (const index of slots) {
       const slot = this._slots[index];
@@ -286,7 +274,7 @@
     if (slot && slot.state.kind !== 'delivered' && slot.state.kind !== 'failed') this._reopen(slot);
   }
 
-  /** Fails all slots that are neither ready nor delivered, because the step's deadline has passed. */
+  /** Fails all slots that are neither ready nor delivered. */
   endAtDeadline(): void {
     for (const slot of this._slots) {
       if (isUnfilled(slot) || slot.state.kind === 'sealed')
@@ -294,7 +282,6 @@
     }
   }
 
-  /** The groups that cannot be completed, with the reason. */
   failedGroups(): readonly { readonly group: number; readonly reason: SlotFailure }[] {
     const failed: { group: number; reason: SlotFailure }[] = [];
     for (const [group, slots] of this._groups.entries()) {
@@ -307,7 +294,6 @@
     return failed;
   }
 
-  /** True if every group is either delivered or failed. */
   isOver(): boolean {
     return this._groups.every(
       group =>
@@ -322,7 +308,7 @@
     return counts;
   }
 
-  /** The number of samples that were reported for slots that were already filled. */
+  /** The number of samples reported for filled slots. */
   duplicates(): number {
     return this._duplicates;
   }
@@ -387,7 +373,6 @@
     return slot;
   }
 
-  /** True if the slot's only attempt takes unusually long. */
   private _isStraggler(slot: Slot): boolean {
     const [attempt] = slot.attempts;
     if (!attempt || slot.attempts.length > 1 || this._durationsMs.length < MIN_RECORDED_DURATIONS)
--- a/packages/steps/src/stepMessages.ts
+++ b/packages/steps/src/stepMessages.ts
@@ -13,14 +13,13 @@
 export const takeRequestSchema = z
   .strictObject({
     key,
-    /** The number of chunks that the trainer has received completely. */
+    /** The number of complete chunks that the trainer holds. */
     cursor: count,
     /** The generation of the last chunk that the trainer holds, or 0 for none. */
     generation: count,
-    /** The trainer's current weight version. */
     trainerVersion: count,
     maxSamples: z.number().int().min(1).max(4096),
-    /** Slots that the trainer holds, as ranges [from, to). If present, hand-over does not need the store. */
+    /** Slots that the trainer holds, as ranges [from, to). If present, chunks are not sealed. */
     held: z
       .array(z.strictObject({ from: count, to: count }).readonly())
       .readonly()
@@ -40,7 +39,6 @@
   })
   .readonly();
 
-/** Reasons why no samples can be handed over yet. */
 export const waitReasons = ['generating', 'store-unavailable', 'owner-moving'] as const;
 
 export const takeReplySchema = z.discriminatedUnion('kind', [
@@ -82,7 +80,6 @@
   .strictObject({ known: z.boolean(), progress: progressSchema, hedges: count, duplicates: count })
   .readonly();
 
-/** Announces that a step has work. */
 export const stepOfferSchema = z
   .strictObject({
     key,
@@ -114,7 +111,7 @@
   })
   .readonly();
 
-/** Renews the batches that a worker still processes, so that they are not reassigned. */
+/** Renews the batches of a worker. */
 export const workAliveSchema = z
   .strictObject({ key, batches: z.array(count).max(4096).readonly() })
   .readonly();
@@ -124,7 +121,7 @@
   .strictObject({ verdict: z.enum(['taken', 'duplicate', 'unknown-attempt', 'step-over', 'unknown-step']) })
   .readonly();
 
-/** `endedEngine`: the engine that terminated when it began to generate, if that was the cause. */
+/** `endedEngine`: the engine that terminated as it began to generate. */
 export const sampleFailedSchema = z
   .strictObject({ key, sampleId: z.string(), isOwnFault: z.boolean(), endedEngine: z.string().optional() })
   .readonly();
@@ -135,7 +132,7 @@
   .strictObject({ samples: z.array(sampleSchema).readonly(), next: count, hasMore: z.boolean() })
   .readonly();
 
-/** Sent by an owner that generated a sample itself, to request that a peer fetch a second copy. */
+/** Requests that a peer fetch a second copy of samples that the owner generated itself. */
 export const sampleCopyRequestSchema = z.strictObject({ key }).readonly();
 
 export const emptySchema = z.strictObject({}).readonly();
--- a/packages/steps/src/stepOwner.ts
+++ b/packages/steps/src/stepOwner.ts
@@ -1,9 +1,8 @@
 /**
  * The owner of a step: answers the trainer's take calls so that each sample is delivered exactly once.
  *
- * What serializes deliveries depends on the trainer (docs/design/ledger.md). A trainer that sends the slots it
- * holds serializes them itself, without the store. For other trainers, the manifest of each chunk is sealed in the
- * store before hand-over, by a fenced write that only the current owner can make.
+ * A trainer that sends the slots it holds serializes deliveries itself, without the store. For other trainers, the
+ * manifest of each chunk is sealed by a fenced write before hand-over (docs/design/ledger.md).
  */
 import { err, ok, type Clock, type Random, type Result } from '@fuchsiahitch/base';
 import type { Sample, StepSpec } from './model.js';
@@ -19,7 +18,7 @@
   readonly hedgeShare: number;
 }
 
-/** How long a trainer waits before it retries if no samples are ready. */
+/** Sent to trainers if no samples are ready. */
 const RETRY_AFTER_MS = 200;
 const STORE_RETRY_AFTER_MS = 1000;
 
@@ -56,12 +55,11 @@
     return this._head.epoch;
   }
 
-  /** Fences this owner, because another host owns the step. */
   fence(): void {
     this._isFenced = true;
   }
 
-  /** True once another host owns the step. This object must then be discarded. */
+  /** True once another host owns the step. This object must then be dropped. */
   isFenced(): boolean {
     return this._isFenced;
   }
@@ -89,14 +87,13 @@
     if (this.deadlineInMs() <= 0) this.ledger.endAtDeadline();
   }
 
-  /** Answers a take call. The take calls of a step are processed sequentially. */
+  /** Take calls of a step are processed sequentially. */
   async take(request: TakeRequest): Promise<TakeReply> {
     const answer = this._lastTake.then(() => this._take(request));
     this._lastTake = answer.catch(() => undefined);
     return answer;
   }
 
-  /** Abandons the step on behalf of the trainer. */
   async abandon(): Promise<boolean> {
     return (await this._close('abandoned')).ok;
   }
@@ -131,7 +128,6 @@
     return this._storeFailed(closed.error);
   }
 
-  /** Marks the slots that the trainer holds according to the call. */
   private _recordReceipts(request: TakeRequest): void {
     for (const range of request.held ?? []) {
       this.ledger.markDelivered(
@@ -154,7 +150,7 @@
     if (!isLast) this._chunks.delete(chunk.chunk);
   }
 
-  /** Hands over any ready samples, because the trainer serializes deliveries by reporting the slots it holds. */
+  /** Hands over any ready samples, because the trainer reports the slots that it holds. */
   private _takeUnsealed(request: TakeRequest): TakeReply {
     const ready = this.ledger.readyGroups(request.trainerVersion, request.maxSamples);
     if (ready.length === 0) return this._noneReady();
@@ -195,7 +191,7 @@
       : this._waitReply('generating', RETRY_AFTER_MS);
   }
 
-  /** Returns the samples of the chunk's last generation if all are available and fresh for the trainer's version. */
+  /** Returns the samples of the chunk's last generation if all are available and fresh. */
   private _deliverableSamples(chunk: Chunk, request: TakeRequest): readonly ReadySample[] | undefined {
     const ready: ReadySample[] = [];
     for (const { sampleId } of chunk.generations.at(-1)?.entries ?? []) {
@@ -206,7 +202,7 @@
     return ready;
   }
 
-  /** Reopens the slots of sealed samples that are lost or stale. The other samples wait for their group. */
+  /** Reopens the slots of sealed samples that are lost or stale. */
   private _reopenStale(chunk: Chunk, trainerVersion: number): void {
     for (const { slot, sampleId } of chunk.generations.at(-1)?.entries ?? []) {
       if (!this.ledger.isDeliverable(sampleId, trainerVersion)) this.ledger.reopen(slot);
--- a/packages/steps/src/stepStore.ts
+++ b/packages/steps/src/stepStore.ts
@@ -1,13 +1,10 @@
-/**
- * The state of a step in the platform's key-value service: its owner, its specification and the manifests of
- * its sealed chunks. The number of calls grows with chunks, not with samples.
- */
+/** The state of a step in the platform's key-value service. Calls grow with chunks, not with samples. */
 import * as z from 'zod';
 import type { Result } from '@fuchsiahitch/base';
 import type { StepSpec } from './model.js';
 import { stepSpecSchema } from './model.js';
 
-/** The owner of a step. Each change of owner raises the epoch, which fences the former owner. */
+/** Each change of owner raises the epoch, which fences the former owner. */
 export const stepHeadSchema = z
   .strictObject({
     owner: z.string(),
@@ -24,7 +21,7 @@
 const manifestEntrySchema = z.strictObject({ slot: z.number().int(), sampleId: z.string() }).readonly();
 export type ManifestEntry = z.infer<typeof manifestEntrySchema>;
 
-/** The samples of one generation of a chunk. A new generation replaces the last one if samples became stale. */
+/** One generation of a chunk. A new generation replaces the last one if samples became stale. */
 export const manifestSchema = z
   .strictObject({ generation: z.number().int().min(1), entries: z.array(manifestEntrySchema).readonly() })
   .readonly();
@@ -40,7 +37,7 @@
   .strictObject({ head: stepHeadSchema, spec: stepSpecSchema, chunks: z.array(chunkSchema).readonly() })
   .readonly();
 
-/** A stored step. Fenced writes compare against `headVersion`. */
+/** Fenced writes compare against `headVersion`. */
 export interface StoredStep {
   readonly head: StepHead;
   readonly headVersion: number;
@@ -51,15 +48,14 @@
 /** `fenced`: another host owns the step. `unavailable`: the write may or may not have taken effect. */
 export type StepStoreError = 'fenced' | 'unavailable' | 'too-large';
 
-/** The store operations that the owner of a step uses. */
 export interface StepStore {
   load(key: string): Promise<Result<StoredStep | undefined, StepStoreError>>;
-  /** Creates a step if it is absent and returns the version of its head. */
+  /** Creates a step if it is absent. Returns the version of its head. */
   create(key: string, head: StepHead, spec: StepSpec): Promise<Result<number, StepStoreError>>;
-  /** Replaces the head if its version is still the given one and returns the new version. */
+  /** Replaces the head if its version is unchanged. Returns the new version. */
   replaceHead(key: string, headVersion: number, head: StepHead): Promise<Result<number, StepStoreError>>;
-  /** Writes a chunk if the head's version is still the given one. */
+  /** Writes a chunk if the version of the head is unchanged. */
   writeChunk(key: string, headVersion: number, chunk: Chunk): Promise<Result<undefined, StepStoreError>>;
-  /** Closes a step. Removes its chunks and prompts, and retains the head to answer late calls. */
+  /** Removes the chunks and prompts of a step. Retains the head to answer late calls. */
   close(key: string, headVersion: number, head: StepHead): Promise<Result<undefined, StepStoreError>>;
 }
--- a/tests/golden.spec.ts
+++ b/tests/golden.spec.ts
@@ -20,18 +20,18 @@
     this.fleet = fleet;
   }
 
-  record(text: string): void {
+  note(text: string): void {
     this.lines.push(`${String(Math.round(this.fleet.clock.nowMs())).padStart(7)} ms  ${text}`);
   }
 
   async runStep(trainer: SimTrainer, spec: StepSpec, during: () => Promise<void>): Promise<void> {
     this.fleet.onStage = stage => {
-      if (stage === 'opened' || stage === 'sealed' || stage === 'handed over') this.record(`step ${stage}`);
+      if (stage === 'opened' || stage === 'sealed' || stage === 'handed over') this.note(`step ${stage}`);
     };
     void trainer.run();
     await during();
     await this.fleet.until('step over', () => trainer.end !== undefined, STEP_TIMEOUT_MS);
-    this.record(`step ended: ${JSON.stringify(trainer.end)}`);
+    this.note(`step ended: ${JSON.stringify(trainer.end)}`);
     for (const { sample, trainerVersion } of trainer.deliveries) {
       const spans = sample.spans.map(span => `${span.tokens} of version ${span.version}`).join(', ');
       this.lines.push(`slot ${sample.slot}: ${spans}; trainer at ${trainerVersion}`);
@@ -83,7 +83,7 @@
   const trainer = new SimTrainer(fleet, spec, false);
   await session.runStep(trainer, spec, async () => {
     await fleet.clock.advance(700);
-    session.record('weights: version 2');
+    session.note('weights: version 2');
     trainer.version = 2;
     void fleet.host('twizel-0').ready.orders.setTarget('gen-pool', 2);
   });
@@ -99,7 +99,7 @@
   await session.runStep(trainer, spec, async () => {
     await fleet.until('a chunk delivered', () => trainer.deliveries.length > 0);
     const owner = fleet.liveHosts().find(host => host.ready.steps.ownedCount() > 0);
-    session.record(`killed: ${owner?.id ?? 'none'}`);
+    session.note(`killed: ${owner?.id ?? 'none'}`);
     owner?.process.kill();
   });
   compare(t, 'owner-lost', session);
@@ -142,7 +142,7 @@
   };
   await session.runStep(trainer, spec, async () => {
     await fleet.clock.advance(500);
-    session.record('60 rebookings, each sent twice');
+    session.note('60 rebookings, each sent twice');
     const hosts = [...fleet.hosts.values()];
     for (let i = 0; i < 120; i++) {
       const host = hosts[i % hosts.length];
@@ -150,8 +150,8 @@
       await fleet.clock.advance(5);
     }
     await fleet.until('all answered', () => answered === 120);
-    session.record(`outcomes: ${JSON.stringify([...outcomes])}`);
-    session.record(
+    session.note(`outcomes: ${JSON.stringify([...outcomes])}`);
+    session.note(
       `holds run more than once: ${[...fleet.services.runs.values()].filter(runs => runs > 1).length}`,
     );
   });
--- a/tests/rules.spec.ts
+++ b/tests/rules.spec.ts
@@ -54,12 +54,12 @@
   return { revision: rules.length, rules, editIds: [] };
 }
 
-function evaluatorOf(...rules: readonly Rule[]): RuleEvaluator {
+function ruleSet(...rules: readonly Rule[]): RuleEvaluator {
   return new RuleEvaluator(documentOf(...rules), new VirtualClock(), () => 0);
 }
 
 await tap.test('should decide by the first matching rule', t => {
-  const evaluator = evaluatorOf(
+  const evaluator = ruleSet(
     rule('bots', { caller: ['bot'] }),
     rule('web', { caller: ['web', 'app'] }),
     rule('all'),
@@ -89,9 +89,7 @@
     fc.property(fc.array(when, { maxLength: 80 }), facts, (conditions, some) => {
       const request = { ...FACTS, ...some };
       const rules = conditions.map((condition, i) => rule(`r${i}`, condition));
-      return (
-        evaluatorOf(...rules).decide(request).ruleId === rules.find(one => accepts(one.when, request))?.id
-      );
+      return ruleSet(...rules).decide(request).ruleId === rules.find(one => accepts(one.when, request))?.id;
     }),
     fuzzRuns(300),
   );
@@ -532,7 +530,7 @@
 );
 
 await tap.test('should start with no rules', t => {
-  t.equal(evaluatorOf().decide(FACTS).ruleId, undefined);
+  t.equal(ruleSet().decide(FACTS).ruleId, undefined);
   t.equal(EMPTY_DOCUMENT.revision, 0);
   t.end();
 });
