--- a/packages/base/src/hash.ts
+++ b/packages/base/src/hash.ts
@@ -34,7 +34,7 @@
  * is removed, only the names assigned to it move.
  */
 export function rendezvous(name: string, candidates: readonly string[]): readonly string[] {
-  const weighed = candidates.map(id => ({ id, weight: hasher.h32(`${name}\n${id}`) }));
-  weighed.sort((a, b) => b.weight - a.weight || (a.id < b.id ? -1 : 1));
-  return weighed.map(entry => entry.id);
+  const weighted = candidates.map(id => ({ id, weight: hasher.h32(`${name}\n${id}`) }));
+  weighted.sort((a, b) => b.weight - a.weight || (a.id < b.id ? -1 : 1));
+  return weighted.map(entry => entry.id);
 }
--- a/packages/base/src/settings.ts
+++ b/packages/base/src/settings.ts
@@ -35,14 +35,14 @@
   args: readonly string[],
   environment: Readonly<Record<string, string | undefined>>,
 ): Result<SettingValues<T>, SettingsExit> {
-  const given = parseFlags(table, args);
-  if (!given.ok) return err({ kind: 'wrong', problems: [given.error] });
-  if (given.value.help === true) return err({ kind: 'help', text: helpText(program, table) });
-  if (given.value.version === true) return err({ kind: 'version' });
+  const flags = parseFlags(table, args);
+  if (!flags.ok) return err({ kind: 'wrong', problems: [flags.error] });
+  if (flags.value.help === true) return err({ kind: 'help', text: helpText(program, table) });
+  if (flags.value.version === true) return err({ kind: 'version' });
   const problems: string[] = [];
   const values: Record<string, unknown> = {};
   for (const [flag, setting] of Object.entries(table)) {
-    const raw = given.value[flag] ?? environment[environmentVariableName(flag)] ?? setting.fallback;
+    const raw = flags.value[flag] ?? environment[environmentVariableName(flag)] ?? setting.fallback;
     const parsed = setting.schema.safeParse(raw);
     if (parsed.success) values[flag] = parsed.data;
     else problems.push(problemText(flag, raw, setting, parsed.error));
--- a/packages/steps/src/stepLedger.ts
+++ b/packages/steps/src/stepLedger.ts
@@ -173,9 +173,9 @@
   /** Accepts a sample that a worker retained for a former owner. `requestedMs`: when it was requested. */
   adopt(sample: Sample, requestedMs: number): void {
     const slot = this._slots[sample.slot];
-    const known = this._attempts.get(sample.sampleId);
+    const existing = this._attempts.get(sample.sampleId);
     const isSealedSample = slot?.state.kind === 'sealed' && slot.state.sampleIds.includes(sample.sampleId);
-    if (!slot || known || !(isUnfilled(slot) || isSealedSample)) return;
+    if (!slot || existing || !(isUnfilled(slot) || isSealedSample)) return;
     const ageStartMs = requestedMs - sample.ageMs;
     this._attempts.set(sample.sampleId, {
       sampleId: sample.sampleId,
