--- a/packages/batches/src/batchKeys.ts
+++ b/packages/batches/src/batchKeys.ts
@@ -8,8 +8,8 @@
 
 import { strongDigest } from '@fuchsiahitch/base';
 
-export const ROOT = 'fuchsiahitch/';
-export const CLAIMS = `${ROOT}own/`;
+export const KEY_ROOT = 'fuchsiahitch/';
+export const CLAIM_PREFIX = `${KEY_ROOT}own/`;
 
 const POSITION_DIGITS = 7;
 /** Steps of one model whose batches are named: a trainer has at most a few open. */
@@ -27,17 +27,17 @@
 }
 
 export function claimKey(batchId: string): string {
-  return `${CLAIMS}${batchId}`;
+  return `${CLAIM_PREFIX}${batchId}`;
 }
 
 /** The key that names the batch of a model's step. Keys are used again after a few steps, so that none is left behind. */
 export function stepKey(accountName: string | undefined, model: string, step: number): string {
-  return `${ROOT}step/${batchIdOf(accountName, model)}/${step % STEP_KEYS}`;
+  return `${KEY_ROOT}step/${batchIdOf(accountName, model)}/${step % STEP_KEYS}`;
 }
 
 /** The prefix of all parts of the batch as it was submitted. */
 export function partPrefix(batchId: string): string {
-  return `${ROOT}batch/${batchId}/part/`;
+  return `${KEY_ROOT}batch/${batchId}/part/`;
 }
 
 export function partKey(batchId: string, part: number): string {
@@ -46,7 +46,7 @@
 
 /** The prefix of all lists of results. Keys sort by position. */
 export function resultPrefix(batchId: string): string {
-  return `${ROOT}batch/${batchId}/result/`;
+  return `${KEY_ROOT}batch/${batchId}/result/`;
 }
 
 export function resultKey(batchId: string, position: number): string {
@@ -55,7 +55,7 @@
 
 /** The prefix of all records of what unfinished items have generated. */
 export function progressPrefix(batchId: string): string {
-  return `${ROOT}batch/${batchId}/progress/`;
+  return `${KEY_ROOT}batch/${batchId}/progress/`;
 }
 
 /** Keys sort by owner, the newest last, and then in the order in which an owner wrote them. */
@@ -65,7 +65,7 @@
 }
 
 /** The position at which a list of results begins. */
-export function positionOf(key: string): number {
+export function resultPositionOf(key: string): number {
   return Number(key.slice(-POSITION_DIGITS));
 }
 
--- a/packages/batches/src/batchLedger.ts
+++ b/packages/batches/src/batchLedger.ts
@@ -122,7 +122,7 @@
   }
 
   /** True if a group has all its results, and some of them have no confirmed position yet. */
-  hasUnlistedWholeGroup(): boolean {
+  hasUnlistedCompleteGroup(): boolean {
     const groups = new Set(this._unconfirmed.map(({ id }) => this._entries.get(id)?.item.group));
     for (const { item, state } of this._entries.values()) if (state !== 'finished') groups.delete(item.group);
     return groups.size > 0;
@@ -141,12 +141,12 @@
     const completed = new Set(this._unconfirmed.filter(isCompleted).map(({ id }) => id));
     return [...this._entries.values()]
       .filter(({ state, item }) => state !== 'finished' || completed.has(item.id))
-      .filter(({ progress }) => progress.lastEvent() > 0)
+      .filter(({ progress }) => progress.lastEventNumber() > 0)
       .map(toItemEvents);
   }
 
   /** Takes over what the step before has generated. Its groups go first. */
-  carry(before: CarryOver): void {
+  applyCarryOver(before: CarryOver): void {
     for (const result of before.results) {
       const entry = this._entries.get(result.id);
       if (entry?.state !== 'waiting') continue;
@@ -174,7 +174,7 @@
     }
     for (const [itemId, events] of wholeEvents) {
       const entry = this._entry(itemId);
-      if (entry.progress.lastEvent() === events) this._textWhole(entry);
+      if (entry.progress.lastEventNumber() === events) this._textWhole(entry);
     }
   }
 
@@ -190,12 +190,12 @@
   }
 
   /** An attempt begins: its number, from 1. */
-  begin(itemId: string): number {
+  beginAttempt(itemId: string): number {
     const entry = this._entry(itemId);
     invariant(entry.state === 'waiting', 'only a waiting item begins');
     entry.state = 'running';
     entry.attempts += 1;
-    entry.eventsAtBegin = entry.progress.lastEvent();
+    entry.eventsAtBegin = entry.progress.lastEventNumber();
     return entry.attempts;
   }
 
@@ -216,12 +216,12 @@
   }
 
   /** As `interrupted`, where the endpoint answered: its answer may speak against the text so far. */
-  contradicted(itemId: string): Interruption {
+  interruptedByEndpoint(itemId: string): Interruption {
     const entry = this._entry(itemId);
     this.interrupted(itemId);
-    const isFruitless = entry.progress.lastEvent() <= entry.eventsAtBegin;
+    const isFruitless = entry.progress.lastEventNumber() <= entry.eventsAtBegin;
     entry.fruitless = isFruitless ? entry.fruitless + 1 : 0;
-    const isTextDropped = entry.fruitless >= MAX_FRUITLESS && entry.progress.lastEvent() > 0;
+    const isTextDropped = entry.fruitless >= MAX_FRUITLESS && entry.progress.lastEventNumber() > 0;
     if (isTextDropped) entry.progress.clear();
     return { fruitless: entry.fruitless, isTextDropped };
   }
@@ -275,7 +275,7 @@
   }
 
   /** Gives up every item that is not finished: its time is up, or its route is gone. */
-  terminateRest(): void {
+  terminateUnfinished(): void {
     for (const entry of this._entries.values())
       if (entry.state !== 'finished') this._finish(entry, 'terminated');
   }
@@ -350,7 +350,7 @@
 
 /** An item that was begun goes before all that were not: its group has waited for it already. */
 function urgency(entry: Entry): number {
-  const isBegun = entry.attempts > 0 || entry.progress.lastEvent() > 0;
+  const isBegun = entry.attempts > 0 || entry.progress.lastEventNumber() > 0;
   return isBegun ? Infinity : entry.item.expectedTokens;
 }
 
--- a/packages/batches/src/carryOver.ts
+++ b/packages/batches/src/carryOver.ts
@@ -26,7 +26,7 @@
   readonly unfinished: readonly ItemEvents[];
 }
 
-export const NO_CARRY_OVER: CarryOver = { groups: new Set(), results: [], unfinished: [] };
+export const EMPTY_CARRY_OVER: CarryOver = { groups: new Set(), results: [], unfinished: [] };
 
 /** True if an item of the batch stood in the earlier one. */
 export function hasSharedItems(batch: Batch, earlier: Batch): boolean {
@@ -65,7 +65,7 @@
 }
 
 /** What two earlier steps leave. Where both have a text of an item, the newer one counts. */
-export function joinCarryOver(older: CarryOver, newer: CarryOver): CarryOver {
+export function mergeCarryOver(older: CarryOver, newer: CarryOver): CarryOver {
   return {
     groups: new Set([...older.groups, ...newer.groups]),
     results: [...newer.results, ...older.results],
--- a/packages/batches/src/endpointShares.ts
+++ b/packages/batches/src/endpointShares.ts
@@ -16,7 +16,7 @@
 export type ModelTargets = ReadonlyMap<string, number>;
 
 /** The endpoints of each model. Every endpoint stands with one model. */
-export function shareEndpoints(
+export function assignEndpoints(
   endpoints: readonly SharedEndpoint[],
   targets: ModelTargets,
 ): ReadonlyMap<string, readonly string[]> {
--- a/packages/batches/src/silence.ts
+++ b/packages/batches/src/idleTimeouts.ts
@@ -7,15 +7,15 @@
  * times: after the short one an item leaves for a free place, after the long one in any case.
  */
 
-export interface SilenceBounds {
+export interface IdleTimeouts {
   /** From here on an item leaves if a place is free elsewhere. */
   readonly suspectMs: number;
   /** From here on it leaves in any case. */
-  readonly giveUpMs: number;
+  readonly abandonMs: number;
 }
 
 /** Before the first event an item may wait behind the prompts of others: a whole batch takes some 150 ms to read. */
-const FIRST_EVENT: SilenceBounds = { suspectMs: 700, giveUpMs: 2500 };
+const FIRST_EVENT: IdleTimeouts = { suspectMs: 700, abandonMs: 2500 };
 const GIVE_UP_MS = 1200;
 /** Events come evenly, at 37 to 40 ms on engines that are well; so many are missed before the endpoint is suspect. */
 const MISSED_EVENTS = 8;
@@ -23,9 +23,9 @@
 const MIN_SUSPECT_MS = 350;
 
 /** `paceMs`: the time between two events at the endpoint, undefined before any was seen. */
-export function silenceBounds(hasEvents: boolean, paceMs: number | undefined): SilenceBounds {
+export function idleTimeouts(hasEvents: boolean, paceMs: number | undefined): IdleTimeouts {
   if (!hasEvents) return FIRST_EVENT;
-  if (paceMs === undefined) return { suspectMs: GIVE_UP_MS, giveUpMs: GIVE_UP_MS };
+  if (paceMs === undefined) return { suspectMs: GIVE_UP_MS, abandonMs: GIVE_UP_MS };
   const suspectMs = Math.min(GIVE_UP_MS, Math.max(MIN_SUSPECT_MS, MISSED_EVENTS * paceMs));
-  return { suspectMs, giveUpMs: GIVE_UP_MS };
+  return { suspectMs, abandonMs: GIVE_UP_MS };
 }
--- a/packages/batches/src/itemPlacement.ts
+++ b/packages/batches/src/itemPlacement.ts
@@ -71,7 +71,7 @@
 }
 
 /** Long items to the quickest endpoint, others to their group, or to the endpoint with the most room. */
-export class RoomiestPlacement implements PlacementPolicy {
+export class MostFreePlacement implements PlacementPolicy {
   choose(
     quick: readonly PlacementEndpoint[],
     together: PlacementEndpoint | undefined,
@@ -86,7 +86,7 @@
  * Every item to the quickest endpoint that has a place, of equals to its group's. Lengths are estimated badly: an item that turns
  * out to be among the longest then runs well already, where it would have to move.
  */
-export class QuickestPlacement implements PlacementPolicy {
+export class FastestPlacement implements PlacementPolicy {
   choose(
     quick: readonly PlacementEndpoint[],
     together: PlacementEndpoint | undefined,
@@ -113,7 +113,7 @@
   );
 }
 
-const DEFAULT_PLACEMENT: PlacementPolicy = new RoomiestPlacement();
+const DEFAULT_PLACEMENT: PlacementPolicy = new MostFreePlacement();
 
 /** True if an endpoint that is not slow exists: an item that waits for its place still ends sooner there. */
 function hasQuick(endpoints: readonly PlacementEndpoint[], medianMs: number | undefined): boolean {
--- a/packages/batches/src/itemProgress.ts
+++ b/packages/batches/src/itemProgress.ts
@@ -23,22 +23,22 @@
 /** What an event did. `restart`: the attempt must end, and the item begins anew. */
 export type EventEffect = 'added' | 'repeated' | 'gap' | 'restart';
 
-export interface VersionDemand {
+export interface VersionRequirement {
   readonly minVersion: number;
   readonly isSingleVersion: boolean;
 }
 
 export class ItemProgress {
-  private readonly _demand: VersionDemand;
+  private readonly _demand: VersionRequirement;
   private _events: GeneratedEvent[] = [];
   private _textNumber = 0;
 
-  constructor(demand: VersionDemand) {
+  constructor(demand: VersionRequirement) {
     this._demand = demand;
   }
 
   /** The number of the last whole event; 0 for none. */
-  lastEvent(): number {
+  lastEventNumber(): number {
     return this._events.length;
   }
 
--- a/packages/batches/src/listingPolicy.ts
+++ b/packages/batches/src/listingPolicy.ts
@@ -16,7 +16,7 @@
 const SELDOM_MS = 500;
 
 /** Every result soon. */
-export class ListSoon implements ListingPolicy {
+export class PromptListing implements ListingPolicy {
   intervalMs(ledger: BatchLedger): number {
     return ledger.isFinished() ? 0 : SOON_MS;
   }
@@ -26,10 +26,10 @@
  * Soon where a group has become whole, at once where it is the last that the trainer waits for, and seldom else: a trainer can use
  * a result only together with its group, and names its next version so much later.
  */
-export class ListWholeGroups implements ListingPolicy {
+export class CompleteGroupListing implements ListingPolicy {
   intervalMs(ledger: BatchLedger): number {
     if (ledger.isFinished()) return 0;
-    if (!ledger.hasUnlistedWholeGroup()) return SELDOM_MS;
+    if (!ledger.hasUnlistedCompleteGroup()) return SELDOM_MS;
     return ledger.hasWantedGroups() ? 0 : SOON_MS;
   }
 }
--- a/packages/batches/src/pace.ts
+++ b/packages/batches/src/pace.ts
@@ -20,19 +20,19 @@
   private _pauses = 0;
   private _meanMs = 0;
 
-  seen(pauseMs: number): void {
+  addInterval(pauseMs: number): void {
     this._pauses += 1;
     const weight = Math.max(NEWEST_WEIGHT, 1 / this._pauses);
     this._meanMs += weight * (pauseMs - this._meanMs);
   }
 
   /** Undefined before enough was seen. */
-  ms(): number | undefined {
+  estimateMs(): number | undefined {
     return this._pauses >= MIN_PAUSES ? this._meanMs : undefined;
   }
 
   /** As `ms`, from the first pause on: good enough to tell a silence of many events. */
-  roughMs(): number | undefined {
+  roughEstimateMs(): number | undefined {
     return this._pauses > 0 ? this._meanMs : undefined;
   }
 }
--- a/packages/batches/src/records.ts
+++ b/packages/batches/src/records.ts
@@ -24,10 +24,10 @@
 export type Claim = z.infer<typeof claimSchema>;
 
 /** An owner tells the other hosts of its claim: `revision` is that of the record. */
-export const claimNewsSchema = z
+export const claimUpdateSchema = z
   .strictObject({ batchId: z.string(), claim: claimSchema, revision: z.number().int().min(0) })
   .readonly();
-export type ClaimNews = z.infer<typeof claimNewsSchema>;
+export type ClaimUpdate = z.infer<typeof claimUpdateSchema>;
 
 const resultListSchema = z.array(itemResultSchema).readonly();
 
@@ -79,7 +79,7 @@
 }
 
 /** How many of the results fit one record, at least one. */
-export function countThatFits(results: readonly ItemResult[]): number {
+export function countFitting(results: readonly ItemResult[]): number {
   let units = 0;
   let count = 0;
   for (const result of results) {
--- a/packages/batches/src/retryPause.ts
+++ b/packages/batches/src/retryDelay.ts
@@ -15,13 +15,13 @@
 const TOLD_FROM = 5;
 
 /** The pause after so many tries in a row that brought nothing. */
-export function retryPauseMs(failures: number): number {
+export function retryDelayMs(failures: number): number {
   if (failures <= FREE_TRIES) return 0;
   return Math.min(MAX_PAUSE_MS, FIRST_PAUSE_MS * 2 ** (failures - FREE_TRIES - 1));
 }
 
 /** True if a row of that many tries without progress is worth a line in the log. */
-export function isWorthTelling(failures: number): boolean {
+export function shouldLogFailures(failures: number): boolean {
   const rows = failures / TOLD_FROM;
   return rows >= 1 && Number.isInteger(Math.log2(rows));
 }
--- a/packages/batches/src/keptEvents.ts
+++ b/packages/batches/src/storedEvents.ts
@@ -26,7 +26,7 @@
 
 const NOTHING_KEPT: Kept = { textNumber: 0, events: 0, isWhole: false };
 
-export class KeptEvents {
+export class StoredEvents {
   private readonly _ledger: BatchLedger;
   private readonly _kept = new Map<string, Kept>();
 
@@ -38,7 +38,7 @@
    * Events of items without a confirmed result that are not kept yet, as many as fit one record; empty when there are
    * none. `minEvents`: items with fewer are left out, unless their text is whole.
    */
-  missing(minEvents = MIN_EVENTS): readonly ItemEvents[] {
+  unstored(minEvents = MIN_EVENTS): readonly ItemEvents[] {
     const missing: ItemEvents[] = [];
     let unitsLeft = MAX_RECORD_UNITS;
     for (const unfinished of this._ledger.unfinished()) {
@@ -59,9 +59,9 @@
   }
 
   /** The events are kept now. `texts`: which text of each item they belong to, from before they were written. */
-  keep(kept: readonly ItemEvents[], texts: ReadonlyMap<string, number>): void {
+  markStored(kept: readonly ItemEvents[], textNumbers: ReadonlyMap<string, number>): void {
     for (const { itemId, events, wholeEvents } of kept) {
-      const textNumber = texts.get(itemId) ?? 0;
+      const textNumber = textNumbers.get(itemId) ?? 0;
       const last = events.at(-1)?.number ?? wholeEvents ?? 0;
       this._kept.set(itemId, { textNumber, events: last, isWhole: wholeEvents !== undefined });
     }
--- a/packages/entry/src/dispatcher.ts
+++ b/packages/entry/src/dispatcher.ts
@@ -7,7 +7,7 @@
   hasRoom,
   RequestQueue,
   type PickRequest,
-  type WaitClass,
+  type QueuePriority,
 } from '@fuchsiahitch/requests';
 import { CUSTOMER_RESERVE_FLOOR } from '@fuchsiahitch/rules';
 import type { CallableEndpoint, EndpointService } from './endpointService.js';
@@ -19,7 +19,7 @@
 
 /** What a request waits for. */
 export interface TurnRequest extends PickRequest {
-  readonly waitClass: WaitClass;
+  readonly waitClass: QueuePriority;
   readonly deadline: Deadline;
 }
 
@@ -65,7 +65,7 @@
     let room = 0;
     for (const endpoint of this._endpoints.pool(pool)) {
       if (endpoint.isLeaving || !endpoint.stats.isUsable()) continue;
-      const left = endpoint.limit.rolloutValue(reserve) - endpoint.stats.rolloutInFlight();
+      const left = endpoint.limit.rolloutLimit(reserve) - endpoint.stats.rolloutInFlight();
       if (left > 0 && hasRoom(endpoint, true, reserve)) room += left;
     }
     return room;
@@ -86,14 +86,14 @@
           return true;
         }
         endpoint.stats.began(request.isRollout);
-        endpoint.limit.used(endpoint.stats.inFlight());
+        endpoint.limit.recordUsage(endpoint.stats.inFlight());
         resolve({ kind: 'turn', endpoint });
         return true;
       };
       const queue = this._queue(request.pool);
       if (queue.size() === 0 && offer()) return;
       if (!request.isRollout) this._makeRoom(request);
-      const leave = queue.enter(request.waitClass, request.deadline, offer, reason =>
+      const leave = queue.enqueue(request.waitClass, request.deadline, offer, reason =>
         resolve({ kind: reason }),
       );
       signal.addEventListener('abort', () => {
@@ -153,7 +153,7 @@
   }
 
   private _serveQueue(queue: RequestQueue): void {
-    if (queue.size() > 0) queue.serve();
+    if (queue.size() > 0) queue.dispatch();
   }
 }
 
--- a/packages/entry/src/endpointService.ts
+++ b/packages/entry/src/endpointService.ts
@@ -85,8 +85,8 @@
     if (!endpoint) return;
     this._membership.leaving.sawStart(endpointId, report.startId);
     if (report.isLeaving) this._membership.noteLeaving({ endpointId, startId: report.startId });
-    endpoint.limit.reported(report.queued, report.inFlight);
-    endpoint.stats.reported({ ...report, version: String(report.version) });
+    endpoint.limit.onLoadReport(report.queued, report.inFlight);
+    endpoint.stats.onLoadReport({ ...report, version: String(report.version) });
     this._onRoom();
   }
 
--- a/packages/entry/src/keyService.ts
+++ b/packages/entry/src/keyService.ts
@@ -90,7 +90,7 @@
 
   private async _pull(address: string): Promise<void> {
     const reply = await this._peers.call(address, calls.slotMapPull, {}, STORE_TIMEOUT_MS);
-    if (reply.ok && reply.value.map) this.holder.learnMap(reply.value.map);
+    if (reply.ok && reply.value.map) this.holder.updateMap(reply.value.map);
   }
 
   /** Waits until what this host remembers of keys stands elsewhere, or the deadline. */
@@ -121,7 +121,7 @@
     return reply.ok ? reply.value : undefined;
   }
 
-  isProvenGone(holder: string): boolean {
+  isProvenTerminated(holder: string): boolean {
     if (this.holder.map()?.gone.includes(holder)) return true;
     const { hostId, incarnation } = splitHolder(holder);
     const known = hostId === this._context.hostId ? this._context.incarnation : this._incarnationOf(hostId);
@@ -206,7 +206,7 @@
     const key = `slots/${domain}`;
     const stored = await this._store.get(key, Deadline.after(clock, STORE_TIMEOUT_MS));
     if (!stored.ok) return;
-    if (stored.value) this.holder.learnMap(slotMapSchema.parse(JSON.parse(stored.value.value)));
+    if (stored.value) this.holder.updateMap(slotMapSchema.parse(JSON.parse(stored.value.value)));
     const plan = this._planFor(this.holder.map());
     if (!plan) return;
     const write = { kind: 'put', key, value: JSON.stringify(plan) } as const;
@@ -217,7 +217,7 @@
   }
 
   private _spread(map: SlotMap): void {
-    this.holder.learnMap(map);
+    this.holder.updateMap(map);
     this._context.log.info('slot map written', { revision: map.revision });
   }
 
--- a/packages/entry/src/ordersService.ts
+++ b/packages/entry/src/ordersService.ts
@@ -106,7 +106,7 @@
       const target = planner.target();
       if (!target) continue;
       const isDone = planner.isDone(this._swappable(pool));
-      lines.push({ target, isDone, aside: planner.setAside() });
+      lines.push({ target, isDone, aside: planner.excludedEndpoints() });
     }
     return lines;
   }
@@ -223,7 +223,7 @@
     const pools = [...this._planners].filter(([pool, planner]) => !planner.isDone(this._swappable(pool)));
     if (pools.length === 0) return;
     for (const [pool, planner] of pools) {
-      for (const endpointId of planner.toReadBack()) void this._readOne(endpointId);
+      for (const endpointId of planner.dueForReadBack()) void this._readOne(endpointId);
       const known = this._swappable(pool).filter(endpoint => this._isSurveyed(endpoint.id, token));
       for (const order of planner.next(known, token)) void this._give(planner, order);
     }
--- a/packages/entry/src/requestService.ts
+++ b/packages/entry/src/requestService.ts
@@ -14,9 +14,9 @@
   backoffMs,
   RequestRun,
   RetryBudget,
-  type KeptAnswer,
+  type StoredAnswer,
   type RequestOutcome,
-  type WaitClass,
+  type QueuePriority,
 } from '@fuchsiahitch/requests';
 import type { Decision, RequestFacts, RequestKind } from '@fuchsiahitch/rules';
 import { reserveOf, type Dispatcher, type Turn } from './dispatcher.js';
@@ -62,7 +62,7 @@
   readonly revision: number;
   readonly ruleId: string | undefined;
   /** A whole answer, of a service or kept for a resend. */
-  readonly answer: KeptAnswer | undefined;
+  readonly answer: StoredAnswer | undefined;
   readonly ruleText: string | undefined;
 }
 
@@ -175,7 +175,7 @@
         return result;
       }
       case 'answered':
-        return { outcome: run.endWithKept(claim.answer.status), answer: claim.answer };
+        return { outcome: run.endWithStoredAnswer(claim.answer.status), answer: claim.answer };
       case 'unknown':
         return { outcome: run.endUnknown(claim.reason), answer: undefined };
       case 'unreachable':
@@ -187,7 +187,7 @@
   }
 
   private async _runAttempts(work: RunningRequest, pool: string): Promise<RunResult> {
-    this._retries.requestBegan();
+    this._retries.requestStarted();
     const { run, request, deadline } = work;
     const leave = (): void => work.giveUp('caller-left');
     request.left.addEventListener('abort', leave);
@@ -288,7 +288,7 @@
       trace,
     };
     const onChunks = async (chunks: readonly GenerationChunk[]): Promise<void> => {
-      if (run.phase() === 'sent') run.answerBegan(attempt);
+      if (run.phase() === 'sent') run.answerStarted(attempt);
       if (run.phase() !== 'answering') return;
       for (const chunk of chunks) {
         work.text += chunk.text;
@@ -300,7 +300,7 @@
     this._freed(endpoint, end);
     switch (end.kind) {
       case 'done':
-        if (run.phase() === 'sent') run.answerBegan(attempt);
+        if (run.phase() === 'sent') run.answerStarted(attempt);
         run.answered(attempt, 200, false);
         this._context.metrics.tokens.inc({ kind: 'customer' }, end.tokens);
         return 'ended';
@@ -310,7 +310,7 @@
         return 'again';
       case 'failed':
         if (end.status >= SERVER_ERROR) return this._broken(work, attempt, true);
-        if (run.phase() === 'sent') run.answerBegan(attempt);
+        if (run.phase() === 'sent') run.answerStarted(attempt);
         run.answered(attempt, end.status, true);
         return 'ended';
       case 'broken':
@@ -331,7 +331,7 @@
     const { run } = work;
     const headers = { ...what.headers, ...(trace === undefined ? {} : { traceparent: trace }) };
     const call = { url: endpoint.url, method: what.method, path: what.path, headers, body: what.body };
-    const end = await this._services.call(call, () => run.answerBegan(attempt), work.signal);
+    const end = await this._services.call(call, () => run.answerStarted(attempt), work.signal);
     this._freed(endpoint, end);
     switch (end.kind) {
       case 'answered':
@@ -360,7 +360,7 @@
   }
 
   private _broken(work: RunningRequest, attempt: number, isRepeatable: boolean): AttemptEnd {
-    if (isRepeatable && work.run.brokenRepeatable(attempt)) return 'again-after-pause';
+    if (isRepeatable && work.run.brokenRetryable(attempt)) return 'again-after-pause';
     work.run.broken(attempt);
     return 'ended';
   }
@@ -396,7 +396,7 @@
 
 interface RunResult {
   readonly outcome: RequestOutcome;
-  readonly answer: KeptAnswer | undefined;
+  readonly answer: StoredAnswer | undefined;
 }
 
 /** A request with all that changes while it runs. */
@@ -409,7 +409,7 @@
   attempts = 0;
   text = '';
   tokens = 0;
-  answer: KeptAnswer | undefined;
+  answer: StoredAnswer | undefined;
   private readonly _stop = new AbortController();
 
   constructor(request: CallerRequest, decision: Decision, run: RequestRun, deadline: Deadline) {
@@ -425,12 +425,12 @@
 
   /** Ends the request in its state machine first, then stops whatever is under way for it. */
   giveUp(cause: 'deadline' | 'caller-left'): void {
-    this.run.giveUp(cause);
+    this.run.abandon(cause);
     this._stop.abort();
   }
 }
 
-function waitClassOf(priority: 'high' | 'normal' | 'low'): WaitClass {
+function waitClassOf(priority: 'high' | 'normal' | 'low'): QueuePriority {
   if (priority === 'high') return 'customer-high';
   return priority === 'normal' ? 'customer' : 'customer-low';
 }
--- a/packages/gateway/src/batchOwner.ts
+++ b/packages/gateway/src/batchOwner.ts
@@ -277,7 +277,7 @@
   }
 
   private async _run(item: BatchItem, endpoint: Endpoint): Promise<void> {
-    const number = this.ledger.begin(item.id);
+    const number = this.ledger.beginAttempt(item.id);
     // Where an endpoint has ended under an item, those of its group that follow it break with the next one.
     if (!this._suspects.has(item)) this._placer.began(item, endpoint);
     const mayLeave = (asking: ItemAttempt): boolean =>
@@ -333,7 +333,7 @@
 
   /** The endpoint answered with weights that don't fit: another is asked, and in the end the item begins anew. */
   private _contradicted(item: BatchItem): void {
-    const { fruitless, isTextDropped } = this.ledger.contradicted(item.id);
+    const { fruitless, isTextDropped } = this.ledger.interruptedByEndpoint(item.id);
     this._pauses.contradicted(item.id, fruitless, isTextDropped);
   }
 
@@ -354,7 +354,7 @@
       if (this._isStopped || this.ledger.isDone()) return;
       this._context.log.warn('batch expired', { batchId: this.batchId, keepMs: route.keepMs });
       for (const attempt of this._attempts.values()) attempt.stop();
-      this.ledger.terminateRest();
+      this.ledger.terminateUnfinished();
       this._lister.list();
     });
   }
@@ -379,7 +379,7 @@
       end: end.kind,
       reason: reasonOf(end),
       status: 'status' in end ? end.status : undefined,
-      events: this.ledger.progress(item.id).lastEvent(),
+      events: this.ledger.progress(item.id).lastEventNumber(),
       tookMs: Math.round(tookMs),
       paceMs: Math.round(endpoint.paceMs() ?? 0),
       claimRevision,
--- a/packages/gateway/src/batchService.ts
+++ b/packages/gateway/src/batchService.ts
@@ -11,7 +11,7 @@
   BatchEndReply,
   BatchItemReply,
   BatchReadReply,
-  ClaimNews,
+  ClaimUpdate,
   ItemEvents,
   Owner,
 } from '@fuchsiahitch/batches';
@@ -301,7 +301,7 @@
       this._texts.ofEarlierSteps(stored.batch, owner.isSingleVersion()),
       this._texts.ofFormerOwners(id, held),
     ]);
-    owner.ledger.carry(before);
+    owner.ledger.applyCarryOver(before);
     owner.ledger.resume([...kept, ...unfinished]);
     this._context.log.info('batch begun', {
       batchId: id,
@@ -328,7 +328,7 @@
       void this._hosts.call(address, calls.batchClaimed, { batchId, claim, revision }, PEER_TIMEOUT_MS);
   }
 
-  private _heardOf({ batchId, claim, revision }: ClaimNews): Readonly<Record<string, never>> {
+  private _heardOf({ batchId, claim, revision }: ClaimUpdate): Readonly<Record<string, never>> {
     const known = this._claims.get(batchId);
     // The teller asked the store before it told, and nobody here knows when.
     if (!known || known.revision < revision) this._remember(batchId, { claim, revision, askedMs: -Infinity });
--- a/packages/gateway/src/batchStore.ts
+++ b/packages/gateway/src/batchStore.ts
@@ -7,13 +7,13 @@
  */
 import { err, ok, sleep, type Deadline, type Result } from '@fuchsiahitch/base';
 import {
-  CLAIMS,
+  CLAIM_PREFIX,
   claimKey,
   isSameOwner,
   joinBatch,
   partKey,
   partPrefix,
-  positionOf,
+  resultPositionOf,
   progressKey,
   progressPrefix,
   readClaim,
@@ -136,13 +136,13 @@
 
   /** The claims of all batches that have not ended. */
   async openClaims(deadline: Deadline): Promise<Result<readonly OpenClaim[], BatchStoreError>> {
-    const claims = await this._store.list(CLAIMS, deadline);
+    const claims = await this._store.list(CLAIM_PREFIX, deadline);
     if (!claims.ok) return err({ kind: 'out-of-reach', error: claims.error });
     const open: OpenClaim[] = [];
     for (const { key, value } of claims.value) {
       const claim = readClaim(key, value);
       if (claim.ok && !claim.value.isEnded)
-        open.push({ batchId: key.slice(CLAIMS.length), claim: claim.value });
+        open.push({ batchId: key.slice(CLAIM_PREFIX.length), claim: claim.value });
     }
     return ok(open);
   }
@@ -252,7 +252,7 @@
     const results: ItemResult[] = [];
     for (const { key, value } of lists.value) {
       const parsed = readResults(key, value);
-      if (!parsed.ok || positionOf(key) !== results.length) return err({ kind: 'damaged', key });
+      if (!parsed.ok || resultPositionOf(key) !== results.length) return err({ kind: 'damaged', key });
       results.push(...parsed.value);
     }
     return ok(results);
--- a/packages/gateway/src/batchSweeper.ts
+++ b/packages/gateway/src/batchSweeper.ts
@@ -5,7 +5,7 @@
  * host sweeps at its own time, so that it needs no agreement; removing a record twice does no harm.
  */
 import { Deadline, sleep } from '@fuchsiahitch/base';
-import { CLAIMS, readClaim } from '@fuchsiahitch/batches';
+import { CLAIM_PREFIX, readClaim } from '@fuchsiahitch/batches';
 import type { RevisionedStore } from '@fuchsiahitch/clients';
 import type { BatchStore } from './batchStore.js';
 import type { GatewayContext } from './gatewayContext.js';
@@ -53,13 +53,13 @@
   }
 
   private async _sweep(): Promise<void> {
-    const claims = await this._store.list(CLAIMS, this._deadline());
+    const claims = await this._store.list(CLAIM_PREFIX, this._deadline());
     if (!claims.ok) return;
     let removed = 0;
     for (const { key, value } of claims.value) {
       if (removed >= MAX_REMOVALS || !this._isOld(key, value)) continue;
       removed += 1;
-      await this._batches.remove(key.slice(CLAIMS.length), this._deadline());
+      await this._batches.remove(key.slice(CLAIM_PREFIX.length), this._deadline());
     }
     this._context.log.info('old batches swept', { claims: claims.value.length, removed });
   }
--- a/packages/gateway/src/earlierTexts.ts
+++ b/packages/gateway/src/earlierTexts.ts
@@ -7,8 +7,8 @@
 import {
   carryOver,
   hasSharedItems,
-  joinCarryOver,
-  NO_CARRY_OVER,
+  mergeCarryOver,
+  EMPTY_CARRY_OVER,
   type Batch,
   type CarryOver,
   type ItemEvents,
@@ -46,7 +46,7 @@
       this._ofStep(batch, isSingleVersion, 2, deadline),
       this._ofStep(batch, isSingleVersion, 1, deadline),
     ]);
-    return joinCarryOver(older, newer);
+    return mergeCarryOver(older, newer);
   }
 
   private async _ofStep(
@@ -57,11 +57,11 @@
   ): Promise<CarryOver> {
     const earlierId = await this._store.earlierStep(batch, stepsBack, deadline);
     if (!earlierId.ok) return this._without(batch.id, earlierId.error.kind);
-    if (earlierId.value === undefined) return NO_CARRY_OVER;
+    if (earlierId.value === undefined) return EMPTY_CARRY_OVER;
     const earlier = await this._store.submitted(earlierId.value, deadline);
     if (!earlier.ok) return this._without(batch.id, earlier.error.kind);
     // Texts are ten times the size of what was submitted, and most steps need none.
-    if (!hasSharedItems(batch, earlier.value)) return NO_CARRY_OVER;
+    if (!hasSharedItems(batch, earlier.value)) return EMPTY_CARRY_OVER;
     const [results, progress] = await Promise.all([
       this._store.results(earlierId.value, deadline),
       this._store.progress(earlierId.value, deadline),
@@ -83,6 +83,6 @@
 
   private _without(batchId: string, error: string): CarryOver {
     this._context.log.warn('an earlier step could not be read', { batchId, error });
-    return NO_CARRY_OVER;
+    return EMPTY_CARRY_OVER;
   }
 }
--- a/packages/gateway/src/endpoint.ts
+++ b/packages/gateway/src/endpoint.ts
@@ -139,8 +139,8 @@
 
   /** The endpoint's own word about its load. */
   loaded(load: EndpointLoad): void {
-    this.limit.reported(load.waiting, this.stats.inFlight());
-    this.stats.reported({
+    this.limit.onLoadReport(load.waiting, this.stats.inFlight());
+    this.stats.onLoadReport({
       inFlight: load.running,
       queued: load.waiting,
       version: '',
@@ -215,7 +215,7 @@
 
   /** So much time passed between two events of a stream at this endpoint. */
   paced(pauseMs: number): void {
-    this._pace.seen(pauseMs);
+    this._pace.addInterval(pauseMs);
     this._pacedMs = this._clock.nowMs();
   }
 
@@ -227,12 +227,12 @@
   /** The pace that this host found itself a moment ago; undefined where it has not. */
   freshPaceMs(): number | undefined {
     const isFresh = this._clock.nowMs() - this._pacedMs < PACE_FRESH_MS;
-    return isFresh ? this._pace.ms() : undefined;
+    return isFresh ? this._pace.estimateMs() : undefined;
   }
 
   /** The time between two events of a stream at this endpoint; undefined before enough were seen, here or elsewhere. */
   paceMs(): number | undefined {
-    return this.freshPaceMs() ?? this._heardPaceMs() ?? this._pace.ms();
+    return this.freshPaceMs() ?? this._heardPaceMs() ?? this._pace.estimateMs();
   }
 
   private _heardPaceMs(): number | undefined {
@@ -242,6 +242,6 @@
 
   /** As `paceMs`, from the first two events on. */
   roughPaceMs(): number | undefined {
-    return this._pace.roughMs();
+    return this._pace.roughEstimateMs();
   }
 }
--- a/packages/gateway/src/forwarder.ts
+++ b/packages/gateway/src/forwarder.ts
@@ -90,7 +90,7 @@
 
   /** Forwards a request whose answer is passed on whole. */
   async forward(request: CallerRequest, route: Route, left: AbortSignal): Promise<ForwardOutcome> {
-    this._hedges.requestBegan();
+    this._hedges.requestStarted();
     const hop = this._context.tracing.begin('caller', request.trace);
     const traced = { ...request, trace: hop.traceparent };
     const outcome = await this._fairly(traced, route, () =>
@@ -241,7 +241,7 @@
   ): Promise<RequestAttemptEnd> {
     const isBackground = request.isBackground ?? false;
     endpoint.stats.began(isBackground);
-    endpoint.limit.used(endpoint.stats.inFlight());
+    endpoint.limit.recordUsage(endpoint.stats.inFlight());
     const hop = this._context.tracing.begin('endpoint', request.trace);
     const metered = this._metered(request);
     const end = await this._exchange(request, endpoint, leftMs, signal);
@@ -390,7 +390,7 @@
 function noteAnswer(endpoint: Endpoint, answer: EndpointAnswer): void {
   if (answer.load) {
     endpoint.loaded(answer.load);
-    endpoint.limit.reported(answer.load.waiting, answer.load.running);
+    endpoint.limit.onLoadReport(answer.load.waiting, answer.load.running);
   }
   if (answer.isLeaving) endpoint.saidLeaving();
 }
--- a/packages/gateway/src/hostDirectory.ts
+++ b/packages/gateway/src/hostDirectory.ts
@@ -2,7 +2,7 @@
  * The hosts that live, by keys in the store that end with their leases, and calls to them.
  */
 import type { CancelTimer, Result } from '@fuchsiahitch/base';
-import { isSameOwner, ownerFields, ROOT, type Owner } from '@fuchsiahitch/batches';
+import { isSameOwner, ownerFields, KEY_ROOT, type Owner } from '@fuchsiahitch/batches';
 import type { RevisionedStore } from '@fuchsiahitch/clients';
 import { decodeHandover, type DutyHandover } from '@fuchsiahitch/duties';
 import type { CallDefinition, CallError, PeerServer } from '@fuchsiahitch/protocol';
@@ -14,7 +14,7 @@
 import { StoreMirror, type MirrorSource } from './storeMirror.js';
 
 /** Keys that end with a lease, most of them with that of the process that wrote them. */
-export const LIVE_PREFIX = `${ROOT}live/`;
+export const LIVE_PREFIX = `${KEY_ROOT}live/`;
 const HOST_PREFIX = `${LIVE_PREFIX}host/`;
 
 /** The key of what the last holder of a domain's orders left. It outlives the holder's lease. */
--- a/packages/gateway/src/itemAttempt.ts
+++ b/packages/gateway/src/itemAttempt.ts
@@ -1,7 +1,7 @@
 /**
  * One attempt to run an item at one endpoint.
  */
-import { silenceBounds, type BatchItem, type BatchLedger, type GeneratedEvent } from '@fuchsiahitch/batches';
+import { idleTimeouts, type BatchItem, type BatchLedger, type GeneratedEvent } from '@fuchsiahitch/batches';
 import type { CancelTimer } from '@fuchsiahitch/base';
 import type { Endpoint } from './endpoint.js';
 import type { GatewayContext } from './gatewayContext.js';
@@ -129,12 +129,12 @@
 
   /** A stream that ended well before its first event was no text. */
   private _checked(end: ItemEnd): AttemptEnd {
-    const isEmpty = end.kind === 'done' && this._ledger.progress(this._item.id).lastEvent() === 0;
+    const isEmpty = end.kind === 'done' && this._ledger.progress(this._item.id).lastEventNumber() === 0;
     return isEmpty ? { kind: 'broken', text: 'the stream ended without an event' } : end;
   }
 
   private _armSilence(): void {
-    const { suspectMs, giveUpMs } = silenceBounds(
+    const { suspectMs, abandonMs: giveUpMs } = idleTimeouts(
       this._lastEventMs !== undefined,
       this.endpoint.roughPaceMs(),
     );
@@ -172,7 +172,7 @@
       target: this._item.path,
       headers: this._item.headers,
       body: Buffer.from(this._item.bodyBase64, 'base64'),
-      afterEvent: this._ledger.progress(this._item.id).lastEvent(),
+      afterEvent: this._ledger.progress(this._item.id).lastEventNumber(),
       leftMs: MAX_RUN_MS,
     };
   }
--- a/packages/gateway/src/itemPauses.ts
+++ b/packages/gateway/src/itemPauses.ts
@@ -1,7 +1,7 @@
 /**
  * The pauses of one batch's items whose tries bring nothing, and the log line that tells of them.
  */
-import { isWorthTelling, retryPauseMs, type BatchItem } from '@fuchsiahitch/batches';
+import { shouldLogFailures, retryDelayMs, type BatchItem } from '@fuchsiahitch/batches';
 import type { GatewayContext } from './gatewayContext.js';
 
 /** What the items are tried for. */
@@ -32,17 +32,17 @@
     const fruitless = (this._fruitless.get(itemId) ?? 0) + 1;
     this._fruitless.set(itemId, fruitless);
     this._pause(itemId, fruitless);
-    if (isWorthTelling(fruitless)) this._log({ itemId, fruitless });
+    if (shouldLogFailures(fruitless)) this._log({ itemId, fruitless });
   }
 
   /** As `tried`, for an item whose tries in a row the ledger counts. A text that was dropped is always told. */
   contradicted(itemId: string, fruitless: number, isTextDropped: boolean): void {
     this._pause(itemId, fruitless);
-    if (isTextDropped || isWorthTelling(fruitless)) this._log({ itemId, fruitless, isTextDropped });
+    if (isTextDropped || shouldLogFailures(fruitless)) this._log({ itemId, fruitless, isTextDropped });
   }
 
   private _pause(itemId: string, fruitless: number): void {
-    this._pausedUntilMs.set(itemId, this._context.clock.nowMs() + retryPauseMs(fruitless));
+    this._pausedUntilMs.set(itemId, this._context.clock.nowMs() + retryDelayMs(fruitless));
   }
 
   private _log(details: Readonly<Record<string, unknown>>): void {
--- a/packages/gateway/src/itemPlacer.ts
+++ b/packages/gateway/src/itemPlacer.ts
@@ -190,7 +190,7 @@
 
   /** An item that was moved, or that its owner before left: what is left of it should go quickly. */
   private _isBegun(item: BatchItem): boolean {
-    return this._ledger.progress(item.id).lastEvent() > 0;
+    return this._ledger.progress(item.id).lastEventNumber() > 0;
   }
 }
 
--- a/packages/gateway/src/itemScoring.ts
+++ b/packages/gateway/src/itemScoring.ts
@@ -155,7 +155,7 @@
       reason: 'reason' in end ? end.reason : undefined,
       status: 'status' in end ? end.status : undefined,
       failures: 'failures' in end ? end.failures : undefined,
-      events: this._ledger.progress(item.id).lastEvent(),
+      events: this._ledger.progress(item.id).lastEventNumber(),
       tookMs: Math.round(tookMs),
     });
   }
--- a/packages/gateway/src/modelShares.ts
+++ b/packages/gateway/src/modelShares.ts
@@ -1,7 +1,7 @@
 /**
  * How the endpoints of a pool are divided among its models, as every host computes it from its own view.
  */
-import { shareEndpoints, type ModelTargets, type SharedEndpoint } from '@fuchsiahitch/batches';
+import { assignEndpoints, type ModelTargets, type SharedEndpoint } from '@fuchsiahitch/batches';
 import type { ConfigurationService } from './configurationService.js';
 import type { Endpoint } from './endpoint.js';
 import type { EndpointDirectory } from './endpointDirectory.js';
@@ -24,7 +24,7 @@
   const endpoints = directory.ofPool(pool).filter(endpoint => !endpoint.isLeaving);
   const targets = new Map(models.map(model => [model, configuration.namedVersion(model)]));
   const views = endpoints.map(endpoint => sharedView(endpoint, models));
-  return { endpoints, targets, shares: shareEndpoints(views, targets) };
+  return { endpoints, targets, shares: assignEndpoints(views, targets) };
 }
 
 function sharedView(endpoint: Endpoint, models: readonly string[]): SharedEndpoint {
--- a/packages/gateway/src/poisonGuard.ts
+++ b/packages/gateway/src/poisonGuard.ts
@@ -5,7 +5,7 @@
  * their owners. The decision and its thresholds are `PoisonCases`'.
  */
 import {
-  markName,
+  markKey,
   PoisonCases,
   requestFingerprint,
   targetDigest,
@@ -153,7 +153,7 @@
   trialDropped(request: RequestIdentity, number: number): void {
     const fingerprint = this._fingerprint(request);
     this._cases.trialDropped(fingerprint, number);
-    this._told.get(fingerprint)?.names.delete(markName({ kind: 'trial', number, endsBefore: 0 }));
+    this._told.get(fingerprint)?.names.delete(markKey({ kind: 'trial', number, endsBefore: 0 }));
     void this._records.remove(fingerprint, [{ kind: 'trial', number, endsBefore: 0 }]);
   }
 
@@ -167,14 +167,14 @@
     this._log('poison trial', fingerprint, { number, endsBefore, isClaimed });
     if (!isClaimed) return { kind: 'held', leftMs: TRIAL_RETRY_MS };
     this._noteTold(fingerprint, [{ kind: 'trial', number, endsBefore }]);
-    this._cases.trialBegan(fingerprint, number, endsBefore);
+    this._cases.trialStarted(fingerprint, number, endsBefore);
     return trial;
   }
 
   /** Tells what the fleet does not know yet. */
   private _tell(fingerprint: string): void {
     const told = this._told.get(fingerprint)?.names;
-    const marks = this._cases.marks(fingerprint).filter(mark => told?.has(markName(mark)) !== true);
+    const marks = this._cases.marks(fingerprint).filter(mark => told?.has(markKey(mark)) !== true);
     if (marks.length > 0) this._tellAll(fingerprint, marks);
   }
 
@@ -195,14 +195,14 @@
   private _noteTold(fingerprint: string, marks: readonly PoisonMark[]): void {
     const atMs = this._context.clock.nowMs();
     const told = this._told.get(fingerprint) ?? { names: new Set<string>(), atMs };
-    for (const mark of marks) told.names.add(markName(mark));
+    for (const mark of marks) told.names.add(markKey(mark));
     told.atMs = atMs;
     this._told.set(fingerprint, told);
   }
 
   /** The fingerprint of a request that may be known; undefined for any other, whose body is not read. */
   private _known(request: RequestIdentity): string | undefined {
-    if (this.isIdle() || !this._cases.mayConcern(this._target(request))) return undefined;
+    if (this.isIdle() || !this._cases.mayMatch(this._target(request))) return undefined;
     return this._fingerprint(request);
   }
 
@@ -246,8 +246,8 @@
     if (!marked) return;
     const { fingerprint, mark } = marked;
     if (mark.kind === 'trial') this._cases.trialDropped(fingerprint, mark.number);
-    else this._cases.endForgotten(fingerprint, mark.startId);
-    this._told.get(fingerprint)?.names.delete(markName(mark));
+    else this._cases.removeEnd(fingerprint, mark.startId);
+    this._told.get(fingerprint)?.names.delete(markKey(mark));
     if (this._cases.ends(fingerprint) === 0) this._told.delete(fingerprint);
   }
 
@@ -262,7 +262,7 @@
     this._noteTold(fingerprint, marks);
     const before = this._cases.ends(fingerprint);
     for (const mark of marks) {
-      if (mark.kind === 'trial') this._cases.trialBegan(fingerprint, mark.number, mark.endsBefore);
+      if (mark.kind === 'trial') this._cases.trialStarted(fingerprint, mark.number, mark.endsBefore);
       else this._cases.ended(fingerprint, mark.startId);
     }
     const ends = this._cases.ends(fingerprint);
--- a/packages/gateway/src/poisonRecords.ts
+++ b/packages/gateway/src/poisonRecords.ts
@@ -7,7 +7,7 @@
  */
 import { Deadline, sleep } from '@fuchsiahitch/base';
 import type { RevisionedStore, Write } from '@fuchsiahitch/clients';
-import { markName, type PoisonMark } from '@fuchsiahitch/requests';
+import { markKey, type PoisonMark } from '@fuchsiahitch/requests';
 import * as z from 'zod';
 import type { GatewayContext } from './gatewayContext.js';
 import { LIVE_PREFIX } from './hostDirectory.js';
@@ -166,7 +166,7 @@
 }
 
 function keyOf({ fingerprint, mark }: MarkedRequest): string {
-  return `${POISON_PREFIX}${fingerprint}/${markName(mark)}`;
+  return `${POISON_PREFIX}${fingerprint}/${markKey(mark)}`;
 }
 
 /**
--- a/packages/gateway/src/progressKeeper.ts
+++ b/packages/gateway/src/progressKeeper.ts
@@ -5,7 +5,7 @@
  * had made 79 to 102 events when their trainer went on, 4 s of a step's 7.5 s for the second time.
  */
 import { Deadline, sleep } from '@fuchsiahitch/base';
-import { KeptEvents, type BatchLedger, type ItemEvents } from '@fuchsiahitch/batches';
+import { StoredEvents, type BatchLedger, type ItemEvents } from '@fuchsiahitch/batches';
 import type { BatchStore } from './batchStore.js';
 import type { ClaimLease } from './claimLease.js';
 import type { GatewayContext } from './gatewayContext.js';
@@ -24,7 +24,7 @@
   private readonly _store: BatchStore;
   private readonly _batchId: string;
   private readonly _lease: ClaimLease;
-  private readonly _kept: KeptEvents;
+  private readonly _kept: StoredEvents;
   private _records = 0;
   /** A write that was not confirmed is repeated as it was: it may have taken effect. */
   private _unsettled: Writing | undefined;
@@ -35,7 +35,7 @@
     this._store = store;
     this._batchId = ledger.batch.id;
     this._lease = lease;
-    this._kept = new KeptEvents(ledger);
+    this._kept = new StoredEvents(ledger);
   }
 
   start(): void {
@@ -85,12 +85,12 @@
     }
     this._lease.confirmed(askedMs);
     this._records += 1;
-    this._kept.keep(events, texts);
+    this._kept.markStored(events, texts);
     this._context.log.debug('progress kept', { batchId: this._batchId, items: events.length });
   }
 
   private _next(minEvents?: number): Writing | undefined {
-    const events = this._kept.missing(minEvents);
+    const events = this._kept.unstored(minEvents);
     return events.length > 0 ? { events, texts: this._kept.texts(events) } : undefined;
   }
 }
--- a/packages/gateway/src/resultLister.ts
+++ b/packages/gateway/src/resultLister.ts
@@ -3,8 +3,8 @@
  */
 import { Deadline, sleep } from '@fuchsiahitch/base';
 import {
-  countThatFits,
-  ListWholeGroups,
+  countFitting,
+  CompleteGroupListing,
   type BatchLedger,
   type ItemResult,
   type ListingPolicy,
@@ -39,7 +39,7 @@
     startedMs: number,
     lease: ClaimLease,
     listed: () => void,
-    policy: ListingPolicy = new ListWholeGroups(),
+    policy: ListingPolicy = new CompleteGroupListing(),
   ) {
     this._policy = policy;
     this._context = context;
@@ -125,7 +125,7 @@
 
   private _next(): readonly ItemResult[] {
     const pending = this._ledger.unconfirmed();
-    return pending.slice(0, countThatFits(pending));
+    return pending.slice(0, countFitting(pending));
   }
 
   private _log(position: number, results: readonly ItemResult[]): void {
--- a/packages/gateway/src/usageRecords.ts
+++ b/packages/gateway/src/usageRecords.ts
@@ -6,12 +6,12 @@
  * platform gets two bills for one window.
  */
 import { Deadline, err, ok, type Result } from '@fuchsiahitch/base';
-import { ROOT } from '@fuchsiahitch/batches';
+import { KEY_ROOT } from '@fuchsiahitch/batches';
 import type { RevisionedStore } from '@fuchsiahitch/clients';
 import { readToldList, readUsageReport, type ToldWindows, type UsageReport } from '@fuchsiahitch/metering';
 import type { GatewayContext } from './gatewayContext.js';
 
-const PREFIX = `${ROOT}usage/`;
+const PREFIX = `${KEY_ROOT}usage/`;
 const SETTLED_KEY = `${PREFIX}settled`;
 const TOLD_KEY = `${PREFIX}told`;
 const DECIDED_PREFIX = `${PREFIX}decided/`;
--- a/packages/gateway/src/weightOrders.ts
+++ b/packages/gateway/src/weightOrders.ts
@@ -7,7 +7,7 @@
 import type { RevisionedStore } from '@fuchsiahitch/clients';
 import {
   LoadWindow,
-  orderLoads,
+  prioritizeLoads,
   SwapPlanner,
   type DueLoad,
   type ModelLoads,
@@ -38,7 +38,7 @@
   loadsPerSecond: 1000,
   swapTimeoutMs: 4000,
   maxTries: 8,
-  readBackAfterMs: 250,
+  readBackIntervalMs: 250,
 };
 /** A load takes about a second, and two when many load. */
 const WINDOW_PATIENCE_MS = 2500;
@@ -123,7 +123,7 @@
       const share = endpoints.filter(endpoint => shares.get(model)?.includes(endpoint.id));
       loads.push(this._loadsOf(pool, model, version, share));
     }
-    const due = orderLoads(loads, ALLOWED_LAG);
+    const due = prioritizeLoads(loads, ALLOWED_LAG);
     const limit = Math.max(1, Math.floor(LOADING_SHARE * endpoints.length));
     const loading = endpoints.filter(endpoint => endpoint.isLoading()).length;
     const window = new Set(this._windowOf(pool).next(due, limit - loading));
@@ -135,14 +135,14 @@
     const planner = this._planner(pool, model);
     planner.setTarget({ pool, version: named, sequence: named, share: 1 });
     for (const endpoint of share) if (endpoint.domain === this._domain) this._tell(planner, endpoint, model);
-    for (const id of planner.toReadBack()) void this._readBack(id, model);
+    for (const id of planner.dueForReadBack()) void this._readBack(id, model);
     const candidates = share.map(endpoint => ({
       id: endpoint.id,
       version: endpoint.expectedVersionOf(model),
       load: endpoint.stats.estimatedLoad(),
-      takesOrders: this._takesOrders(endpoint),
+      acceptsOrders: this._takesOrders(endpoint),
     }));
-    return { model, named, candidates };
+    return { model, namedVersion: named, candidates };
   }
 
   private _orderLoad(pool: string, load: DueLoad, token: number): void {
--- a/packages/measure/src/placement.ts
+++ b/packages/measure/src/placement.ts
@@ -6,8 +6,8 @@
  */
 import {
   placeItem,
-  QuickestPlacement,
-  RoomiestPlacement,
+  FastestPlacement,
+  MostFreePlacement,
   shouldMove,
   type PlacementEndpoint,
   type PlacementPolicy,
@@ -79,10 +79,10 @@
 }
 
 const WAYS: readonly Way[] = [
-  { name: 'roomiest, own paces', policy: new RoomiestPlacement(), isTold: false },
-  { name: 'quickest, own paces', policy: new QuickestPlacement(), isTold: false },
-  { name: 'roomiest, told paces', policy: new RoomiestPlacement(), isTold: true },
-  { name: 'quickest, told paces', policy: new QuickestPlacement(), isTold: true },
+  { name: 'roomiest, own paces', policy: new MostFreePlacement(), isTold: false },
+  { name: 'quickest, own paces', policy: new FastestPlacement(), isTold: false },
+  { name: 'roomiest, told paces', policy: new MostFreePlacement(), isTold: true },
+  { name: 'quickest, told paces', policy: new FastestPlacement(), isTold: true },
 ];
 
 interface ModelItem {
--- a/packages/measure/src/routingWorld.ts
+++ b/packages/measure/src/routingWorld.ts
@@ -79,7 +79,7 @@
   began(host: number, endpoint: number): void {
     const view = this._views[host]?.[endpoint];
     view?.stats.began(false);
-    view?.limit.used(view.stats.inFlight());
+    view?.limit.recordUsage(view.stats.inFlight());
   }
 
   ended(host: number, endpoint: number, isFailure: boolean): void {
@@ -88,13 +88,13 @@
 
   reported(endpoint: number, inFlight: number, queued: number): void {
     for (const views of this._views) {
-      views[endpoint]?.limit.reported(queued, inFlight);
-      views[endpoint]?.stats.reported({ inFlight, queued, version: '', startId: 's', isLeaving: false });
+      views[endpoint]?.limit.onLoadReport(queued, inFlight);
+      views[endpoint]?.stats.onLoadReport({ inFlight, queued, version: '', startId: 's', isLeaving: false });
     }
   }
 
   requestBegan(host: number): void {
-    this._budgets[host]?.requestBegan();
+    this._budgets[host]?.requestStarted();
   }
 
   mayRetry(host: number): boolean {
--- a/packages/orders/src/loadChoice.ts
+++ b/packages/orders/src/loadChoice.ts
@@ -17,14 +17,14 @@
   /** Requests that it runs: the idlest loads first. */
   readonly load: number;
   /** False while it loads, or while a former holder's order is too fresh: it counts, and no load is due for it. */
-  readonly takesOrders: boolean;
+  readonly acceptsOrders: boolean;
 }
 
 /** The share of endpoints that has the newest version at least. */
 const FRESH_SHARE = 0.5;
 
 /** The endpoints that should have the version by now, the most urgent first. */
-export function dueForLoad(
+export function endpointsDueForLoad(
   candidates: readonly LoadCandidate[],
   named: number,
   allowedLag: number,
@@ -37,7 +37,7 @@
   const missing = Math.max(0, wanted - fresh - stale.length);
   const chosen = [...stale].sort(byVersionThenLoad);
   chosen.push(...[...usable].sort(byVersionThenLoad).slice(0, missing));
-  return chosen.filter(candidate => candidate.takesOrders).map(candidate => candidate.id);
+  return chosen.filter(candidate => candidate.acceptsOrders).map(candidate => candidate.id);
 }
 
 function byVersionThenLoad(a: LoadCandidate, b: LoadCandidate): number {
--- a/packages/orders/src/loadSchedule.ts
+++ b/packages/orders/src/loadSchedule.ts
@@ -6,12 +6,12 @@
  * on 8 endpoints of two trainers, such a step stood still for 3.5 of its 7.5 s. So the model with the smallest share
  * of usable endpoints comes first, one load at a time.
  */
-import { dueForLoad, type LoadCandidate } from './loadChoice.js';
+import { endpointsDueForLoad, type LoadCandidate } from './loadChoice.js';
 
 /** The endpoints of one model's share, and the version that its trainer named last. */
 export interface ModelLoads {
   readonly model: string;
-  readonly named: number;
+  readonly namedVersion: number;
   readonly candidates: readonly LoadCandidate[];
 }
 
@@ -30,14 +30,14 @@
 }
 
 /** The loads that are due over all models of a pool, the most urgent first. */
-export function orderLoads(models: readonly ModelLoads[], allowedLag: number): readonly DueLoad[] {
+export function prioritizeLoads(models: readonly ModelLoads[], allowedLag: number): readonly DueLoad[] {
   const queues = models.map(loads => toQueue(loads, allowedLag));
   const ordered: DueLoad[] = [];
   for (;;) {
     const queue = neediest(queues);
     const id = queue?.due.shift();
     if (!queue || id === undefined) return ordered;
-    const { model, named, candidates } = queue.loads;
+    const { model, namedVersion: named, candidates } = queue.loads;
     ordered.push({ id, model, version: named });
     const version = candidates.find(candidate => candidate.id === id)?.version ?? 0;
     if (version < named - allowedLag) queue.usable += 1;
@@ -46,10 +46,10 @@
 }
 
 function toQueue(loads: ModelLoads, allowedLag: number): Queue {
-  const { named, candidates } = loads;
+  const { namedVersion: named, candidates } = loads;
   return {
     loads,
-    due: [...dueForLoad(candidates, named, allowedLag)],
+    due: [...endpointsDueForLoad(candidates, named, allowedLag)],
     usable: candidates.filter(({ version }) => version >= named - allowedLag).length,
     fresh: candidates.filter(({ version }) => version >= named).length,
   };
--- a/packages/orders/src/swapPlanner.ts
+++ b/packages/orders/src/swapPlanner.ts
@@ -24,7 +24,7 @@
   /** After so many failed swaps an endpoint is set aside until it restarts or a new version comes. */
   readonly maxTries: number;
   /** How long after an order, and after each reading, the endpoint is read again. */
-  readonly readBackAfterMs?: number;
+  readonly readBackIntervalMs?: number;
 }
 
 interface SwapState {
@@ -116,12 +116,13 @@
   }
 
   /** Endpoints whose swap should show by now: ordered, and not read back for a while. */
-  toReadBack(): readonly string[] {
+  dueForReadBack(): readonly string[] {
     const nowMs = this._clock.nowMs();
     const due: string[] = [];
     for (const [id, state] of this._states) {
       const waitedMs = nowMs - Math.max(state.orderedMs, state.readMs);
-      if (state.isSwapping && waitedMs >= (this._options.readBackAfterMs ?? READ_BACK_AFTER_MS)) due.push(id);
+      if (state.isSwapping && waitedMs >= (this._options.readBackIntervalMs ?? READ_BACK_AFTER_MS))
+        due.push(id);
     }
     return due;
   }
@@ -134,7 +135,7 @@
   }
 
   /** Endpoints that carry traffic although they could not be brought to the version are for the operator. */
-  setAside(): readonly string[] {
+  excludedEndpoints(): readonly string[] {
     return [...this._states].filter(([, state]) => state.isAside).map(([id]) => id);
   }
 
--- a/packages/protocol/src/calls.ts
+++ b/packages/protocol/src/calls.ts
@@ -13,7 +13,7 @@
   endpointVersionSchema,
   batchRunsReplySchema,
   batchRunsSchema,
-  claimNewsSchema,
+  claimUpdateSchema,
   pacesSeenSchema,
 } from '@fuchsiahitch/batches';
 import { leavingNoticeSchema, memberDocumentSchema, memberUpdateSchema } from '@fuchsiahitch/membership';
@@ -152,7 +152,7 @@
   loadBegan: defineCall('loadBegan', endpointVersionSchema, emptySchema),
   pacesSeen: defineCall('pacesSeen', pacesSeenSchema, emptySchema),
   batchAdopt: defineCall('batchAdopt', batchAdoptSchema, batchAdoptReplySchema),
-  batchClaimed: defineCall('batchClaimed', claimNewsSchema, emptySchema),
+  batchClaimed: defineCall('batchClaimed', claimUpdateSchema, emptySchema),
   batchRuns: defineCall('batchRuns', batchRunsSchema, batchRunsReplySchema),
   batchEnd: defineCall('batchEnd', batchEndSchema, batchEndReplySchema),
   heldSamples: defineCall('heldSamples', heldSamplesSchema, heldSamplesReplySchema),
--- a/packages/requests/src/concurrencyLimit.ts
+++ b/packages/requests/src/concurrencyLimit.ts
@@ -25,17 +25,17 @@
   }
 
   /** How many the customers' reserve leaves to rollouts: rounded down, so that the reserve is never eaten. */
-  rolloutValue(reserve: number): number {
+  rolloutLimit(reserve: number): number {
     return Math.floor(this.value() * (1 - reserve));
   }
 
   /** Notes the highest own use: a limit that is not reached need not grow. */
-  used(inFlight: number): void {
+  recordUsage(inFlight: number): void {
     this._usedSinceReport = Math.max(this._usedSinceReport, inFlight);
   }
 
   /** Takes in a load report. */
-  reported(queued: number, inFlight: number): void {
+  onLoadReport(queued: number, inFlight: number): void {
     if (queued > QUEUE_TOLERATED) this._decrease();
     else if (inFlight < this._slots && this._usedSinceReport >= this.value()) this._increase();
     this._usedSinceReport = 0;
--- a/packages/requests/src/endpointPicker.ts
+++ b/packages/requests/src/endpointPicker.ts
@@ -50,7 +50,7 @@
 /** True if the endpoint has room for the request under this host's limit. */
 export function hasRoom(endpoint: EndpointView, isRollout: boolean, reserve: number): boolean {
   if (endpoint.stats.inFlight() >= endpoint.limit.value()) return false;
-  return !isRollout || endpoint.stats.rolloutInFlight() < endpoint.limit.rolloutValue(reserve);
+  return !isRollout || endpoint.stats.rolloutInFlight() < endpoint.limit.rolloutLimit(reserve);
 }
 
 export class EndpointPicker {
--- a/packages/requests/src/endpointStats.ts
+++ b/packages/requests/src/endpointStats.ts
@@ -92,7 +92,7 @@
     this._breaker = { kind: 'open', untilMs: this._clock.nowMs(), lengthMs };
   }
 
-  reported(report: LoadReport): void {
+  onLoadReport(report: LoadReport): void {
     if (this._report && this._report.startId !== report.startId) this._restarted();
     this._report = report;
     this._reportedMs = this._clock.nowMs();
--- a/packages/requests/src/fairAdmission.ts
+++ b/packages/requests/src/fairAdmission.ts
@@ -60,14 +60,14 @@
     const before = this._slice;
     const isRecent = nowMs < this._sliceStartMs + 2 * SLICE_MS;
     this._limit =
-      isRecent && before.isFull() ? evenShare(before.asked, before.served * PROBE_FACTOR) : Infinity;
+      isRecent && before.isFull() ? maxMinFairShare(before.asked, before.served * PROBE_FACTOR) : Infinity;
     this._slice = new Slice();
     this._sliceStartMs = nowMs;
   }
 }
 
 /** The most that each account gets where they share `capacity` evenly, and some ask for less; at least one. */
-export function evenShare(asked: ReadonlyMap<string, number>, capacity: number): number {
+export function maxMinFairShare(asked: ReadonlyMap<string, number>, capacity: number): number {
   const demands = [...asked.values()].sort((a, b) => a - b);
   let left = capacity;
   for (const [i, demand] of demands.entries()) {
--- a/packages/requests/src/keyHolder.ts
+++ b/packages/requests/src/keyHolder.ts
@@ -18,8 +18,8 @@
   KeyRecord,
   SyncSlot,
 } from './keyMessages.js';
-import { KEY_WINDOW_MS, KeySlot, MAX_KEPT_ANSWER_BYTES, type HeldRecord } from './keySlot.js';
-import { slotOf, SLOTS_A_DOMAIN, type Generation, type SlotEntry, type SlotMap } from './slotMap.js';
+import { KEY_RETENTION_MS, KeySlot, MAX_STORED_ANSWER_BYTES, type HeldRecord } from './keySlot.js';
+import { slotOf, SLOTS_PER_DOMAIN, type Generation, type SlotEntry, type SlotMap } from './slotMap.js';
 
 /** How holders reach each other. An undefined reply means that none came: nothing is proved. */
 export interface HolderPeers {
@@ -27,7 +27,7 @@
   syncSlot(holder: string, message: SyncSlot): Promise<Accepted | undefined>;
   fenceSlot(holder: string, message: FenceSlot): Promise<FenceReply | undefined>;
   /** True when that very process is known to have ended: its host runs a later one, or was removed. */
-  isProvenGone(holder: string): boolean;
+  isProvenTerminated(holder: string): boolean;
 }
 
 export interface KeyHolderOptions {
@@ -55,7 +55,7 @@
 
   constructor(options: KeyHolderOptions) {
     this._options = options;
-    this._slots = Array.from({ length: SLOTS_A_DOMAIN }, () => new KeySlot(options.clock));
+    this._slots = Array.from({ length: SLOTS_PER_DOMAIN }, () => new KeySlot(options.clock));
   }
 
   /** Slots that this host owns, with their copy up to date. */
@@ -72,7 +72,7 @@
   }
 
   /** Learns a map. One that is not newer is ignored, whatever the store says: epochs never fall. */
-  learnMap(map: SlotMap): void {
+  updateMap(map: SlotMap): void {
     if (this._map && map.revision <= this._map.revision) return;
     this._map = map;
     for (const [slot, entry] of map.slots.entries()) this._learnEntry(slot, entry);
@@ -111,7 +111,7 @@
   /** As the copy: takes in one change, unless a later epoch was promised. */
   copyRecord(message: CopyRecord): Accepted {
     const state = this._slot(message.slot);
-    const isCurrent = message.epoch === state.promised && state.completeEpoch === message.epoch;
+    const isCurrent = message.epoch === state.promisedEpoch && state.completeEpoch === message.epoch;
     if (!isCurrent) return { accepted: false };
     state.merge(message.record);
     return { accepted: true };
@@ -120,8 +120,8 @@
   /** As the copy: takes in a whole slot. */
   syncSlot(message: SyncSlot): Accepted {
     const state = this._slot(message.slot);
-    if (message.epoch < state.promised) return { accepted: false };
-    state.promised = message.epoch;
+    if (message.epoch < state.promisedEpoch) return { accepted: false };
+    state.promisedEpoch = message.epoch;
     this._settled.delete(message.slot);
     state.replace(message.records, message.lostForMs);
     state.completeEpoch = message.epoch;
@@ -132,14 +132,14 @@
   fenceSlot(message: FenceSlot): FenceReply {
     if (message.holder !== this._options.self) return { kind: 'gone' };
     const state = this._slot(message.slot);
-    if (message.epoch < state.promised) return { kind: 'later-epoch' };
-    state.promised = message.epoch;
+    if (message.epoch < state.promisedEpoch) return { kind: 'later-epoch' };
+    state.promisedEpoch = message.epoch;
     if (this._map?.slots[message.slot]?.epoch !== message.epoch) this._settled.delete(message.slot);
     this._handedOver.add(message.slot);
     return {
       kind: 'holds',
       completeEpoch: state.completeEpoch,
-      records: state.all(),
+      records: state.unexpiredRecords(),
       lostForMs: state.lostForMs(),
     };
   }
@@ -169,7 +169,7 @@
   }
 
   private _mayGrant(slot: number, entry: SlotEntry): boolean {
-    return this._settled.has(slot) && this._slot(slot).promised === entry.epoch;
+    return this._settled.has(slot) && this._slot(slot).promisedEpoch === entry.epoch;
   }
 
   private async _claimKnown(known: HeldRecord, claim: Claim): Promise<ClaimReply> {
@@ -206,7 +206,7 @@
       state.remove(record);
       return { ...state.toRecord(record), state: 'released', change: state.nextChange() };
     }
-    const isSmall = finish.answer !== undefined && finish.answer.body.length <= MAX_KEPT_ANSWER_BYTES;
+    const isSmall = finish.answer !== undefined && finish.answer.body.length <= MAX_STORED_ANSWER_BYTES;
     state.finish(record, isSmall ? finish.answer : undefined);
     return state.toRecord(record);
   }
@@ -230,9 +230,9 @@
 
   private _learnEntry(slot: number, entry: SlotEntry): void {
     const state = this._slot(slot);
-    if (entry.epoch < state.promised) return;
-    const isNewEpoch = entry.epoch > state.promised;
-    state.promised = entry.epoch;
+    if (entry.epoch < state.promisedEpoch) return;
+    const isNewEpoch = entry.epoch > state.promisedEpoch;
+    state.promisedEpoch = entry.epoch;
     if (isNewEpoch) {
       this._settled.delete(slot);
       this._handedOver.delete(slot);
@@ -251,7 +251,7 @@
   private async _settle(slot: number, entry: SlotEntry): Promise<void> {
     const state = this._slot(slot);
     const isCurrent = (): boolean =>
-      this._map?.slots[slot]?.epoch === entry.epoch && state.promised === entry.epoch;
+      this._map?.slots[slot]?.epoch === entry.epoch && state.promisedEpoch === entry.epoch;
     while (isCurrent()) {
       const isWhole = state.completeEpoch === entry.epoch || (await this._gather(slot, entry));
       if (!isCurrent()) return;
@@ -269,7 +269,12 @@
   private async _syncCopy(slot: number, entry: SlotEntry): Promise<boolean> {
     if (entry.copy === '') return true;
     const state = this._slot(slot);
-    const message = { slot, epoch: entry.epoch, records: state.all(), lostForMs: state.lostForMs() };
+    const message = {
+      slot,
+      epoch: entry.epoch,
+      records: state.unexpiredRecords(),
+      lostForMs: state.lostForMs(),
+    };
     const reply = await this._options.peers.syncSlot(entry.copy, message);
     return reply?.accepted ?? false;
   }
@@ -281,7 +286,7 @@
       if (found === 'whole') return true;
       if (found === 'silent') return false;
       if (found === 'lost') {
-        this._slot(slot).markLost(KEY_WINDOW_MS);
+        this._slot(slot).markRecordsLost(KEY_RETENTION_MS);
         return true;
       }
     }
@@ -303,7 +308,7 @@
       return state.completeEpoch === generation.epoch ? 'whole' : 'nothing';
     let gone = 0;
     for (const holder of holders) {
-      if (this._options.peers.isProvenGone(holder)) {
+      if (this._options.peers.isProvenTerminated(holder)) {
         gone += 1;
         continue;
       }
--- a/packages/requests/src/keyMessages.ts
+++ b/packages/requests/src/keyMessages.ts
@@ -7,10 +7,10 @@
 const keySchema = z.string().min(1).max(MAX_KEY);
 
 /** An answer that is kept for resends. Only small ones are. */
-export const keptAnswerSchema = z
+export const storedAnswerSchema = z
   .strictObject({ status: z.number().int(), contentType: z.string(), body: z.string() })
   .readonly();
-export type KeptAnswer = z.infer<typeof keptAnswerSchema>;
+export type StoredAnswer = z.infer<typeof storedAnswerSchema>;
 
 /** What is known of a key. `released` erases it: the request was proved not to have run. */
 export const keyStates = ['preparing', 'granted', 'finished', 'released'] as const;
@@ -21,7 +21,7 @@
     fingerprint: z.string(),
     attemptId: z.string(),
     state: z.enum(keyStates),
-    answer: keptAnswerSchema.optional(),
+    answer: storedAnswerSchema.optional(),
     /** Grows with every change that the owner makes in this slot: an older change never overwrites. */
     change: z.number().int(),
     ageMs: z.number().min(0),
@@ -46,7 +46,7 @@
 /** What the owner says. Only `granted` allows a run, and only of the attempt that asked. */
 export const claimReplySchema = z.discriminatedUnion('kind', [
   z.strictObject({ kind: z.literal('granted') }),
-  z.strictObject({ kind: z.literal('answered'), answer: keptAnswerSchema }),
+  z.strictObject({ kind: z.literal('answered'), answer: storedAnswerSchema }),
   z.strictObject({
     kind: z.literal('unknown'),
     reason: z.enum(['first-still-running', 'answer-not-kept', 'key-records-lost', 'key-unsettled']),
@@ -63,7 +63,7 @@
     attemptId: z.string(),
     /** `released`: proved not run. `finished`: it ran, or may have. */
     end: z.enum(['released', 'finished']),
-    answer: keptAnswerSchema.optional(),
+    answer: storedAnswerSchema.optional(),
     relayed: z.boolean(),
   })
   .readonly();
--- a/packages/requests/src/keySlot.ts
+++ b/packages/requests/src/keySlot.ts
@@ -2,12 +2,12 @@
  * The records of one slot at one host, as owner or as copy.
  */
 import type { Clock } from '@fuchsiahitch/base';
-import type { KeptAnswer, KeyRecord } from './keyMessages.js';
+import type { StoredAnswer, KeyRecord } from './keyMessages.js';
 
 /** How long a key is remembered after its last change. A resend must come within it. */
-export const KEY_WINDOW_MS = 600_000;
+export const KEY_RETENTION_MS = 600_000;
 /** A kept answer is at most this large; a resend of a larger one is told `unknown`. */
-export const MAX_KEPT_ANSWER_BYTES = 16 * 1024;
+export const MAX_STORED_ANSWER_BYTES = 16 * 1024;
 
 /** A record in memory. `settledWaiters` are resends that wait for the first run's end. */
 export interface HeldRecord {
@@ -15,7 +15,7 @@
   readonly fingerprint: string;
   readonly attemptId: string;
   state: 'preparing' | 'granted' | 'finished';
-  answer: KeptAnswer | undefined;
+  answer: StoredAnswer | undefined;
   change: number;
   changedMs: number;
 }
@@ -26,7 +26,7 @@
   private _lastChange = 0;
   private _lostUntilMs = 0;
   /** The highest epoch that this host promised to respect. */
-  promised = 0;
+  promisedEpoch = 0;
   /** The epoch for which the records here are all that were granted; 0 when never. */
   completeEpoch = 0;
 
@@ -36,7 +36,7 @@
 
   find(key: string): HeldRecord | undefined {
     const record = this._records.get(key);
-    if (!record || this._clock.nowMs() - record.changedMs <= KEY_WINDOW_MS) return record;
+    if (!record || this._clock.nowMs() - record.changedMs <= KEY_RETENTION_MS) return record;
     this._records.delete(key);
     return undefined;
   }
@@ -57,7 +57,7 @@
     return record;
   }
 
-  finish(record: HeldRecord, answer: KeptAnswer | undefined): void {
+  finish(record: HeldRecord, answer: StoredAnswer | undefined): void {
     record.state = 'finished';
     record.answer = answer;
     this._touch(record);
@@ -94,11 +94,11 @@
   replace(records: readonly KeyRecord[], lostForMs: number): void {
     this._records.clear();
     for (const record of records) this.merge(record);
-    this.markLost(lostForMs);
+    this.markRecordsLost(lostForMs);
   }
 
   /** From now on, for this long, a key without a record may have run before. */
-  markLost(durationMs: number): void {
+  markRecordsLost(durationMs: number): void {
     if (durationMs > 0) this._lostUntilMs = Math.max(this._lostUntilMs, this._clock.nowMs() + durationMs);
   }
 
@@ -107,7 +107,7 @@
   }
 
   /** All records that are still within the window. */
-  all(): readonly KeyRecord[] {
+  unexpiredRecords(): readonly KeyRecord[] {
     const records: KeyRecord[] = [];
     for (const key of [...this._records.keys()]) {
       const record = this.find(key);
--- a/packages/requests/src/poisonCases.ts
+++ b/packages/requests/src/poisonCases.ts
@@ -31,7 +31,7 @@
   | { readonly kind: 'trial'; readonly number: number; readonly endsBefore: number };
 
 /** Tells the marks of one request apart; a trial by its number only. */
-export function markName(mark: PoisonMark): string {
+export function markKey(mark: PoisonMark): string {
   return mark.kind === 'end' ? `end-${mark.startId}` : `trial-${mark.number}`;
 }
 
@@ -71,7 +71,7 @@
   }
 
   /** False if no request with this request line is known: its body need not be read. */
-  mayConcern(target: string): boolean {
+  mayMatch(target: string): boolean {
     return this._targets.has(target);
   }
 
@@ -85,7 +85,7 @@
   }
 
   /** `endsBefore`: what its host knew when it began; this one may have heard of the end of the trial first. */
-  trialBegan(fingerprint: string, number: number, endsBefore: number): void {
+  trialStarted(fingerprint: string, number: number, endsBefore: number): void {
     const known = this._case(fingerprint);
     if (known.trials.has(number)) return;
     known.trials.set(number, endsBefore);
@@ -98,7 +98,7 @@
   }
 
   /** An end counts no more: the record of it has lapsed, or its request was answered elsewhere. */
-  endForgotten(fingerprint: string, startId: string): void {
+  removeEnd(fingerprint: string, startId: string): void {
     const known = this._cases.get(fingerprint);
     known?.ends.delete(startId);
     if (known?.ends.size === 0) this.cleared(fingerprint);
--- a/packages/requests/src/requestQueue.ts
+++ b/packages/requests/src/requestQueue.ts
@@ -4,8 +4,8 @@
 import type { CancelTimer, Clock, Deadline } from '@fuchsiahitch/base';
 
 /** Classes of waiting requests; a lower one is served only when the higher ones are empty. */
-export const waitClasses = ['customer-high', 'customer', 'customer-low', 'rollout'] as const;
-export type WaitClass = (typeof waitClasses)[number];
+export const queuePriorities = ['customer-high', 'customer', 'customer-low', 'rollout'] as const;
+export type QueuePriority = (typeof queuePriorities)[number];
 
 /** Why a request left the queue without a turn. */
 export type QueueRefusal = 'queue-full' | 'too-late';
@@ -22,7 +22,9 @@
 export class RequestQueue {
   private readonly _clock: Clock;
   private readonly _limit: number;
-  private readonly _classes = new Map<WaitClass, Set<Waiting>>(waitClasses.map(name => [name, new Set()]));
+  private readonly _classes = new Map<QueuePriority, Set<Waiting>>(
+    queuePriorities.map(name => [name, new Set()]),
+  );
   private _turns = 0;
   private _lastTurns = 0;
   private _windowStartMs: number;
@@ -40,9 +42,9 @@
   }
 
   /** How long a newcomer of the class would wait, from the rate of the last turns; 0 when nothing waits. */
-  expectedWaitMs(waitClass: WaitClass): number {
+  expectedWaitMs(waitClass: QueuePriority): number {
     let ahead = 0;
-    for (const name of waitClasses) {
+    for (const name of queuePriorities) {
       ahead += this._classes.get(name)?.size ?? 0;
       if (name === waitClass) break;
     }
@@ -57,8 +59,8 @@
    * called at once when the queue is full or the wait would outlast the deadline, and else at the deadline.
    * Returns a function that leaves the queue.
    */
-  enter(
-    waitClass: WaitClass,
+  enqueue(
+    waitClass: QueuePriority,
     deadline: Deadline,
     offer: () => boolean,
     refuse: (r: QueueRefusal) => void,
@@ -84,8 +86,8 @@
   }
 
   /** Offers room to the waiting, the highest class and the longest wait first, until nobody takes it. */
-  serve(): void {
-    for (const name of waitClasses) {
+  dispatch(): void {
+    for (const name of queuePriorities) {
       for (const waiting of this._classes.get(name) ?? []) {
         if (!waiting.offer()) return;
         waiting.cancelTimer();
--- a/packages/requests/src/requestRun.ts
+++ b/packages/requests/src/requestRun.ts
@@ -13,14 +13,14 @@
 export type RequestPhase = 'waiting' | 'sent' | 'answering' | 'ended';
 
 /** Why a request is given up from the outside. */
-export type GiveUpCause = 'deadline' | 'caller-left' | 'shutdown';
+export type AbandonCause = 'deadline' | 'caller-left' | 'shutdown';
 
-const NOT_RUN_OF: Readonly<Record<GiveUpCause, NotRunReason>> = {
+const NOT_RUN_OF: Readonly<Record<AbandonCause, NotRunReason>> = {
   deadline: 'too-late',
   'caller-left': 'caller-left',
   shutdown: 'shutting-down',
 };
-const UNKNOWN_OF: Readonly<Record<GiveUpCause, UnknownReason>> = {
+const UNKNOWN_OF: Readonly<Record<AbandonCause, UnknownReason>> = {
   deadline: 'no-answer-in-time',
   'caller-left': 'caller-left',
   shutdown: 'connection-lost',
@@ -68,7 +68,7 @@
   }
 
   /** The attempt broke with nothing proved, and the request may be repeated: it goes back to waiting. */
-  brokenRepeatable(attempt: number): boolean {
+  brokenRetryable(attempt: number): boolean {
     if (!this._isCurrent(attempt) || this._phase === 'ended') return this._drop();
     this._mayHaveRun = true;
     this._phase = 'waiting';
@@ -76,7 +76,7 @@
   }
 
   /** The answer's head arrived. False: it belongs to an earlier attempt or an ended request, drop it. */
-  answerBegan(attempt: number): boolean {
+  answerStarted(attempt: number): boolean {
     if (!this._isCurrent(attempt) || this._phase !== 'sent') return this._drop();
     this._phase = 'answering';
     return true;
@@ -98,7 +98,7 @@
   }
 
   /** Ends the request from outside: not run if it was never sent, unknown otherwise. */
-  giveUp(cause: GiveUpCause): RequestOutcome {
+  abandon(cause: AbandonCause): RequestOutcome {
     if (this._outcome) return this._outcome;
     const isProven = this._phase === 'waiting' && !this._mayHaveRun;
     return this._end(isProven ? this._notRun(NOT_RUN_OF[cause]) : this._unknown(UNKNOWN_OF[cause]));
@@ -118,7 +118,7 @@
   }
 
   /** Ends a waiting request with the kept answer of an earlier arrival. */
-  endWithKept(status: number): RequestOutcome {
+  endWithStoredAnswer(status: number): RequestOutcome {
     if (this._outcome) return this._outcome;
     return this._end({ kind: 'completed', status });
   }
--- a/packages/requests/src/retryBudget.ts
+++ b/packages/requests/src/retryBudget.ts
@@ -18,7 +18,7 @@
     this._tokens = burst;
   }
 
-  requestBegan(): void {
+  requestStarted(): void {
     this._tokens = Math.min(this._burst, this._tokens + this._share);
   }
 
--- a/packages/requests/src/slotMap.ts
+++ b/packages/requests/src/slotMap.ts
@@ -9,7 +9,7 @@
 import * as z from 'zod';
 
 /** Slots of one failure domain. At 33 hosts each owns four and copies four. */
-export const SLOTS_A_DOMAIN = 128;
+export const SLOTS_PER_DOMAIN = 128;
 /** Generations that were not confirmed as settled yet. Longer chains are not begun. */
 const MAX_OLDER = 16;
 /** An owner shortens the chains of its settled slots when one is this long. */
@@ -46,7 +46,7 @@
     revision: z.number().int(),
     /** Digest of the deployment's list of failure domains: hosts with another list serve no keys. */
     domains: z.string(),
-    slots: z.array(slotEntrySchema).length(SLOTS_A_DOMAIN).readonly(),
+    slots: z.array(slotEntrySchema).length(SLOTS_PER_DOMAIN).readonly(),
     /** Holders that an operator declared to have ended: nothing else proves it when a host never returns. */
     gone: z.array(holderIdSchema).max(1000).readonly(),
   })
@@ -64,7 +64,7 @@
 
 /** The slot of a key. */
 export function slotOf(key: string): number {
-  return hash32(key) % SLOTS_A_DOMAIN;
+  return hash32(key) % SLOTS_PER_DOMAIN;
 }
 
 /**
@@ -78,7 +78,7 @@
 }
 
 /** What a plan may take for granted about hosts. */
-export interface PlanInput {
+export interface SlotPlanInput {
   readonly domain: string;
   readonly domains: string;
   /** Holders that can take duties, sorted. */
@@ -88,7 +88,7 @@
 }
 
 /** The map that suits the live holders, or undefined when the present one does. */
-export function planSlotMap(current: SlotMap | undefined, input: PlanInput): SlotMap | undefined {
+export function planSlotMap(current: SlotMap | undefined, input: SlotPlanInput): SlotMap | undefined {
   if (input.live.length === 0) return undefined;
   const plan = new SlotPlan(current?.slots, input);
   const slots = plan.run();
@@ -100,15 +100,15 @@
 /** One run of the planner: keeps surviving holders where they are and spreads the rest evenly. */
 class SlotPlan {
   private readonly _entries: readonly (SlotEntry | undefined)[];
-  private readonly _input: PlanInput;
+  private readonly _input: SlotPlanInput;
   private readonly _live: ReadonlySet<string>;
   /** Slots that a holder owns or copies. */
   private readonly _duties = new Map<string, number>();
   private readonly _owned = new Map<string, number>();
   private _changed = false;
 
-  constructor(entries: readonly SlotEntry[] | undefined, input: PlanInput) {
-    this._entries = entries ?? Array.from({ length: SLOTS_A_DOMAIN }, () => undefined);
+  constructor(entries: readonly SlotEntry[] | undefined, input: SlotPlanInput) {
+    this._entries = entries ?? Array.from({ length: SLOTS_PER_DOMAIN }, () => undefined);
     this._input = input;
     this._live = new Set(input.live);
     for (const holder of input.live) this._duties.set(holder, 0);
@@ -164,14 +164,14 @@
     const lightest = this._leastLoaded(entry.owner);
     if (lightest === '' || lightest === entry.copy) return undefined;
     const gap = this._dutiesOf(entry.copy) - this._dutiesOf(lightest);
-    const mean = (2 * SLOTS_A_DOMAIN) / this._input.live.length;
+    const mean = (2 * SLOTS_PER_DOMAIN) / this._input.live.length;
     if (gap <= Math.max(MIN_GAP, mean * UNEVEN_SHARE)) return undefined;
     return this._changedTo(entry, entry.owner, lightest, older);
   }
 
   private _rolesChanged(entry: SlotEntry, older: readonly Generation[]): SlotEntry | undefined {
     const gap = this._ownedBy(entry.owner) - this._ownedBy(entry.copy);
-    const mean = SLOTS_A_DOMAIN / this._input.live.length;
+    const mean = SLOTS_PER_DOMAIN / this._input.live.length;
     if (gap <= Math.max(MIN_GAP, mean * UNEVEN_SHARE)) return undefined;
     return this._changedTo(entry, entry.copy, entry.owner, older);
   }
--- a/tests/accountFlood.spec.ts
+++ b/tests/accountFlood.spec.ts
@@ -4,7 +4,7 @@
 import tap from 'tap';
 import { SeededRandom, sleep } from '@fuchsiahitch/base';
 import type { EndpointReply } from '@fuchsiahitch/gateway';
-import { evenShare, FairAdmission } from '@fuchsiahitch/requests';
+import { maxMinFairShare, FairAdmission } from '@fuchsiahitch/requests';
 import { GatewayFleet } from './gatewayFleet.js';
 import { answer, endpointRecord, keys } from './gatewayWorld.js';
 import { lookup, LOOKUP, NOBODY_LEFT } from './lookups.js';
@@ -88,10 +88,10 @@
 await tap.test('should share evenly what is there, and leave what some don’t ask for to others', t => {
   const asked = (...counts: readonly number[]): ReadonlyMap<string, number> =>
     new Map(counts.map((count, i) => [`a${i}`, count]));
-  t.equal(evenShare(asked(100, 2, 3), 25), 20);
-  t.equal(evenShare(asked(100, 100), 30), 15);
-  t.equal(evenShare(asked(5, 5), 30), Infinity, 'there is enough');
-  t.equal(evenShare(asked(5, 5, 5), 0.3), 1, 'nobody gets nothing');
+  t.equal(maxMinFairShare(asked(100, 2, 3), 25), 20);
+  t.equal(maxMinFairShare(asked(100, 100), 30), 15);
+  t.equal(maxMinFairShare(asked(5, 5), 30), Infinity, 'there is enough');
+  t.equal(maxMinFairShare(asked(5, 5, 5), 0.3), 1, 'nobody gets nothing');
   t.end();
 });
 
--- a/tests/batches.spec.ts
+++ b/tests/batches.spec.ts
@@ -5,25 +5,31 @@
 import {
   carryOver,
   BatchLedger,
-  countThatFits,
+  countFitting,
   ItemProgress,
-  KeptEvents,
+  StoredEvents,
   joinBatch,
   MAX_RECORD_UNITS,
   pageFrom,
   placeItem,
   shouldMove,
-  positionOf,
+  resultPositionOf,
   readClaim,
   readResults,
   resultKey,
-  shareEndpoints,
+  assignEndpoints,
   splitBatch,
   type GeneratedEvent,
   type ItemResult,
   type PlacementEndpoint,
 } from '@fuchsiahitch/batches';
-import { dueForLoad, LoadWindow, orderLoads, SwapPlanner, type LoadCandidate } from '@fuchsiahitch/orders';
+import {
+  endpointsDueForLoad,
+  LoadWindow,
+  prioritizeLoads,
+  SwapPlanner,
+  type LoadCandidate,
+} from '@fuchsiahitch/orders';
 import { VirtualClock } from '@fuchsiahitch/base';
 import { batch, item } from './gatewayWorld.js';
 
@@ -55,7 +61,7 @@
   const progress = new ItemProgress({ minVersion: 3, isSingleVersion: false });
   t.equal(progress.add({ number: 1, text: 'a', version: 3 }), 'added');
   t.equal(progress.add({ number: 2, text: 'b', version: 2 }), 'restart');
-  t.equal(progress.lastEvent(), 0);
+  t.equal(progress.lastEventNumber(), 0);
   t.same(progress.versions(), []);
   t.end();
 });
@@ -72,7 +78,7 @@
   // Symptom: two readers see different results at one position. Sequence: the owner shows a result, dies before
   // the store has it, and the next owner lists another one there. Cause: results shown before they are stored.
   const ledger = new BatchLedger(batch('b', [item('x'), item('y')]), [], RULES);
-  ledger.begin('x');
+  ledger.beginAttempt('x');
   ledger.event('x', { number: 1, text: 'one', version: 1 });
   ledger.completed('x');
   t.same(ledger.listed(), []);
@@ -98,14 +104,14 @@
   // a version that may not be joined, and grows past what was kept of the first. Cause: kept events counted by number.
   const rules = { maxAttempts: 3, isSingleVersion: true };
   const ledger = new BatchLedger(batch('b', [item('x')]), [], rules);
-  const kept = new KeptEvents(ledger);
+  const kept = new StoredEvents(ledger);
   const add = (from: number, to: number, version: number): void => {
     for (let number = from; number <= to; number++)
       ledger.event('x', { number, text: `${version}.${number}`, version });
   };
   const keep = (): readonly number[] => {
-    const missing = kept.missing();
-    kept.keep(missing, kept.texts(missing));
+    const missing = kept.unstored();
+    kept.markStored(missing, kept.texts(missing));
     return missing.flatMap(({ events }) => [events[0]?.number ?? 0, events.at(-1)?.number ?? 0]);
   };
   add(1, 10, 1);
@@ -125,15 +131,15 @@
   // Symptom: nothing of a batch is kept any more. Sequence: an item's events of one second are larger than a value of the
   // store; the write is refused, and repeated as it was. Cause: records were cut between items only.
   const ledger = new BatchLedger(batch('b', [item('x')]), [], RULES);
-  const kept = new KeptEvents(ledger);
+  const kept = new StoredEvents(ledger);
   for (let number = 1; number <= 60; number++)
     ledger.event('x', { number, text: 'x'.repeat(10_000), version: 1 });
   const lasts: (number | undefined)[] = [];
   for (;;) {
-    const missing = kept.missing();
+    const missing = kept.unstored();
     if (missing.length === 0) break;
     t.ok(JSON.stringify(missing).length < 330_000);
-    kept.keep(missing, kept.texts(missing));
+    kept.markStored(missing, kept.texts(missing));
     lasts.push(missing.at(-1)?.events.at(-1)?.number);
   }
   t.equal(lasts.at(-1), 60);
@@ -162,7 +168,7 @@
     '2.1\n2.2\n2.3\n2.4\n2.5\n2.6',
     'a list that was written twice is joined',
   );
-  t.equal(ledger.progress('y').lastEvent(), 0, 'a list whose beginning is missing is no text');
+  t.equal(ledger.progress('y').lastEventNumber(), 0, 'a list whose beginning is missing is no text');
   t.equal(ledger.waiting()[0]?.id, 'x', 'what was begun goes first');
   t.end();
 });
@@ -192,12 +198,12 @@
   );
   t.same(carryOver(next, earlier, true).results, [], 'one version where one is demanded');
   const ledger = new BatchLedger(next, [], RULES);
-  ledger.carry(before);
+  ledger.applyCarryOver(before);
   t.same(
     ledger.unconfirmed().map(result => result.id),
     ['done'],
   );
-  t.equal(ledger.progress('begun').lastEvent(), 1);
+  t.equal(ledger.progress('begun').lastEventNumber(), 1);
   t.same(
     ledger.waiting().map(waiting => waiting.id),
     ['begun', 'old', 'changed', 'new'],
@@ -210,11 +216,11 @@
   // Symptom: a step hangs, or an item is given up too soon. Cause: failures counted with refusals and breaks.
   const ledger = new BatchLedger(batch('b', [item('x')]), [], RULES);
   for (const end of ['interrupted', 'failed', 'interrupted', 'failed'] as const) {
-    ledger.begin('x');
+    ledger.beginAttempt('x');
     ledger[end]('x');
     t.equal(ledger.waiting().length, 1, end);
   }
-  ledger.begin('x');
+  ledger.beginAttempt('x');
   ledger.failed('x');
   t.equal(ledger.unconfirmed()[0]?.state, 'terminated');
   t.end();
@@ -222,10 +228,10 @@
 
 await tap.test('should list an item once, whatever comes after its end', t => {
   const ledger = new BatchLedger(batch('b', [item('x')]), [], RULES);
-  ledger.begin('x');
+  ledger.beginAttempt('x');
   ledger.completed('x');
   ledger.impossible('x');
-  ledger.terminateRest();
+  ledger.terminateUnfinished();
   t.equal(ledger.unconfirmed().length, 1);
   t.end();
 });
@@ -237,7 +243,7 @@
     item('broken', { expectedTokens: 20 }),
   ];
   const ledger = new BatchLedger(batch('b', items), [], RULES);
-  ledger.begin('broken');
+  ledger.beginAttempt('broken');
   ledger.interrupted('broken');
   t.same(
     ledger.waiting().map(waiting => waiting.id),
@@ -291,7 +297,7 @@
 });
 
 await tap.test('should share endpoints evenly and keep them with their model', t => {
-  const endpoint = (id: string, a: number, b: number): Parameters<typeof shareEndpoints>[0][number] => ({
+  const endpoint = (id: string, a: number, b: number): Parameters<typeof assignEndpoints>[0][number] => ({
     id,
     versions: new Map([
       ['a', a],
@@ -303,11 +309,11 @@
     ['b', 9],
   ]);
   const settled = [endpoint('1', 5, 2), endpoint('2', 4, 2), endpoint('3', 1, 9), endpoint('4', 1, 8)];
-  const shares = shareEndpoints(settled, targets);
+  const shares = assignEndpoints(settled, targets);
   t.same(shares.get('a'), ['1', '2']);
   t.same(shares.get('b'), ['3', '4']);
   // An endpoint of `a` is gone and a fresh one comes: only the fresh one changes hands.
-  const changed = shareEndpoints([endpoint('0', 5, 9), ...settled.slice(1)], targets);
+  const changed = assignEndpoints([endpoint('0', 5, 9), ...settled.slice(1)], targets);
   t.same(changed.get('a'), ['2', '0']);
   t.same(changed.get('b'), ['3', '4']);
   t.end();
@@ -316,17 +322,17 @@
 await tap.test('should load a version on half of the endpoints, the stale ones first', t => {
   // Symptom: a step begins while all its endpoints load. Sequence: each named version is ordered everywhere at
   // once. Cause: no use made of the version that a step accepts besides the newest.
-  const at = (id: string, version: number, load = 0): Parameters<typeof dueForLoad>[0][number] => ({
+  const at = (id: string, version: number, load = 0): Parameters<typeof endpointsDueForLoad>[0][number] => ({
     id,
     version,
     load,
-    takesOrders: true,
+    acceptsOrders: true,
   });
-  t.same(dueForLoad([at('1', 1, 5), at('2', 1, 0), at('3', 1, 2), at('4', 1, 1)], 2, 1), ['2', '4']);
-  t.same(dueForLoad([at('1', 1), at('2', 2), at('3', 1), at('4', 2)], 3, 1), ['1', '3']);
-  t.same(dueForLoad([at('1', 2), at('2', 3), at('3', 2), at('4', 3)], 3, 1), []);
-  t.same(dueForLoad([at('1', 1)], 2, 1), ['1'], 'a single endpoint loads each version');
-  t.same(dueForLoad([at('1', 0), at('2', 0), at('3', 0)], 5, 1), ['1', '2', '3'], 'all are too old');
+  t.same(endpointsDueForLoad([at('1', 1, 5), at('2', 1, 0), at('3', 1, 2), at('4', 1, 1)], 2, 1), ['2', '4']);
+  t.same(endpointsDueForLoad([at('1', 1), at('2', 2), at('3', 1), at('4', 2)], 3, 1), ['1', '3']);
+  t.same(endpointsDueForLoad([at('1', 2), at('2', 3), at('3', 2), at('4', 3)], 3, 1), []);
+  t.same(endpointsDueForLoad([at('1', 1)], 2, 1), ['1'], 'a single endpoint loads each version');
+  t.same(endpointsDueForLoad([at('1', 0), at('2', 0), at('3', 0)], 5, 1), ['1', '2', '3'], 'all are too old');
   t.end();
 });
 
@@ -334,10 +340,10 @@
   // Symptom: a step stands still for half of its time while endpoints load. Sequence: two trainers name versions in
   // the same second; those of the first prepare its next step, the second's step has begun and finds none that is
   // new enough. Cause: due loads taken model by model.
-  const at = (id: string, version: number): LoadCandidate => ({ id, version, load: 0, takesOrders: true });
-  const quests = { model: 'quests', named: 11, candidates: [at('q1', 10), at('q2', 10), at('q3', 9)] };
-  const barks = { model: 'barks', named: 9, candidates: [at('b1', 7), at('b2', 7), at('b3', 7)] };
-  const ids = orderLoads([quests, barks], 1).map(({ id, version }) => `${id}:${version}`);
+  const at = (id: string, version: number): LoadCandidate => ({ id, version, load: 0, acceptsOrders: true });
+  const quests = { model: 'quests', namedVersion: 11, candidates: [at('q1', 10), at('q2', 10), at('q3', 9)] };
+  const barks = { model: 'barks', namedVersion: 9, candidates: [at('b1', 7), at('b2', 7), at('b3', 7)] };
+  const ids = prioritizeLoads([quests, barks], 1).map(({ id, version }) => `${id}:${version}`);
   t.same(ids, ['b1:9', 'b2:9', 'q3:11', 'b3:9', 'q1:11']);
   t.end();
 });
@@ -345,9 +351,9 @@
 await tap.test('should count an endpoint that loads with what it loads, and give it no second order', t => {
   // Symptom: new weights come a second late. Sequence: two endpoints load version 10 when 11 is named; both are
   // chosen again and answer that they are busy, while others are idle. Cause: loads that run were not counted.
-  const loading = { id: 'a', version: 10, load: 0, takesOrders: false };
-  const idle = { id: 'b', version: 9, load: 4, takesOrders: true };
-  t.same(orderLoads([{ model: 'm', named: 11, candidates: [loading, idle] }], 1), [
+  const loading = { id: 'a', version: 10, load: 0, acceptsOrders: false };
+  const idle = { id: 'b', version: 9, load: 4, acceptsOrders: true };
+  t.same(prioritizeLoads([{ model: 'm', namedVersion: 11, candidates: [loading, idle] }], 1), [
     { id: 'b', model: 'm', version: 11 },
   ]);
   t.end();
@@ -386,7 +392,7 @@
     planner.postponed('e');
     await clock.advance(100);
   }
-  t.same(planner.setAside(), []);
+  t.same(planner.excludedEndpoints(), []);
 });
 
 await tap.test('should cut results into pages that end with what fits', t => {
@@ -403,7 +409,7 @@
   const huge: ItemResult = { id: 'h', state: 'completed', text: 'x'.repeat(900_000), versions: [1] };
   t.equal(pageFrom([huge], 1, 0).results.length, 1, 'at least one');
   t.same(pageFrom(results, 40, 99), { total: 40, results: [], next: 99 });
-  t.equal(countThatFits([huge, huge]), 1);
+  t.equal(countFitting([huge, huge]), 1);
   t.end();
 });
 
@@ -417,7 +423,7 @@
   t.ok(parts.every(part => part.length <= MAX_RECORD_UNITS));
   const joined = joinBatch('k', parts);
   t.ok(joined.ok && joined.value.items.length === 20);
-  t.equal(positionOf(resultKey('b', 42)), 42);
+  t.equal(resultPositionOf(resultKey('b', 42)), 42);
   t.end();
 });
 
--- a/tests/keyFleet.ts
+++ b/tests/keyFleet.ts
@@ -83,7 +83,7 @@
     return this._call(holder, host => host.holder.fenceSlot(message));
   }
 
-  isProvenGone(holder: string): boolean {
+  isProvenTerminated(holder: string): boolean {
     const { hostId, incarnation } = splitHolder(holder);
     const isGone = (this._fleet.hosts.get(hostId)?.incarnation ?? 0) > incarnation;
     // Word of a restart spreads in its own time.
@@ -119,7 +119,7 @@
   private _learnForever(): void {
     this.process.after(LEARN_MS, () => {
       const { map, isDown } = this._fleet.store;
-      if (map && !isDown && !this.isCutOff) this.holder.learnMap(map);
+      if (map && !isDown && !this.isCutOff) this.holder.updateMap(map);
       this._learnForever();
     });
   }
@@ -167,7 +167,7 @@
     if (this.store.isDown) return;
     const host = this.host(planner);
     if (host.isCutOff || host.process.isPaused) return;
-    if (this.store.map) host.holder.learnMap(this.store.map);
+    if (this.store.map) host.holder.updateMap(this.store.map);
     const current = host.holder.map();
     const plan = planSlotMap(current, {
       domain: DOMAIN,
@@ -175,7 +175,7 @@
       live: live.map(id => this.host(id).holderId).sort(),
       settled: host.holder.settledSlots(),
     });
-    if (plan && this.store.swap(current?.revision ?? 0, plan)) host.holder.learnMap(plan);
+    if (plan && this.store.swap(current?.revision ?? 0, plan)) host.holder.updateMap(plan);
   }
 
   async settle(): Promise<void> {
--- a/tests/keys.spec.ts
+++ b/tests/keys.spec.ts
@@ -5,11 +5,11 @@
 import tap from 'tap';
 import {
   homeDomain,
-  KEY_WINDOW_MS,
+  KEY_RETENTION_MS,
   planSlotMap,
   slotOf,
-  SLOTS_A_DOMAIN,
-  type PlanInput,
+  SLOTS_PER_DOMAIN,
+  type SlotPlanInput,
   type SlotMap,
 } from '@fuchsiahitch/requests';
 import { fuzzRuns } from './fuzzRuns.js';
@@ -133,7 +133,7 @@
   await fleet.clock.advance(5000);
   t.equal(fleet.runs.get(key), 1);
   t.equal(fleet.lastTold(key), 'unknown');
-  await fleet.clock.advance(KEY_WINDOW_MS);
+  await fleet.clock.advance(KEY_RETENTION_MS);
   fleet.arrive(rest, 'a-new-key');
   await fleet.clock.advance(5000);
   t.equal(fleet.runs.get('a-new-key'), 1, 'serves again after the window');
@@ -282,7 +282,7 @@
 });
 
 /** Plans until nothing is left to change, and counts the maps that were written. */
-function mapsUntilStable(map: SlotMap | undefined, input: PlanInput): number {
+function mapsUntilStable(map: SlotMap | undefined, input: SlotPlanInput): number {
   let maps = 0;
   for (let next = planSlotMap(map, input); next && maps < 20; next = planSlotMap(next, input)) maps += 1;
   return maps;
@@ -325,7 +325,7 @@
   const first = planSlotMap(undefined, input);
   const left = planSlotMap(first, { ...input, live: live.slice(1) });
   const moved = left?.slots.filter((entry, i) => entry.epoch !== first?.slots[i]?.epoch).length ?? 0;
-  t.ok(moved <= Math.ceil((2 * SLOTS_A_DOMAIN) / 33) + 1, `${moved} slots moved`);
+  t.ok(moved <= Math.ceil((2 * SLOTS_PER_DOMAIN) / 33) + 1, `${moved} slots moved`);
   t.ok(mapsUntilStable(left, { ...input, live: live.slice(1) }) <= 2, 'stable after two more maps');
   t.end();
 });
--- a/tests/listing.spec.ts
+++ b/tests/listing.spec.ts
@@ -3,7 +3,7 @@
  */
 import tap from 'tap';
 import { Deadline, SeededRandom, VirtualClock } from '@fuchsiahitch/base';
-import { BatchLedger, ListSoon, ListWholeGroups, type ListingPolicy } from '@fuchsiahitch/batches';
+import { BatchLedger, PromptListing, CompleteGroupListing, type ListingPolicy } from '@fuchsiahitch/batches';
 import { BatchStore, ClaimLease, ResultLister } from '@fuchsiahitch/gateway';
 import { FakeStore } from './fakeStore.js';
 import { batch, item, testContext } from './gatewayWorld.js';
@@ -57,7 +57,7 @@
   for (const { id, group } of items) {
     open.set(group, (open.get(group) ?? 0) + 1);
     const events = random.below(10) === 0 ? 60 + random.below(80) : 1 + random.below(20);
-    ledger.begin(id);
+    ledger.beginAttempt(id);
     clock.after(events * EVENT_MS, () => {
       ledger.event(id, { number: 1, text: 'text', version: 1 });
       ledger.completed(id);
@@ -78,8 +78,8 @@
 await tap.test('should list whole groups as soon as ever, with fewer writes', async t => {
   // Calls to the store are a tenth of what a day earns, and most of them list single results that nobody can use yet.
   for (let seed = 1; seed <= 10; seed++) {
-    const soon = await listBatch(new ListSoon(), seed);
-    const byGroup = await listBatch(new ListWholeGroups(), seed);
+    const soon = await listBatch(new PromptListing(), seed);
+    const byGroup = await listBatch(new CompleteGroupListing(), seed);
     for (const listed of [soon, byGroup]) {
       t.ok(listed.isAllListed);
       t.equal(listed.groupWaitsMs.length, GROUPS);
@@ -92,7 +92,7 @@
 await tap.test('should list the last group that the trainer waits for at once', async t => {
   // A trainer that waits for its last group a moment longer asks for all its later steps a moment later.
   for (let seed = 1; seed <= 10; seed++) {
-    const { stepWaitMs } = await listBatch(new ListWholeGroups(), seed);
+    const { stepWaitMs } = await listBatch(new CompleteGroupListing(), seed);
     t.ok(stepWaitMs <= 20, `seed ${seed}: ${stepWaitMs} ms`);
   }
 });
--- a/tests/orders.spec.ts
+++ b/tests/orders.spec.ts
@@ -80,7 +80,7 @@
     await clock.advance(4000);
   }
   t.same(planner.next(endpoints(1), 1), []);
-  t.same(planner.setAside(), ['e0']);
+  t.same(planner.excludedEndpoints(), ['e0']);
   t.ok(planner.isDone(endpoints(1)));
   planner.readBack('e0', { version: 1, startId: 'b' });
   t.equal(planner.next(endpoints(1), 1).length, 1, 'a restarted endpoint gets a new chance');
--- a/tests/pace.spec.ts
+++ b/tests/pace.spec.ts
@@ -18,16 +18,16 @@
 function paceAfter(pauses: number, seed: number): Pace {
   const pace = new Pace();
   const source = bursts(seed);
-  for (let i = 0; i < pauses; i++) pace.seen(Number(source.next().value));
+  for (let i = 0; i < pauses; i++) pace.addInterval(Number(source.next().value));
   return pace;
 }
 
 await tap.test('should tell no pace after a few events', t => {
   const pace = new Pace();
-  for (let i = 0; i < 15; i++) pace.seen(45);
-  t.equal(pace.ms(), undefined);
-  pace.seen(45);
-  t.equal(pace.ms(), 45);
+  for (let i = 0; i < 15; i++) pace.addInterval(45);
+  t.equal(pace.estimateMs(), undefined);
+  pace.addInterval(45);
+  t.equal(pace.estimateMs(), 45);
   t.end();
 });
 
@@ -37,8 +37,11 @@
   // that rests on some ten pauses; with it 66 of these 200 runs move.
   let moves = 0;
   for (let run = 1; run <= 200; run++) {
-    const here = paceAfter(100, run).ms() ?? 0;
-    const others = Array.from({ length: 30 }, (_, i) => paceAfter(100, 5000 + 100 * run + i).ms() ?? 0);
+    const here = paceAfter(100, run).estimateMs() ?? 0;
+    const others = Array.from(
+      { length: 30 },
+      (_, i) => paceAfter(100, 5000 + 100 * run + i).estimateMs() ?? 0,
+    );
     if (others.some(there => shouldMove(2000, here, there))) moves += 1;
   }
   t.equal(moves, 0);
@@ -47,7 +50,7 @@
 
 await tap.test('should follow an endpoint that turns slow within some 60 events', t => {
   const pace = paceAfter(300, 1);
-  for (let i = 0; i < 60; i++) pace.seen(160);
-  t.ok((pace.ms() ?? 0) > 100, `${pace.ms()} ms`);
+  for (let i = 0; i < 60; i++) pace.addInterval(160);
+  t.ok((pace.estimateMs() ?? 0) > 100, `${pace.estimateMs()} ms`);
   t.end();
 });
--- a/tests/poisonCases.spec.ts
+++ b/tests/poisonCases.spec.ts
@@ -30,7 +30,7 @@
   t.same(known.verdict(FP), { kind: 'held', leftMs: 1500 });
   await clock.advance(1500);
   t.same(known.verdict(FP), { kind: 'trial', number: 1 });
-  known.trialBegan(FP, 1, 2);
+  known.trialStarted(FP, 1, 2);
   t.equal(known.verdict(FP).kind, 'held', 'its result is waited for');
   await clock.advance(2500);
   t.same(known.verdict(FP), { kind: 'held', leftMs: 57_500 }, 'no result proves nothing');
@@ -42,7 +42,7 @@
   // Symptom: for two seconds after the trial callers are told to come again. Sequence: a host hears of the end before it hears of
   // the trial under which it came. Cause: ends counted as known before the trial.
   const { cases: known } = cases('e1', 'e2', 'e3');
-  known.trialBegan(FP, 1, 2);
+  known.trialStarted(FP, 1, 2);
   t.same(known.verdict(FP), { kind: 'condemned' });
   t.end();
 });
@@ -55,7 +55,7 @@
     const verdict = known.verdict(FP);
     if (verdict.kind !== 'trial') continue;
     trials.push(s + 1);
-    known.trialBegan(FP, verdict.number, 1 + verdict.number);
+    known.trialStarted(FP, verdict.number, 1 + verdict.number);
     known.ended(FP, `e${2 + verdict.number}`);
   }
   t.same(trials, [2, 62, 662]);
@@ -66,7 +66,7 @@
   const { clock, cases: known } = cases('e1', 'e2');
   for (const number of [1, 2, 3]) {
     await clock.advance(600_000);
-    known.trialBegan(FP, number, 2);
+    known.trialStarted(FP, number, 2);
   }
   t.same(known.verdict(FP), { kind: 'condemned' }, 'the last trial is made');
 });
@@ -74,7 +74,7 @@
 await tap.test('should make a trial again that did not run', async t => {
   const { clock, cases: known } = cases('e1', 'e2');
   await clock.advance(2000);
-  known.trialBegan(FP, 1, 2);
+  known.trialStarted(FP, 1, 2);
   known.trialDropped(FP, 1);
   t.same(known.verdict(FP), { kind: 'held', leftMs: 2000 }, 'not at once: no endpoint may take it');
   await clock.advance(2000);
@@ -86,7 +86,7 @@
   known.cleared(FP);
   t.same(known.verdict(FP), { kind: 'free' });
   t.equal(known.count(), 0);
-  t.notOk(known.mayConcern(targetDigest(REQUEST)));
+  t.notOk(known.mayMatch(targetDigest(REQUEST)));
   t.end();
 });
 
@@ -106,7 +106,7 @@
   }
   t.equal(known.count(), 2000);
   t.equal(known.verdict(FP).kind, 'held', 'what is marked again and again stays');
-  t.notOk(known.mayConcern(targetOfFingerprint(flood(0))), 'and what was marked longest ago goes');
+  t.notOk(known.mayMatch(targetOfFingerprint(flood(0))), 'and what was marked longest ago goes');
   t.end();
 });
 
--- a/tests/requests.spec.ts
+++ b/tests/requests.spec.ts
@@ -27,7 +27,7 @@
   // Symptom: the service counts a run of a request that was answered "not run". Sequence: the wait times out,
   // then the dispatcher's turn comes. Cause: two places decide; here both are one state.
   const run = new RequestRun(1000);
-  t.match(run.giveUp('deadline'), { kind: 'not-run', reason: 'too-late' });
+  t.match(run.abandon('deadline'), { kind: 'not-run', reason: 'too-late' });
   t.equal(run.send(), undefined);
   t.end();
 });
@@ -35,7 +35,7 @@
 await tap.test('should not say not run once an attempt may have run', t => {
   const run = new RequestRun(1000);
   const first = run.send() ?? 0;
-  t.ok(run.brokenRepeatable(first));
+  t.ok(run.brokenRetryable(first));
   t.match(run.refuse('no-endpoint'), { kind: 'unknown' });
   t.end();
 });
@@ -45,11 +45,11 @@
   // head arrives late. Cause: answers were matched by request only.
   const run = new RequestRun(1000);
   const first = run.send() ?? 0;
-  run.brokenRepeatable(first);
+  run.brokenRetryable(first);
   const second = run.send() ?? 0;
-  t.notOk(run.answerBegan(first));
+  t.notOk(run.answerStarted(first));
   t.notOk(run.answered(first, 200, false));
-  t.ok(run.answerBegan(second));
+  t.ok(run.answerStarted(second));
   t.ok(run.answered(second, 200, false));
   t.notOk(run.answered(second, 200, false), 'a second end is dropped');
   t.equal(run.droppedEvents(), 3);
@@ -61,11 +61,11 @@
   const event = fc.constantFrom(
     'send',
     'provenNotRun',
-    'brokenRepeatable',
+    'brokenRetryable',
     'broken',
-    'answerBegan',
+    'answerStarted',
     'answered',
-    'giveUp',
+    'abandon',
     'refuse',
   );
   fc.assert(
@@ -78,7 +78,7 @@
         const about = attempt - lateBy;
         const isLive = run.phase() === 'sent' || run.phase() === 'answering';
         if (name === 'send') attempt = run.send() ?? attempt;
-        else if (name === 'giveUp') run.giveUp('deadline');
+        else if (name === 'abandon') run.abandon('deadline');
         else if (name === 'refuse') {
           if (run.phase() === 'waiting') run.refuse('no-endpoint');
         } else if (name === 'answered') run.answered(about, 200, false);
@@ -171,7 +171,7 @@
   }));
   for (const { endpoints } of hosts) {
     for (const [i, endpoint] of endpoints.entries()) {
-      endpoint.stats.reported({
+      endpoint.stats.onLoadReport({
         inFlight: i === 0 ? 0 : 6,
         queued: 0,
         version: '1',
@@ -220,7 +220,7 @@
   const random = new SeededRandom(5);
   let attempts = 0;
   for (let i = 0; i < 2000; i++) {
-    budget.requestBegan();
+    budget.requestStarted();
     attempts += 1;
     while (random.below(3) === 0 && budget.take()) attempts += 1;
   }
@@ -257,21 +257,21 @@
   const queue = new RequestQueue(clock, 100);
   const refused: string[] = [];
   for (let i = 0; i < 10; i++)
-    queue.enter(
+    queue.enqueue(
       'customer',
       Deadline.after(clock, 60_000),
       () => false,
       r => refused.push(r),
     );
   let turns = 1;
-  queue.enter(
+  queue.enqueue(
     'customer-high',
     Deadline.after(clock, 60_000),
     () => turns-- > 0,
     r => refused.push(r),
   );
-  queue.serve();
-  queue.enter(
+  queue.dispatch();
+  queue.enqueue(
     'customer',
     Deadline.after(clock, 100),
     () => false,
@@ -286,13 +286,13 @@
 await tap.test('should fall and grow with what the endpoint reports', t => {
   const limit = new ConcurrencyLimit(16, 4);
   t.equal(limit.value(), 4);
-  limit.used(4);
-  limit.reported(0, 8);
+  limit.recordUsage(4);
+  limit.onLoadReport(0, 8);
   t.equal(limit.value(), 5);
-  limit.reported(5, 16);
+  limit.onLoadReport(5, 16);
   t.equal(limit.value(), 4);
-  t.equal(limit.rolloutValue(0.2), 3, "the reserve is rounded in the customers' favour");
-  t.equal(new ConcurrencyLimit(1, 4).rolloutValue(0.2), 0);
+  t.equal(limit.rolloutLimit(0.2), 3, "the reserve is rounded in the customers' favour");
+  t.equal(new ConcurrencyLimit(1, 4).rolloutLimit(0.2), 0);
   t.end();
 });
 
--- a/tests/scoring.spec.ts
+++ b/tests/scoring.spec.ts
@@ -6,9 +6,9 @@
 import {
   BatchLedger,
   carryOver,
-  isWorthTelling,
-  KeptEvents,
-  retryPauseMs,
+  shouldLogFailures,
+  StoredEvents,
+  retryDelayMs,
   type ItemResult,
 } from '@fuchsiahitch/batches';
 import { toScoreEnd, type EndpointCall, type EndpointReply } from '@fuchsiahitch/gateway';
@@ -22,7 +22,7 @@
 /** A ledger whose item x has a whole text of so many events. */
 function withWholeText(events: number): BatchLedger {
   const ledger = new BatchLedger(BATCH, [], RULES);
-  ledger.begin('x');
+  ledger.beginAttempt('x');
   for (let number = 1; number <= events; number++)
     ledger.event('x', { number, text: String(number), version: 1 });
   ledger.completed('x');
@@ -106,11 +106,11 @@
   // Symptom: an item is generated for seconds once more. Sequence: its owner dies between the last event and the score.
   // Cause: the store has the events, and not that there are no more.
   const ledger = withWholeText(30);
-  const kept = new KeptEvents(ledger);
-  const records = kept.missing();
+  const kept = new StoredEvents(ledger);
+  const records = kept.unstored();
   t.match(records, [{ itemId: 'x', wholeEvents: 30 }]);
-  kept.keep(records, kept.texts(records));
-  t.same(kept.missing(), [], 'once');
+  kept.markStored(records, kept.texts(records));
+  t.same(kept.unstored(), [], 'once');
   const next = new BatchLedger(BATCH, [], RULES);
   next.resume(records);
   t.same(
@@ -128,13 +128,13 @@
 
 await tap.test('should keep that a text is whole where its events are kept already', t => {
   const ledger = new BatchLedger(BATCH, [], RULES);
-  const kept = new KeptEvents(ledger);
-  ledger.begin('x');
+  const kept = new StoredEvents(ledger);
+  ledger.beginAttempt('x');
   for (let number = 1; number <= 25; number++) ledger.event('x', { number, text: 'a', version: 1 });
-  const events = kept.missing();
-  kept.keep(events, kept.texts(events));
+  const events = kept.unstored();
+  kept.markStored(events, kept.texts(events));
   ledger.completed('x');
-  const end = kept.missing();
+  const end = kept.unstored();
   t.same(end, [{ itemId: 'x', events: [], wholeEvents: 25 }]);
   const next = new BatchLedger(BATCH, [], RULES);
   next.resume([...events, ...end]);
@@ -147,11 +147,11 @@
   const results: ItemResult[] = [{ id: 'x', state: 'completed', text: 'one', versions: [1], score: 'proof' }];
   const earlier = { batch: BATCH, results, progress: [] };
   const same = new BatchLedger(batch('b2', [x]), [], RULES);
-  same.carry(carryOver(same.batch, earlier, false));
+  same.applyCarryOver(carryOver(same.batch, earlier, false));
   t.same(same.unconfirmed(), results);
   const other = { ...x, scoring: { id: 'other', host: 'quests', path: '/score/x', bodyBase64: '' } };
   const again = new BatchLedger(batch('b2', [other]), [], RULES);
-  again.carry(carryOver(again.batch, earlier, false));
+  again.applyCarryOver(carryOver(again.batch, earlier, false));
   t.same(again.unconfirmed(), []);
   again.beginScoring('x');
   again.scored('x', 'new');
@@ -181,9 +181,9 @@
 });
 
 await tap.test('should ask again at once, then ever more slowly', t => {
-  t.same([1, 2, 3, 4, 5, 6, 7, 50].map(retryPauseMs), [0, 0, 50, 100, 200, 400, 800, 800]);
+  t.same([1, 2, 3, 4, 5, 6, 7, 50].map(retryDelayMs), [0, 0, 50, 100, 200, 400, 800, 800]);
   t.same(
-    [1, 4, 5, 6, 10, 15, 20, 40].filter(count => isWorthTelling(count)),
+    [1, 4, 5, 6, 10, 15, 20, 40].filter(count => shouldLogFailures(count)),
     [5, 10, 20, 40],
   );
   t.end();
