--- a/packages/batches/src/storedEvents.ts
+++ b/packages/batches/src/storedEvents.ts
@@ -38,7 +38,7 @@
    * Events of items without a confirmed result that are not kept yet, as many as fit one record; empty when there are
    * none. `minEvents`: items with fewer are left out, unless their text is whole.
    */
-  unstored(minEvents = MIN_EVENTS): readonly ItemEvents[] {
+  missing(minEvents = MIN_EVENTS): readonly ItemEvents[] {
     const missing: ItemEvents[] = [];
     let unitsLeft = MAX_RECORD_UNITS;
     for (const unfinished of this._ledger.unfinished()) {
@@ -59,7 +59,7 @@
   }
 
   /** The events are kept now. `texts`: which text of each item they belong to, from before they were written. */
-  markStored(kept: readonly ItemEvents[], textNumbers: ReadonlyMap<string, number>): void {
+  keep(kept: readonly ItemEvents[], textNumbers: ReadonlyMap<string, number>): void {
     for (const { itemId, events, wholeEvents } of kept) {
       const textNumber = textNumbers.get(itemId) ?? 0;
       const last = events.at(-1)?.number ?? wholeEvents ?? 0;
--- a/packages/gateway/src/progressKeeper.ts
+++ b/packages/gateway/src/progressKeeper.ts
@@ -85,12 +85,12 @@
     }
     this._lease.confirmed(askedMs);
     this._records += 1;
-    this._kept.markStored(events, texts);
+    this._kept.keep(events, texts);
     this._context.log.debug('progress kept', { batchId: this._batchId, items: events.length });
   }
 
   private _next(minEvents?: number): Writing | undefined {
-    const events = this._kept.unstored(minEvents);
+    const events = this._kept.missing(minEvents);
     return events.length > 0 ? { events, texts: this._kept.texts(events) } : undefined;
   }
 }
--- a/tests/batches.spec.ts
+++ b/tests/batches.spec.ts
@@ -110,8 +110,8 @@
       ledger.event('x', { number, text: `${version}.${number}`, version });
   };
   const keep = (): readonly number[] => {
-    const missing = kept.unstored();
-    kept.markStored(missing, kept.texts(missing));
+    const missing = kept.missing();
+    kept.keep(missing, kept.texts(missing));
     return missing.flatMap(({ events }) => [events[0]?.number ?? 0, events.at(-1)?.number ?? 0]);
   };
   add(1, 10, 1);
@@ -136,10 +136,10 @@
     ledger.event('x', { number, text: 'x'.repeat(10_000), version: 1 });
   const lasts: (number | undefined)[] = [];
   for (;;) {
-    const missing = kept.unstored();
+    const missing = kept.missing();
     if (missing.length === 0) break;
     t.ok(JSON.stringify(missing).length < 330_000);
-    kept.markStored(missing, kept.texts(missing));
+    kept.keep(missing, kept.texts(missing));
     lasts.push(missing.at(-1)?.events.at(-1)?.number);
   }
   t.equal(lasts.at(-1), 60);
--- a/tests/scoring.spec.ts
+++ b/tests/scoring.spec.ts
@@ -107,10 +107,10 @@
   // Cause: the store has the events, and not that there are no more.
   const ledger = withWholeText(30);
   const kept = new StoredEvents(ledger);
-  const records = kept.unstored();
+  const records = kept.missing();
   t.match(records, [{ itemId: 'x', wholeEvents: 30 }]);
-  kept.markStored(records, kept.texts(records));
-  t.same(kept.unstored(), [], 'once');
+  kept.keep(records, kept.texts(records));
+  t.same(kept.missing(), [], 'once');
   const next = new BatchLedger(BATCH, [], RULES);
   next.resume(records);
   t.same(
@@ -131,10 +131,10 @@
   const kept = new StoredEvents(ledger);
   ledger.beginAttempt('x');
   for (let number = 1; number <= 25; number++) ledger.event('x', { number, text: 'a', version: 1 });
-  const events = kept.unstored();
-  kept.markStored(events, kept.texts(events));
+  const events = kept.missing();
+  kept.keep(events, kept.texts(events));
   ledger.completed('x');
-  const end = kept.unstored();
+  const end = kept.missing();
   t.same(end, [{ itemId: 'x', events: [], wholeEvents: 25 }]);
   const next = new BatchLedger(BATCH, [], RULES);
   next.resume([...events, ...end]);
