--- a/tests/moves.spec.ts
+++ b/tests/moves.spec.ts
@@ -70,10 +70,10 @@
 });
 
 await tap.test('should suspect silence by the endpoint’s own pace', t => {
-  t.match(idleTimeouts(true, 40), { suspectMs: 350, giveUpMs: 1200 });
+  t.match(idleTimeouts(true, 40), { suspectMs: 350, abandonMs: 1200 });
   t.match(idleTimeouts(true, 100), { suspectMs: 800 });
   t.match(idleTimeouts(true, 400), { suspectMs: 1200 }, 'a slow one gets as long as any');
   t.match(idleTimeouts(true, undefined), { suspectMs: 1200 });
-  t.match(idleTimeouts(false, 40), { suspectMs: 700, giveUpMs: 2500 });
+  t.match(idleTimeouts(false, 40), { suspectMs: 700, abandonMs: 2500 });
   t.end();
 });
