--- a/packages/batches/src/batchKeys.ts
+++ b/packages/batches/src/batchKeys.ts
@@ -13,7 +13,7 @@
 
 const POSITION_DIGITS = 7;
 /** Steps of one model whose batches are named: a trainer has at most a few open. */
-const STEP_KEYS = 4;
+const STEP_KEYS_PER_MODEL = 4;
 /** Any revision that a number holds exactly. */
 const REVISION_DIGITS = 16;
 
@@ -32,7 +32,7 @@
 
 /** The key that names the batch of a model's step. Keys are used again after a few steps, so that none is left behind. */
 export function stepKey(accountName: string | undefined, model: string, step: number): string {
-  return `${KEY_ROOT}step/${batchIdOf(accountName, model)}/${step % STEP_KEYS}`;
+  return `${KEY_ROOT}step/${batchIdOf(accountName, model)}/${step % STEP_KEYS_PER_MODEL}`;
 }
 
 /** The prefix of all parts of the batch as it was submitted. */
--- a/packages/batches/src/batchLedger.ts
+++ b/packages/batches/src/batchLedger.ts
@@ -24,7 +24,7 @@
 type ItemState = 'waiting' | 'running' | 'unscored' | 'scoring' | 'finished';
 
 /** A whole text that an earlier step has listed: its events are not known one by one. */
-interface WholeText {
+interface CompleteText {
   readonly text: string;
   readonly versions: readonly number[];
 }
@@ -38,8 +38,8 @@
   attempts: number;
   /** Attempts in a row that added no event although the endpoint answered. */
   fruitless: number;
-  eventsAtBegin: number;
-  listedBefore: WholeText | undefined;
+  eventsAtStart: number;
+  carriedText: CompleteText | undefined;
 }
 
 /** How an attempt at an item that did not end its text left it. */
@@ -55,7 +55,7 @@
  * endpoint goes on with is offered round for ever, which one notices as an item with hundreds of attempts. Each answer
  * came from another endpoint, so that three can't be the fault of one.
  */
-const MAX_FRUITLESS = 3;
+const MAX_FRUITLESS_ATTEMPTS = 3;
 
 export class BatchLedger {
   readonly batch: Batch;
@@ -63,7 +63,7 @@
   private readonly _entries = new Map<string, Entry>();
   private readonly _confirmed: ItemResult[] = [];
   private _unconfirmed: ItemResult[] = [];
-  private _firstGroups: ReadonlySet<string> = new Set();
+  private _priorityGroups: ReadonlySet<string> = new Set();
 
   constructor(batch: Batch, listed: readonly ItemResult[], rules: ItemRules) {
     this.batch = batch;
@@ -150,11 +150,11 @@
     for (const result of before.results) {
       const entry = this._entries.get(result.id);
       if (entry?.state !== 'waiting') continue;
-      entry.listedBefore = { text: result.text, versions: result.versions };
-      if (result.score === undefined) this._textWhole(entry);
+      entry.carriedText = { text: result.text, versions: result.versions };
+      if (result.score === undefined) this._onTextComplete(entry);
       else this._finish(entry, 'completed', result.score);
     }
-    this._firstGroups = before.groups;
+    this._priorityGroups = before.groups;
     this.resume(before.unfinished);
   }
 
@@ -168,13 +168,13 @@
     for (const kept of unfinished) {
       const entry = this._entries.get(kept.itemId);
       if (entry?.state !== 'waiting') continue;
-      takeEvents(entry.progress, kept);
+      addEvents(entry.progress, kept);
       if (kept.events[0]?.number === 1) wholeEvents.delete(kept.itemId);
       if (kept.wholeEvents !== undefined) wholeEvents.set(kept.itemId, kept.wholeEvents);
     }
     for (const [itemId, events] of wholeEvents) {
       const entry = this._entry(itemId);
-      if (entry.progress.lastEventNumber() === events) this._textWhole(entry);
+      if (entry.progress.lastEventNumber() === events) this._onTextComplete(entry);
     }
   }
 
@@ -185,7 +185,9 @@
    */
   waiting(): readonly BatchItem[] {
     const entries = [...this._entries.values()].filter(entry => entry.state === 'waiting');
-    entries.sort((a, b) => this._rank(b) - this._rank(a) || compare(urgency(b), urgency(a)));
+    entries.sort(
+      (a, b) => this._groupPriority(b) - this._groupPriority(a) || compareNumbers(urgency(b), urgency(a)),
+    );
     return entries.map(entry => entry.item);
   }
 
@@ -195,7 +197,7 @@
     invariant(entry.state === 'waiting', 'only a waiting item begins');
     entry.state = 'running';
     entry.attempts += 1;
-    entry.eventsAtBegin = entry.progress.lastEventNumber();
+    entry.eventsAtStart = entry.progress.lastEventNumber();
     return entry.attempts;
   }
 
@@ -206,7 +208,7 @@
   /** The item's stream ended whole. */
   completed(itemId: string): void {
     const entry = this._entry(itemId);
-    if (entry.state === 'running') this._textWhole(entry);
+    if (entry.state === 'running') this._onTextComplete(entry);
   }
 
   /** The attempt ended without a whole text, and says nothing against the item: it waits again. */
@@ -219,9 +221,9 @@
   interruptedByEndpoint(itemId: string): Interruption {
     const entry = this._entry(itemId);
     this.interrupted(itemId);
-    const isFruitless = entry.progress.lastEventNumber() <= entry.eventsAtBegin;
+    const isFruitless = entry.progress.lastEventNumber() <= entry.eventsAtStart;
     entry.fruitless = isFruitless ? entry.fruitless + 1 : 0;
-    const isTextDropped = entry.fruitless >= MAX_FRUITLESS && entry.progress.lastEventNumber() > 0;
+    const isTextDropped = entry.fruitless >= MAX_FRUITLESS_ATTEMPTS && entry.progress.lastEventNumber() > 0;
     if (isTextDropped) entry.progress.clear();
     return { fruitless: entry.fruitless, isTextDropped };
   }
@@ -229,7 +231,7 @@
   /** The items whose texts are whole and whose scores are not asked for at this moment. */
   unscored(): readonly BatchItem[] {
     const entries = [...this._entries.values()].filter(entry => entry.state === 'unscored');
-    entries.sort((a, b) => this._rank(b) - this._rank(a));
+    entries.sort((a, b) => this._groupPriority(b) - this._groupPriority(a));
     return entries.map(entry => entry.item);
   }
 
@@ -281,12 +283,12 @@
   }
 
   /** The trainer waits for groups that come again, whatever others are whole. */
-  private _rank(entry: Entry): number {
-    return this._firstGroups.has(entry.item.group) ? 1 : 0;
+  private _groupPriority(entry: Entry): number {
+    return this._priorityGroups.has(entry.item.group) ? 1 : 0;
   }
 
   /** The text will not change any more: it is scored, or listed as it is. */
-  private _textWhole(entry: Entry): void {
+  private _onTextComplete(entry: Entry): void {
     if (entry.item.scoring) entry.state = 'unscored';
     else this._finish(entry, 'completed');
   }
@@ -315,8 +317,8 @@
     scoreFailures: 0,
     attempts: 0,
     fruitless: 0,
-    eventsAtBegin: 0,
-    listedBefore: undefined,
+    eventsAtStart: 0,
+    carriedText: undefined,
   };
 }
 
@@ -324,23 +326,23 @@
   return result.state === 'completed';
 }
 
-function textOf({ listedBefore, progress }: Entry): WholeText {
+function textOf({ carriedText: listedBefore, progress }: Entry): CompleteText {
   return listedBefore ?? { text: progress.text(), versions: progress.versions() };
 }
 
-function isWhole(state: ItemState): boolean {
+function isTextComplete(state: ItemState): boolean {
   return state === 'unscored' || state === 'scoring' || state === 'finished';
 }
 
 function toItemEvents({ item, progress, state }: Entry): ItemEvents {
   const events = progress.events();
-  return isWhole(state)
+  return isTextComplete(state)
     ? { itemId: item.id, events, wholeEvents: events.length }
     : { itemId: item.id, events };
 }
 
 /** Adds the events that fit the text so far. A list that begins with the first event is a new text. */
-function takeEvents(progress: ItemProgress, { events }: ItemEvents): void {
+function addEvents(progress: ItemProgress, { events }: ItemEvents): void {
   if (events[0]?.number === 1) progress.clear();
   for (const event of events) {
     const effect = progress.add(event);
@@ -355,7 +357,7 @@
 }
 
 /** Orders numbers, infinite ones too. */
-function compare(a: number, b: number): number {
+function compareNumbers(a: number, b: number): number {
   if (a === b) return 0;
   return a < b ? -1 : 1;
 }
--- a/packages/batches/src/carryOver.ts
+++ b/packages/batches/src/carryOver.ts
@@ -36,8 +36,8 @@
 
 export function carryOver(batch: Batch, earlier: EarlierBatch, isSingleVersion: boolean): CarryOver {
   const before = new Map(earlier.batch.items.map(item => [item.id, item]));
-  const again = batch.items.filter(item => isSame(item, before.get(item.id)));
-  const items = new Map(again.map(item => [item.id, item]));
+  const repeated = batch.items.filter(item => isSameItem(item, before.get(item.id)));
+  const items = new Map(repeated.map(item => [item.id, item]));
   const ids = new Set(items.keys());
   const fits = (result: ItemResult): boolean => {
     if (!ids.has(result.id) || result.state !== 'completed' || result.versions.length === 0) return false;
@@ -45,16 +45,16 @@
     return result.versions.every(version => version >= batch.minVersion);
   };
   return {
-    groups: new Set(again.map(item => item.group)),
+    groups: new Set(repeated.map(item => item.group)),
     results: earlier.results
       .filter(fits)
-      .map(result => withFittingScore(result, items.get(result.id), before.get(result.id))),
+      .map(result => withMatchingScore(result, items.get(result.id), before.get(result.id))),
     unfinished: earlier.progress.filter(({ itemId }) => ids.has(itemId)),
   };
 }
 
 /** The result without its score if that was asked for by another request than the item's. */
-function withFittingScore(
+function withMatchingScore(
   result: ItemResult,
   item: BatchItem | undefined,
   before: BatchItem | undefined,
@@ -74,7 +74,7 @@
 }
 
 /** The same identifier alone is no proof: a text belongs to the request that it was generated for. */
-function isSame(item: BatchItem, before: BatchItem | undefined): boolean {
+function isSameItem(item: BatchItem, before: BatchItem | undefined): boolean {
   if (!before) return false;
   return (
     item.group === before.group &&
--- a/packages/batches/src/endpointShares.ts
+++ b/packages/batches/src/endpointShares.ts
@@ -23,7 +23,7 @@
   const shares = new Map<string, string[]>([...targets.keys()].map(model => [model, []]));
   const free: string[] = [];
   for (const endpoint of sorted(endpoints)) {
-    const home = homeOf(endpoint, targets);
+    const home = closestModel(endpoint, targets);
     const share = home === undefined ? undefined : shares.get(home);
     (share ?? free).push(endpoint.id);
   }
@@ -37,7 +37,7 @@
 }
 
 /** The model of which the endpoint is the least behind; undefined when two are even. */
-function homeOf(endpoint: SharedEndpoint, targets: ModelTargets): string | undefined {
+function closestModel(endpoint: SharedEndpoint, targets: ModelTargets): string | undefined {
   let home: string | undefined;
   let least = Infinity;
   for (const [model, target] of targets) {
--- a/packages/batches/src/idleTimeouts.ts
+++ b/packages/batches/src/idleTimeouts.ts
@@ -15,17 +15,17 @@
 }
 
 /** Before the first event an item may wait behind the prompts of others: a whole batch takes some 150 ms to read. */
-const FIRST_EVENT: IdleTimeouts = { suspectMs: 700, abandonMs: 2500 };
-const GIVE_UP_MS = 1200;
+const FIRST_EVENT_TIMEOUTS: IdleTimeouts = { suspectMs: 700, abandonMs: 2500 };
+const ABANDON_MS = 1200;
 /** Events come evenly, at 37 to 40 ms on engines that are well; so many are missed before the endpoint is suspect. */
-const MISSED_EVENTS = 8;
+const SUSPECT_MISSED_EVENTS = 8;
 /** A garbage collection or a burst of prompts may cost some 150 ms: twice that and more. Chosen, not measured. */
 const MIN_SUSPECT_MS = 350;
 
 /** `paceMs`: the time between two events at the endpoint, undefined before any was seen. */
 export function idleTimeouts(hasEvents: boolean, paceMs: number | undefined): IdleTimeouts {
-  if (!hasEvents) return FIRST_EVENT;
-  if (paceMs === undefined) return { suspectMs: GIVE_UP_MS, abandonMs: GIVE_UP_MS };
-  const suspectMs = Math.min(GIVE_UP_MS, Math.max(MIN_SUSPECT_MS, MISSED_EVENTS * paceMs));
-  return { suspectMs, abandonMs: GIVE_UP_MS };
+  if (!hasEvents) return FIRST_EVENT_TIMEOUTS;
+  if (paceMs === undefined) return { suspectMs: ABANDON_MS, abandonMs: ABANDON_MS };
+  const suspectMs = Math.min(ABANDON_MS, Math.max(MIN_SUSPECT_MS, SUSPECT_MISSED_EVENTS * paceMs));
+  return { suspectMs, abandonMs: ABANDON_MS };
 }
--- a/packages/batches/src/itemPlacement.ts
+++ b/packages/batches/src/itemPlacement.ts
@@ -77,8 +77,8 @@
     together: PlacementEndpoint | undefined,
     { isLong, ownDomain }: PlacementRequest,
   ): PlacementEndpoint | undefined {
-    if (isLong) return quickest(quick);
-    return together ?? best(quick, ownDomain);
+    if (isLong) return fastest(quick);
+    return together ?? mostFree(quick, ownDomain);
   }
 }
 
@@ -92,9 +92,9 @@
     together: PlacementEndpoint | undefined,
     { isLong }: PlacementRequest,
   ): PlacementEndpoint | undefined {
-    const found = quickest(quick);
+    const found = fastest(quick);
     if (!found || !together || isLong) return found;
-    return isClearlyQuicker(found, together) ? found : together;
+    return isClearlyFaster(found, together) ? found : together;
   }
 }
 
@@ -109,47 +109,48 @@
   const quick = open.filter(endpoint => !isSlow(endpoint, medianMs));
   const together = quick.find(endpoint => endpoint.id === request.groupEndpointId);
   return (
-    policy.choose(quick, together, request) ?? (hasQuick(endpoints, medianMs) ? undefined : best(open, ''))
+    policy.choose(quick, together, request) ??
+    (hasFastEndpoint(endpoints, medianMs) ? undefined : mostFree(open, ''))
   );
 }
 
 const DEFAULT_PLACEMENT: PlacementPolicy = new MostFreePlacement();
 
 /** True if an endpoint that is not slow exists: an item that waits for its place still ends sooner there. */
-function hasQuick(endpoints: readonly PlacementEndpoint[], medianMs: number | undefined): boolean {
+function hasFastEndpoint(endpoints: readonly PlacementEndpoint[], medianMs: number | undefined): boolean {
   return endpoints.some(endpoint => !isSlow(endpoint, medianMs));
 }
 
 /** The endpoint with the best pace; among equals, and where paces are not known, the one with the most places. */
-function quickest(endpoints: readonly PlacementEndpoint[]): PlacementEndpoint | undefined {
+function fastest(endpoints: readonly PlacementEndpoint[]): PlacementEndpoint | undefined {
   let found: PlacementEndpoint | undefined;
   for (const endpoint of endpoints) {
-    if (!found || isQuicker(endpoint, found)) found = endpoint;
+    if (!found || isFaster(endpoint, found)) found = endpoint;
   }
   return found;
 }
 
-function isQuicker(a: PlacementEndpoint, b: PlacementEndpoint): boolean {
-  if (isClearlyQuicker(a, b)) return true;
-  if (isClearlyQuicker(b, a)) return false;
+function isFaster(a: PlacementEndpoint, b: PlacementEndpoint): boolean {
+  if (isClearlyFaster(a, b)) return true;
+  if (isClearlyFaster(b, a)) return false;
   return a.freePlaces > b.freePlaces;
 }
 
 /** Paces are measured: a tenth is no difference. */
-function isClearlyQuicker(a: PlacementEndpoint, b: PlacementEndpoint): boolean {
+function isClearlyFaster(a: PlacementEndpoint, b: PlacementEndpoint): boolean {
   return (a.paceMs ?? 0) * PACE_TOLERANCE < (b.paceMs ?? 0);
 }
 
 /** The endpoint with the most free places; among equals one of the own failure domain. */
-function best(endpoints: readonly PlacementEndpoint[], ownDomain: string): PlacementEndpoint | undefined {
+function mostFree(endpoints: readonly PlacementEndpoint[], ownDomain: string): PlacementEndpoint | undefined {
   let found: PlacementEndpoint | undefined;
   for (const endpoint of endpoints) {
-    if (!found || isBetter(endpoint, found, ownDomain)) found = endpoint;
+    if (!found || isFreer(endpoint, found, ownDomain)) found = endpoint;
   }
   return found;
 }
 
-function isBetter(a: PlacementEndpoint, b: PlacementEndpoint, ownDomain: string): boolean {
+function isFreer(a: PlacementEndpoint, b: PlacementEndpoint, ownDomain: string): boolean {
   if (a.freePlaces !== b.freePlaces) return a.freePlaces > b.freePlaces;
   return a.domain === ownDomain && b.domain !== ownDomain;
 }
--- a/packages/batches/src/itemProgress.ts
+++ b/packages/batches/src/itemProgress.ts
@@ -29,12 +29,12 @@
 }
 
 export class ItemProgress {
-  private readonly _demand: VersionRequirement;
+  private readonly _requirement: VersionRequirement;
   private _events: GeneratedEvent[] = [];
   private _textNumber = 0;
 
   constructor(demand: VersionRequirement) {
-    this._demand = demand;
+    this._requirement = demand;
   }
 
   /** The number of the last whole event; 0 for none. */
@@ -84,8 +84,8 @@
   }
 
   private _allows(version: number): boolean {
-    if (version < this._demand.minVersion) return false;
-    if (!this._demand.isSingleVersion) return true;
+    if (version < this._requirement.minVersion) return false;
+    if (!this._requirement.isSingleVersion) return true;
     return this._events.every(known => known.version === version);
   }
 }
--- a/packages/batches/src/listingPolicy.ts
+++ b/packages/batches/src/listingPolicy.ts
@@ -11,14 +11,14 @@
 }
 
 /** Trainers read twice a second. */
-const SOON_MS = 150;
+const SHORT_INTERVAL_MS = 150;
 /** Often enough for those who look on, and for the claim, which each write confirms. */
-const SELDOM_MS = 500;
+const LONG_INTERVAL_MS = 500;
 
 /** Every result soon. */
 export class PromptListing implements ListingPolicy {
   intervalMs(ledger: BatchLedger): number {
-    return ledger.isFinished() ? 0 : SOON_MS;
+    return ledger.isFinished() ? 0 : SHORT_INTERVAL_MS;
   }
 }
 
@@ -29,7 +29,7 @@
 export class CompleteGroupListing implements ListingPolicy {
   intervalMs(ledger: BatchLedger): number {
     if (ledger.isFinished()) return 0;
-    if (!ledger.hasUnlistedCompleteGroup()) return SELDOM_MS;
-    return ledger.hasWantedGroups() ? 0 : SOON_MS;
+    if (!ledger.hasUnlistedCompleteGroup()) return LONG_INTERVAL_MS;
+    return ledger.hasWantedGroups() ? 0 : SHORT_INTERVAL_MS;
   }
 }
--- a/packages/batches/src/pace.ts
+++ b/packages/batches/src/pace.ts
@@ -9,30 +9,30 @@
  */
 
 /** Pauses before a pace is told: with fewer it is a guess. Two runs bring so many within half a second. */
-const MIN_PAUSES = 16;
+const MIN_INTERVALS = 16;
 /**
  * Weight of the newest pause. Of 200 old runs at one of 31 equal endpoints whose events are read in bursts of one to four,
  * 66 would move with a weight of 0.1, none with 0.05 or less. An endpoint with a few runs is followed within a second.
  */
-const NEWEST_WEIGHT = 0.03;
+const NEWEST_INTERVAL_WEIGHT = 0.03;
 
 export class Pace {
-  private _pauses = 0;
+  private _intervals = 0;
   private _meanMs = 0;
 
-  addInterval(pauseMs: number): void {
-    this._pauses += 1;
-    const weight = Math.max(NEWEST_WEIGHT, 1 / this._pauses);
-    this._meanMs += weight * (pauseMs - this._meanMs);
+  addInterval(intervalMs: number): void {
+    this._intervals += 1;
+    const weight = Math.max(NEWEST_INTERVAL_WEIGHT, 1 / this._intervals);
+    this._meanMs += weight * (intervalMs - this._meanMs);
   }
 
   /** Undefined before enough was seen. */
   estimateMs(): number | undefined {
-    return this._pauses >= MIN_PAUSES ? this._meanMs : undefined;
+    return this._intervals >= MIN_INTERVALS ? this._meanMs : undefined;
   }
 
   /** As `ms`, from the first pause on: good enough to tell a silence of many events. */
   roughEstimateMs(): number | undefined {
-    return this._pauses > 0 ? this._meanMs : undefined;
+    return this._intervals > 0 ? this._meanMs : undefined;
   }
 }
--- a/packages/batches/src/retryDelay.ts
+++ b/packages/batches/src/retryDelay.ts
@@ -7,21 +7,21 @@
  */
 
 /** Tries that follow without a pause: as many endpoints are asked. */
-const FREE_TRIES = 2;
-const FIRST_PAUSE_MS = 50;
+const IMMEDIATE_RETRIES = 2;
+const FIRST_DELAY_MS = 50;
 /** An endpoint's state is heard of within a second: longer pauses would miss it. */
-const MAX_PAUSE_MS = 800;
+const MAX_DELAY_MS = 800;
 /** A row of failures of this length is told in the log, and each that is twice as long as the one before. */
-const TOLD_FROM = 5;
+const FIRST_LOGGED_COUNT = 5;
 
 /** The pause after so many tries in a row that brought nothing. */
 export function retryDelayMs(failures: number): number {
-  if (failures <= FREE_TRIES) return 0;
-  return Math.min(MAX_PAUSE_MS, FIRST_PAUSE_MS * 2 ** (failures - FREE_TRIES - 1));
+  if (failures <= IMMEDIATE_RETRIES) return 0;
+  return Math.min(MAX_DELAY_MS, FIRST_DELAY_MS * 2 ** (failures - IMMEDIATE_RETRIES - 1));
 }
 
 /** True if a row of that many tries without progress is worth a line in the log. */
 export function shouldLogFailures(failures: number): boolean {
-  const rows = failures / TOLD_FROM;
-  return rows >= 1 && Number.isInteger(Math.log2(rows));
+  const multiple = failures / FIRST_LOGGED_COUNT;
+  return multiple >= 1 && Number.isInteger(Math.log2(multiple));
 }
--- a/packages/batches/src/storedEvents.ts
+++ b/packages/batches/src/storedEvents.ts
@@ -14,21 +14,21 @@
 /** An item with fewer events runs for under a second: half of all items of a batch have fewer. */
 const MIN_EVENTS = 20;
 /** Quotes and line feeds are written with a backslash: twice the text is a safe bound, with the event's own fields. */
-const UNITS_A_CHARACTER = 2;
-const UNITS_AN_EVENT = 60;
+const UNITS_PER_CHARACTER = 2;
+const UNITS_PER_EVENT = 60;
 
-interface Kept {
+interface StoredState {
   /** Which text of the item: it begins anew when its versions may not be joined. */
   readonly textNumber: number;
   readonly events: number;
   readonly isWhole: boolean;
 }
 
-const NOTHING_KEPT: Kept = { textNumber: 0, events: 0, isWhole: false };
+const NOTHING_STORED: StoredState = { textNumber: 0, events: 0, isWhole: false };
 
 export class StoredEvents {
   private readonly _ledger: BatchLedger;
-  private readonly _kept = new Map<string, Kept>();
+  private readonly _stored = new Map<string, StoredState>();
 
   constructor(ledger: BatchLedger) {
     this._ledger = ledger;
@@ -45,14 +45,14 @@
       const { itemId, events } = unfinished;
       const isWhole = unfinished.wholeEvents !== undefined;
       if (!isWhole && events.length < minEvents) continue;
-      const kept = this._keptOf(itemId);
-      const fitting = eventsThatFit(events.slice(kept.events), unitsLeft);
-      const isEndKept = isWhole && kept.events + fitting.length === events.length;
-      const isNews = fitting.length > 0 || (isEndKept && !kept.isWhole);
-      if (!isNews) continue;
+      const kept = this._storedOf(itemId);
+      const fitting = fittingEvents(events.slice(kept.events), unitsLeft);
+      const isEndStored = isWhole && kept.events + fitting.length === events.length;
+      const hasChanges = fitting.length > 0 || (isEndStored && !kept.isWhole);
+      if (!hasChanges) continue;
       unitsLeft -= unitsOf(fitting);
       missing.push(
-        isEndKept ? { itemId, events: fitting, wholeEvents: events.length } : { itemId, events: fitting },
+        isEndStored ? { itemId, events: fitting, wholeEvents: events.length } : { itemId, events: fitting },
       );
     }
     return missing;
@@ -63,7 +63,7 @@
     for (const { itemId, events, wholeEvents } of kept) {
       const textNumber = textNumbers.get(itemId) ?? 0;
       const last = events.at(-1)?.number ?? wholeEvents ?? 0;
-      this._kept.set(itemId, { textNumber, events: last, isWhole: wholeEvents !== undefined });
+      this._stored.set(itemId, { textNumber, events: last, isWhole: wholeEvents !== undefined });
     }
   }
 
@@ -72,15 +72,15 @@
     return new Map(items.map(({ itemId }) => [itemId, this._ledger.progress(itemId).textNumber()]));
   }
 
-  private _keptOf(itemId: string): Kept {
-    const kept = this._kept.get(itemId);
+  private _storedOf(itemId: string): StoredState {
+    const kept = this._stored.get(itemId);
     const isSameText = kept?.textNumber === this._ledger.progress(itemId).textNumber();
-    return kept && isSameText ? kept : NOTHING_KEPT;
+    return kept && isSameText ? kept : NOTHING_STORED;
   }
 }
 
 /** The first of the events, as many as take no more than the units. */
-function eventsThatFit(events: readonly GeneratedEvent[], units: number): readonly GeneratedEvent[] {
+function fittingEvents(events: readonly GeneratedEvent[], units: number): readonly GeneratedEvent[] {
   let unitsLeft = units;
   const beyond = events.findIndex(event => {
     unitsLeft -= unitsOf([event]);
@@ -90,5 +90,5 @@
 }
 
 function unitsOf(events: readonly GeneratedEvent[]): number {
-  return events.reduce((sum, { text }) => sum + UNITS_A_CHARACTER * text.length + UNITS_AN_EVENT, 0);
+  return events.reduce((sum, { text }) => sum + UNITS_PER_CHARACTER * text.length + UNITS_PER_EVENT, 0);
 }
--- a/packages/orders/src/loadChoice.ts
+++ b/packages/orders/src/loadChoice.ts
@@ -26,12 +26,12 @@
 /** The endpoints that should have the version by now, the most urgent first. */
 export function endpointsDueForLoad(
   candidates: readonly LoadCandidate[],
-  named: number,
+  namedVersion: number,
   allowedLag: number,
 ): readonly string[] {
-  const behind = candidates.filter(candidate => candidate.version < named);
-  const stale = behind.filter(candidate => candidate.version < named - allowedLag);
-  const usable = behind.filter(candidate => candidate.version >= named - allowedLag);
+  const behind = candidates.filter(candidate => candidate.version < namedVersion);
+  const stale = behind.filter(candidate => candidate.version < namedVersion - allowedLag);
+  const usable = behind.filter(candidate => candidate.version >= namedVersion - allowedLag);
   const wanted = Math.ceil(candidates.length * FRESH_SHARE);
   const fresh = candidates.length - behind.length;
   const missing = Math.max(0, wanted - fresh - stale.length);
@@ -60,12 +60,12 @@
  */
 export class LoadWindow {
   private readonly _clock: Clock;
-  private readonly _patienceMs: number;
-  private _sinceMs = new Map<string, number>();
+  private readonly _skipAfterMs: number;
+  private _firstDueMs = new Map<string, number>();
 
-  constructor(clock: Clock, patienceMs: number) {
+  constructor(clock: Clock, skipAfterMs: number) {
     this._clock = clock;
-    this._patienceMs = patienceMs;
+    this._skipAfterMs = skipAfterMs;
   }
 
   next(due: readonly DueEndpoint[], limit: number): readonly DueEndpoint[] {
@@ -76,12 +76,12 @@
     for (const endpoint of due) {
       if (counted >= limit) break;
       const key = `${endpoint.id} ${endpoint.version}`;
-      const firstMs = this._sinceMs.get(key) ?? nowMs;
+      const firstMs = this._firstDueMs.get(key) ?? nowMs;
       sinceMs.set(key, firstMs);
       window.push(endpoint);
-      if (nowMs - firstMs < this._patienceMs) counted += 1;
+      if (nowMs - firstMs < this._skipAfterMs) counted += 1;
     }
-    this._sinceMs = sinceMs;
+    this._firstDueMs = sinceMs;
     return window;
   }
 }
--- a/packages/orders/src/loadSchedule.ts
+++ b/packages/orders/src/loadSchedule.ts
@@ -22,7 +22,7 @@
   readonly version: number;
 }
 
-interface Queue {
+interface ModelQueue {
   readonly loads: ModelLoads;
   readonly due: string[];
   usable: number;
@@ -34,7 +34,7 @@
   const queues = models.map(loads => toQueue(loads, allowedLag));
   const ordered: DueLoad[] = [];
   for (;;) {
-    const queue = neediest(queues);
+    const queue = mostUnderserved(queues);
     const id = queue?.due.shift();
     if (!queue || id === undefined) return ordered;
     const { model, namedVersion: named, candidates } = queue.loads;
@@ -45,7 +45,7 @@
   }
 }
 
-function toQueue(loads: ModelLoads, allowedLag: number): Queue {
+function toQueue(loads: ModelLoads, allowedLag: number): ModelQueue {
   const { namedVersion: named, candidates } = loads;
   return {
     loads,
@@ -55,21 +55,21 @@
   };
 }
 
-function neediest(queues: readonly Queue[]): Queue | undefined {
-  let found: Queue | undefined;
+function mostUnderserved(queues: readonly ModelQueue[]): ModelQueue | undefined {
+  let found: ModelQueue | undefined;
   for (const queue of queues) {
     if (queue.due.length === 0) continue;
-    if (!found || isNeedier(queue, found)) found = queue;
+    if (!found || isMoreUnderserved(queue, found)) found = queue;
   }
   return found;
 }
 
-function isNeedier(a: Queue, b: Queue): boolean {
+function isMoreUnderserved(a: ModelQueue, b: ModelQueue): boolean {
   const usable = shareOf(a.usable, a) - shareOf(b.usable, b);
   if (usable !== 0) return usable < 0;
   return shareOf(a.fresh, a) < shareOf(b.fresh, b);
 }
 
-function shareOf(count: number, queue: Queue): number {
+function shareOf(count: number, queue: ModelQueue): number {
   return count / queue.loads.candidates.length;
 }
--- a/packages/orders/src/swapPlanner.ts
+++ b/packages/orders/src/swapPlanner.ts
@@ -31,22 +31,22 @@
   readonly tries: number;
   readonly orderedMs: number;
   readonly isSwapping: boolean;
-  readonly isAside: boolean;
+  readonly isExcluded: boolean;
   readonly readBack: ReadBack | undefined;
   readonly readMs: number;
 }
 
-const FRESH: SwapState = {
+const INITIAL_STATE: SwapState = {
   tries: 0,
   orderedMs: -Infinity,
   isSwapping: false,
-  isAside: false,
+  isExcluded: false,
   readBack: undefined,
   readMs: -Infinity,
 };
 /** A swap takes about this long; asking sooner or more often would cost bytes and tell little. */
-const READ_BACK_AFTER_MS = 500;
-const MS_A_SECOND = 1000;
+const READ_BACK_INTERVAL_MS = 500;
+const MS_PER_SECOND = 1000;
 
 /** Plans the swaps of one pool in one failure domain. */
 export class SwapPlanner {
@@ -54,13 +54,13 @@
   private readonly _options: SwapOptions;
   private readonly _states = new Map<string, SwapState>();
   private _target: WeightTarget | undefined;
-  private _tokens = 1;
-  private _filledMs: number;
+  private _loadTokens = 1;
+  private _refilledMs: number;
 
   constructor(clock: Clock, options: SwapOptions) {
     this._clock = clock;
     this._options = options;
-    this._filledMs = clock.nowMs();
+    this._refilledMs = clock.nowMs();
   }
 
   target(): WeightTarget | undefined {
@@ -71,15 +71,16 @@
   setTarget(target: WeightTarget): boolean {
     if (this._target && target.sequence <= this._target.sequence) return false;
     this._target = target;
-    for (const [id, state] of this._states) this._states.set(id, { ...FRESH, readBack: state.readBack });
+    for (const [id, state] of this._states)
+      this._states.set(id, { ...INITIAL_STATE, readBack: state.readBack });
     return true;
   }
 
   /** What an endpoint reports of itself, the only proof that a swap took place. */
   readBack(endpointId: string, readBack: ReadBack): void {
-    const state = this._states.get(endpointId) ?? FRESH;
+    const state = this._states.get(endpointId) ?? INITIAL_STATE;
     const isRestarted = state.readBack !== undefined && state.readBack.startId !== readBack.startId;
-    const base = isRestarted ? FRESH : state;
+    const base = isRestarted ? INITIAL_STATE : state;
     const isDone = readBack.version === this._target?.version;
     const readMs = this._clock.nowMs();
     this._states.set(endpointId, { ...base, readBack, readMs, isSwapping: base.isSwapping && !isDone });
@@ -94,15 +95,15 @@
   next(endpoints: readonly SwapEndpoint[], token: number): readonly WeightOrder[] {
     const target = this._target;
     if (!target) return [];
-    this._fill();
-    this._expire();
+    this._refillTokens();
+    this._expireSwaps();
     const wanted = Math.ceil(target.share * endpoints.length);
     const orders: WeightOrder[] = [];
     for (const endpoint of endpoints.slice(0, wanted)) {
       if (!this._needsOrder(endpoint, target)) continue;
-      if (this.swapping() >= this._maxSwapping(endpoints.length) || this._tokens < 1) break;
-      this._tokens -= 1;
-      this._began(endpoint.id);
+      if (this.swapping() >= this._maxSwapping(endpoints.length) || this._loadTokens < 1) break;
+      this._loadTokens -= 1;
+      this._swapStarted(endpoint.id);
       orders.push({ endpointId: endpoint.id, version: target.version, token });
     }
     return orders;
@@ -121,7 +122,7 @@
     const due: string[] = [];
     for (const [id, state] of this._states) {
       const waitedMs = nowMs - Math.max(state.orderedMs, state.readMs);
-      if (state.isSwapping && waitedMs >= (this._options.readBackIntervalMs ?? READ_BACK_AFTER_MS))
+      if (state.isSwapping && waitedMs >= (this._options.readBackIntervalMs ?? READ_BACK_INTERVAL_MS))
         due.push(id);
     }
     return due;
@@ -136,7 +137,7 @@
 
   /** Endpoints that carry traffic although they could not be brought to the version are for the operator. */
   excludedEndpoints(): readonly string[] {
-    return [...this._states].filter(([, state]) => state.isAside).map(([id]) => id);
+    return [...this._states].filter(([, state]) => state.isExcluded).map(([id]) => id);
   }
 
   /** True when every endpoint of the share reports the target's version, or was set aside. */
@@ -145,8 +146,8 @@
     if (!target) return true;
     const wanted = endpoints.slice(0, Math.ceil(target.share * endpoints.length));
     return wanted.every(endpoint => {
-      const state = this._states.get(endpoint.id) ?? FRESH;
-      return state.isAside || state.readBack?.version === target.version;
+      const state = this._states.get(endpoint.id) ?? INITIAL_STATE;
+      return state.isExcluded || state.readBack?.version === target.version;
     });
   }
 
@@ -158,8 +159,8 @@
   }
 
   private _needsOrder(endpoint: SwapEndpoint, target: WeightTarget): boolean {
-    const state = this._states.get(endpoint.id) ?? FRESH;
-    if (!endpoint.isUsable || state.isSwapping || state.isAside) return false;
+    const state = this._states.get(endpoint.id) ?? INITIAL_STATE;
+    if (!endpoint.isUsable || state.isSwapping || state.isExcluded) return false;
     return state.readBack?.version !== target.version;
   }
 
@@ -167,8 +168,8 @@
     return Math.max(1, Math.floor(this._options.maxSwappingShare * total));
   }
 
-  private _began(endpointId: string): void {
-    const state = this._states.get(endpointId) ?? FRESH;
+  private _swapStarted(endpointId: string): void {
+    const state = this._states.get(endpointId) ?? INITIAL_STATE;
     this._states.set(endpointId, {
       ...state,
       tries: state.tries + 1,
@@ -178,7 +179,7 @@
   }
 
   /** A swap that failed without a word shows as a version that never changes. */
-  private _expire(): void {
+  private _expireSwaps(): void {
     const nowMs = this._clock.nowMs();
     for (const [id, state] of this._states) {
       const isOver = state.isSwapping && nowMs - state.orderedMs >= this._options.swapTimeoutMs;
@@ -187,13 +188,13 @@
   }
 
   private _failed(state: SwapState): SwapState {
-    return { ...state, isSwapping: false, isAside: state.tries >= this._options.maxTries };
+    return { ...state, isSwapping: false, isExcluded: state.tries >= this._options.maxTries };
   }
 
-  private _fill(): void {
+  private _refillTokens(): void {
     const nowMs = this._clock.nowMs();
-    const gained = ((nowMs - this._filledMs) / MS_A_SECOND) * this._options.loadsPerSecond;
-    this._tokens = Math.min(Math.max(1, this._options.loadsPerSecond), this._tokens + gained);
-    this._filledMs = nowMs;
+    const gained = ((nowMs - this._refilledMs) / MS_PER_SECOND) * this._options.loadsPerSecond;
+    this._loadTokens = Math.min(Math.max(1, this._options.loadsPerSecond), this._loadTokens + gained);
+    this._refilledMs = nowMs;
   }
 }
--- a/packages/requests/src/concurrencyLimit.ts
+++ b/packages/requests/src/concurrencyLimit.ts
@@ -5,13 +5,13 @@
  * one a round when the endpoint reports no queue, and takes a fifth off when it reports one or refuses:
  * additive increase and multiplicative decrease, under which the shares of hosts converge.
  */
-const DECREASE = 0.8;
-const QUEUE_TOLERATED = 1;
+const DECREASE_FACTOR = 0.8;
+const MAX_TOLERATED_QUEUE = 1;
 
 export class ConcurrencyLimit {
   private readonly _slots: number;
   private _limit: number;
-  private _usedSinceReport = 0;
+  private _peakUsageSinceReport = 0;
 
   /** `slots` of the endpoint, shared at the start by `hosts`. */
   constructor(slots: number, hosts: number) {
@@ -31,14 +31,14 @@
 
   /** Notes the highest own use: a limit that is not reached need not grow. */
   recordUsage(inFlight: number): void {
-    this._usedSinceReport = Math.max(this._usedSinceReport, inFlight);
+    this._peakUsageSinceReport = Math.max(this._peakUsageSinceReport, inFlight);
   }
 
   /** Takes in a load report. */
   onLoadReport(queued: number, inFlight: number): void {
-    if (queued > QUEUE_TOLERATED) this._decrease();
-    else if (inFlight < this._slots && this._usedSinceReport >= this.value()) this._increase();
-    this._usedSinceReport = 0;
+    if (queued > MAX_TOLERATED_QUEUE) this._decrease();
+    else if (inFlight < this._slots && this._peakUsageSinceReport >= this.value()) this._increase();
+    this._peakUsageSinceReport = 0;
   }
 
   /** The endpoint refused for lack of room. */
@@ -51,6 +51,6 @@
   }
 
   private _decrease(): void {
-    this._limit = Math.max(1, this._limit * DECREASE);
+    this._limit = Math.max(1, this._limit * DECREASE_FACTOR);
   }
 }
--- a/packages/requests/src/endpointPicker.ts
+++ b/packages/requests/src/endpointPicker.ts
@@ -39,7 +39,7 @@
 /** Endpoints of one pool and domain that one host uses. */
 export const SUBSET_SIZE = 16;
 /** The endpoint with the prefix may carry this much of the mean load, and no more. */
-const AFFINITY_BOUND = 1.25;
+const AFFINITY_LOAD_FACTOR = 1.25;
 
 /** The subset of a pool's endpoints in one domain that this host uses and watches. */
 export function subsetFor(hostId: string, endpointIds: readonly string[]): readonly string[] {
@@ -65,7 +65,8 @@
     const usable = endpoints.filter(endpoint => isCandidate(endpoint, request));
     for (const group of byDomain(usable, request)) {
       const free = group.filter(endpoint => hasRoom(endpoint, request.isRollout, request.reserve));
-      if (free.length > 0) return this._affine(free, group, request.prefix) ?? this._lessLoaded(free);
+      if (free.length > 0)
+        return this._pickByPrefix(free, group, request.prefix) ?? this._pickLessLoaded(free);
     }
     return undefined;
   }
@@ -80,19 +81,19 @@
     );
   }
 
-  private _affine(
+  private _pickByPrefix(
     free: readonly EndpointView[],
     group: readonly EndpointView[],
     prefix: string,
   ): EndpointView | undefined {
     if (prefix === '') return undefined;
     const total = group.reduce((sum, endpoint) => sum + endpoint.stats.estimatedLoad(), 0);
-    const bound = Math.ceil(AFFINITY_BOUND * ((total + 1) / group.length));
-    const held = highest(free, prefix);
-    return held && held.stats.estimatedLoad() < bound ? held : undefined;
+    const bound = Math.ceil(AFFINITY_LOAD_FACTOR * ((total + 1) / group.length));
+    const preferred = highestRanked(free, prefix);
+    return preferred && preferred.stats.estimatedLoad() < bound ? preferred : undefined;
   }
 
-  private _lessLoaded(free: readonly EndpointView[]): EndpointView | undefined {
+  private _pickLessLoaded(free: readonly EndpointView[]): EndpointView | undefined {
     const first = free[this._random.below(free.length)];
     const second = free[this._random.below(free.length)];
     if (!first || !second) return first;
@@ -117,7 +118,7 @@
   return groups.filter(group => group.length > 0);
 }
 
-function highest(endpoints: readonly EndpointView[], prefix: string): EndpointView | undefined {
+function highestRanked(endpoints: readonly EndpointView[], prefix: string): EndpointView | undefined {
   let best: EndpointView | undefined;
   let bestWeight = -1;
   for (const endpoint of endpoints) {
--- a/packages/requests/src/endpointStats.ts
+++ b/packages/requests/src/endpointStats.ts
@@ -14,9 +14,9 @@
 }
 
 const FAILURE_WEIGHT = 0.2;
-const OPEN_THRESHOLD = 0.5;
-const MIN_ANSWERS = 5;
-const FIRST_OPEN_MS = 1000;
+const OPEN_FAILURE_SHARE = 0.5;
+const MIN_COMPLETED_ATTEMPTS = 5;
+const INITIAL_OPEN_MS = 1000;
 const MAX_OPEN_MS = 30_000;
 /** A report older than this says nothing any more. */
 const REPORT_VALID_MS = 15_000;
@@ -34,9 +34,9 @@
   private _rolloutInFlight = 0;
   private _report: LoadReport | undefined;
   private _reportedMs = -Infinity;
-  private _ownAtReport = 0;
+  private _inFlightAtReport = 0;
   private _failureShare = 0;
-  private _answers = 0;
+  private _completedAttempts = 0;
   private _breaker: BreakerState = { kind: 'closed' };
 
   /**
@@ -74,10 +74,11 @@
   ended(isRollout: boolean, isFailure: boolean): void {
     this._inFlight -= 1;
     if (isRollout) this._rolloutInFlight -= 1;
-    this._answers += 1;
+    this._completedAttempts += 1;
     this._failureShare += FAILURE_WEIGHT * ((isFailure ? 1 : 0) - this._failureShare);
     if (this._breaker.kind === 'probing') this._probeEnded(isFailure, this._breaker.lengthMs);
-    else if (this._answers >= MIN_ANSWERS && this._failureShare > OPEN_THRESHOLD) this._open(FIRST_OPEN_MS);
+    else if (this._completedAttempts >= MIN_COMPLETED_ATTEMPTS && this._failureShare > OPEN_FAILURE_SHARE)
+      this._openBreaker(INITIAL_OPEN_MS);
   }
 
   /**
@@ -93,10 +94,10 @@
   }
 
   onLoadReport(report: LoadReport): void {
-    if (this._report && this._report.startId !== report.startId) this._restarted();
+    if (this._report && this._report.startId !== report.startId) this._resetBreaker();
     this._report = report;
     this._reportedMs = this._clock.nowMs();
-    this._ownAtReport = this._inFlight;
+    this._inFlightAtReport = this._inFlight;
   }
 
   /**
@@ -106,7 +107,7 @@
   estimatedLoad(): number {
     const isFresh = this._clock.nowMs() - this._reportedMs < this._reportValidMs;
     if (!this._report || !isFresh) return this._inFlight;
-    const others = Math.max(0, this._report.inFlight + this._report.queued - this._ownAtReport);
+    const others = Math.max(0, this._report.inFlight + this._report.queued - this._inFlightAtReport);
     return others + this._inFlight;
   }
 
@@ -117,17 +118,17 @@
   }
 
   private _probeEnded(isFailure: boolean, lengthMs: number): void {
-    if (isFailure) this._open(Math.min(this._maxOpenMs, lengthMs * 2));
-    else this._restarted();
+    if (isFailure) this._openBreaker(Math.min(this._maxOpenMs, lengthMs * 2));
+    else this._resetBreaker();
   }
 
-  private _open(lengthMs: number): void {
+  private _openBreaker(lengthMs: number): void {
     this._breaker = { kind: 'open', untilMs: this._clock.nowMs() + lengthMs, lengthMs };
   }
 
-  private _restarted(): void {
+  private _resetBreaker(): void {
     this._breaker = { kind: 'closed' };
     this._failureShare = 0;
-    this._answers = 0;
+    this._completedAttempts = 0;
   }
 }
--- a/packages/requests/src/fairAdmission.ts
+++ b/packages/requests/src/fairAdmission.ts
@@ -9,43 +9,43 @@
 /** Requests are counted over slices of this length; the one before decides in the present one. */
 const SLICE_MS = 500;
 /** With fewer requests in a slice a host can't tell a flood from chance. */
-const MIN_ASKED = 20;
+const MIN_REQUESTS = 20;
 /** Endpoints are full when this share of the requests is refused. */
-const FULL_SHARE = 0.1;
+const FULL_REFUSED_SHARE = 0.1;
 /** More is let through than was served, so that places that come free are found. */
 const PROBE_FACTOR = 1.2;
 
-class Slice {
-  readonly asked = new Map<string, number>();
+class TimeSlice {
+  readonly requested = new Map<string, number>();
   readonly admitted = new Map<string, number>();
   total = 0;
   served = 0;
   refused = 0;
 
   isFull(): boolean {
-    return this.total >= MIN_ASKED && this.refused >= FULL_SHARE * this.total;
+    return this.total >= MIN_REQUESTS && this.refused >= FULL_REFUSED_SHARE * this.total;
   }
 }
 
 export class FairAdmission {
-  private _slice = new Slice();
+  private _slice = new TimeSlice();
   private _sliceStartMs = -Infinity;
   /** The most that one account may send in this slice; Infinity while endpoints have room. */
   private _limit = Infinity;
 
   /** True if the account's request may be sent. One that may not counts as refused. */
   admit(accountName: string, nowMs: number): boolean {
-    this._roll(nowMs);
+    this._rotateSlice(nowMs);
     const slice = this._slice;
     slice.total += 1;
-    add(slice.asked, accountName);
+    increment(slice.requested, accountName);
     // Spread over the slice: sent all at its beginning, the share of all would meet full endpoints, and leave them idle after.
-    const passed = (nowMs - this._sliceStartMs) / SLICE_MS;
-    if ((slice.admitted.get(accountName) ?? 0) >= 1 + this._limit * passed) {
+    const elapsedShare = (nowMs - this._sliceStartMs) / SLICE_MS;
+    if ((slice.admitted.get(accountName) ?? 0) >= 1 + this._limit * elapsedShare) {
       slice.refused += 1;
       return false;
     }
-    add(slice.admitted, accountName);
+    increment(slice.admitted, accountName);
     return true;
   }
 
@@ -55,13 +55,15 @@
     else this._slice.served += 1;
   }
 
-  private _roll(nowMs: number): void {
+  private _rotateSlice(nowMs: number): void {
     if (nowMs < this._sliceStartMs + SLICE_MS) return;
-    const before = this._slice;
+    const previous = this._slice;
     const isRecent = nowMs < this._sliceStartMs + 2 * SLICE_MS;
     this._limit =
-      isRecent && before.isFull() ? maxMinFairShare(before.asked, before.served * PROBE_FACTOR) : Infinity;
-    this._slice = new Slice();
+      isRecent && previous.isFull()
+        ? maxMinFairShare(previous.requested, previous.served * PROBE_FACTOR)
+        : Infinity;
+    this._slice = new TimeSlice();
     this._sliceStartMs = nowMs;
   }
 }
@@ -78,6 +80,6 @@
   return Infinity;
 }
 
-function add(counts: Map<string, number>, name: string): void {
+function increment(counts: Map<string, number>, name: string): void {
   counts.set(name, (counts.get(name) ?? 0) + 1);
 }
--- a/packages/requests/src/keyClient.ts
+++ b/packages/requests/src/keyClient.ts
@@ -16,12 +16,12 @@
   refresh(deadline: Deadline): Promise<void>;
 }
 
-const CLAIM_TRIES = 3;
-const FINISH_TRIES = 4;
+const MAX_CLAIM_TRIES = 3;
+const MAX_FINISH_TRIES = 4;
 /** A resend waits at most this long for the first run's answer. */
 const MAX_WAIT_MS = 30_000;
 /** Left of the deadline for the way back. */
-const MARGIN_MS = 50;
+const RETURN_MARGIN_MS = 50;
 
 export class KeyClient {
   private readonly _domains: readonly string[];
@@ -40,8 +40,8 @@
    */
   async claim(key: string, fingerprint: string, attemptId: string, deadline: Deadline): Promise<ClaimResult> {
     const home = homeDomain(key, this._domains);
-    for (let i = 0; i < CLAIM_TRIES; i++) {
-      const waitMs = Math.max(0, Math.min(MAX_WAIT_MS, deadline.leftMs() - MARGIN_MS));
+    for (let i = 0; i < MAX_CLAIM_TRIES; i++) {
+      const waitMs = Math.max(0, Math.min(MAX_WAIT_MS, deadline.leftMs() - RETURN_MARGIN_MS));
       const claim = { key, fingerprint, attemptId, domains: this._domainsDigest, waitMs, relayed: false };
       const reply = await this._routes.claim(home, claim, deadline);
       if (!reply) return { kind: 'unreachable' };
@@ -54,7 +54,7 @@
   /** Tells the owner how the attempt ended; if nobody takes it, resends are told `unknown`, which is safe. */
   async finish(finish: Omit<Finish, 'relayed'>, deadline: Deadline): Promise<void> {
     const home = homeDomain(finish.key, this._domains);
-    for (let i = 0; i < FINISH_TRIES && !deadline.isOver(); i++) {
+    for (let i = 0; i < MAX_FINISH_TRIES && !deadline.isOver(); i++) {
       if (await this._routes.finish(home, { ...finish, relayed: false })) return;
       await this._routes.refresh(deadline);
     }
--- a/packages/requests/src/keyHolder.ts
+++ b/packages/requests/src/keyHolder.ts
@@ -75,7 +75,7 @@
   updateMap(map: SlotMap): void {
     if (this._map && map.revision <= this._map.revision) return;
     this._map = map;
-    for (const [slot, entry] of map.slots.entries()) this._learnEntry(slot, entry);
+    for (const [slot, entry] of map.slots.entries()) this._updateEntry(slot, entry);
   }
 
   /** Answers a claim as the owner of the key's slot. */
@@ -83,11 +83,11 @@
     const slot = slotOf(claim.key);
     const entry = this._ownedEntry(slot);
     if (!entry) return { kind: 'wrong-owner' };
-    const isSameFleet = claim.domains === this._options.domains && this._map?.domains === claim.domains;
-    if (!isSameFleet) return { kind: 'unknown', reason: 'key-unsettled' };
+    const hasSameDomains = claim.domains === this._options.domains && this._map?.domains === claim.domains;
+    if (!hasSameDomains) return { kind: 'unknown', reason: 'key-unsettled' };
     const state = this._slot(slot);
     const known = state.find(claim.key);
-    if (known) return this._claimKnown(known, claim);
+    if (known) return this._claimExisting(known, claim);
     // Before the slot is settled nobody can say whether an earlier arrival ran.
     if (!this._mayGrant(slot, entry)) return { kind: 'unknown', reason: 'key-unsettled' };
     if (state.lostForMs() > 0) return { kind: 'unknown', reason: 'key-records-lost' };
@@ -100,8 +100,8 @@
     const entry = this._ownedEntry(slot);
     const record = this._slot(slot).find(finish.key);
     if (!entry || record?.attemptId !== finish.attemptId) return { accepted: false };
-    const change = this._change(slot, record, finish);
-    this._wake(record);
+    const change = this._applyFinish(slot, record, finish);
+    this._wakeWaiters(record);
     // The copy's loss of this change is harmless: it would tell `unknown` where an answer was kept.
     if (entry.copy !== '')
       await this._options.peers.copyRecord(entry.copy, { slot, epoch: entry.epoch, record: change });
@@ -151,9 +151,9 @@
       if (this._slot(slot).completeEpoch === 0) return true;
       if (entry.owner === this._options.self || entry.copy === this._options.self) return false;
       const last = entry.older[0];
-      const wasMine = last?.owner === this._options.self || last?.copy === this._options.self;
+      const wasHolder = last?.owner === this._options.self || last?.copy === this._options.self;
       const isOwnerInformed = entry.owner === last?.owner || entry.owner === last?.copy;
-      return !wasMine || isOwnerInformed || this._handedOver.has(slot);
+      return !wasHolder || isOwnerInformed || this._handedOver.has(slot);
     });
   }
 
@@ -172,7 +172,7 @@
     return this._settled.has(slot) && this._slot(slot).promisedEpoch === entry.epoch;
   }
 
-  private async _claimKnown(known: HeldRecord, claim: Claim): Promise<ClaimReply> {
+  private async _claimExisting(known: HeldRecord, claim: Claim): Promise<ClaimReply> {
     if (known.fingerprint !== claim.fingerprint) return { kind: 'conflict' };
     if (known.state !== 'finished' && claim.waitMs > 0) await this._wait(known, claim.waitMs);
     if (known.state !== 'finished') return { kind: 'unknown', reason: 'first-still-running' };
@@ -191,7 +191,7 @@
         // Nobody gets a grant for this attempt. That does not prove that the key never ran: a copy that is
         // silent, or refuses, may already serve a successor that granted it to another arrival.
         state.remove(record);
-        this._wake(record);
+        this._wakeWaiters(record);
         if (reply) this._settled.delete(slot);
         return { kind: 'unknown', reason: 'key-unsettled' };
       }
@@ -200,7 +200,7 @@
     return { kind: 'granted' };
   }
 
-  private _change(slot: number, record: HeldRecord, finish: Finish): KeyRecord {
+  private _applyFinish(slot: number, record: HeldRecord, finish: Finish): KeyRecord {
     const state = this._slot(slot);
     if (finish.end === 'released') {
       state.remove(record);
@@ -223,12 +223,12 @@
     });
   }
 
-  private _wake(record: HeldRecord): void {
+  private _wakeWaiters(record: HeldRecord): void {
     for (const waiter of this._waiters.get(record) ?? []) waiter();
     this._waiters.delete(record);
   }
 
-  private _learnEntry(slot: number, entry: SlotEntry): void {
+  private _updateEntry(slot: number, entry: SlotEntry): void {
     const state = this._slot(slot);
     if (entry.epoch < state.promisedEpoch) return;
     const isNewEpoch = entry.epoch > state.promisedEpoch;
@@ -253,9 +253,9 @@
     const isCurrent = (): boolean =>
       this._map?.slots[slot]?.epoch === entry.epoch && state.promisedEpoch === entry.epoch;
     while (isCurrent()) {
-      const isWhole = state.completeEpoch === entry.epoch || (await this._gather(slot, entry));
+      const isComplete = state.completeEpoch === entry.epoch || (await this._collectRecords(slot, entry));
       if (!isCurrent()) return;
-      if (isWhole) {
+      if (isComplete) {
         state.completeEpoch = entry.epoch;
         if (await this._syncCopy(slot, entry)) {
           if (isCurrent()) this._settled.add(slot);
@@ -280,9 +280,9 @@
   }
 
   /** Walks the earlier generations, newest first, until one shows what was granted. False: ask again later. */
-  private async _gather(slot: number, entry: SlotEntry): Promise<boolean> {
+  private async _collectRecords(slot: number, entry: SlotEntry): Promise<boolean> {
     for (const generation of entry.older) {
-      const found = await this._askGeneration(slot, entry.epoch, generation);
+      const found = await this._queryGeneration(slot, entry.epoch, generation);
       if (found === 'whole') return true;
       if (found === 'silent') return false;
       if (found === 'lost') {
@@ -297,7 +297,7 @@
    * `whole`: its records are here now. `nothing`: one of its holders never got them and promised never to,
    * so that this generation granted nothing. `lost`: both processes ended. `silent`: nothing is proved.
    */
-  private async _askGeneration(
+  private async _queryGeneration(
     slot: number,
     epoch: number,
     generation: Generation,
@@ -306,20 +306,20 @@
     const holders = generation.copy === '' ? [generation.owner] : [generation.owner, generation.copy];
     if (holders.includes(this._options.self))
       return state.completeEpoch === generation.epoch ? 'whole' : 'nothing';
-    let gone = 0;
+    let terminated = 0;
     for (const holder of holders) {
       if (this._options.peers.isProvenTerminated(holder)) {
-        gone += 1;
+        terminated += 1;
         continue;
       }
       const reply = await this._options.peers.fenceSlot(holder, { slot, epoch, holder });
-      if (reply?.kind === 'gone') gone += 1;
+      if (reply?.kind === 'gone') terminated += 1;
       if (reply?.kind !== 'holds') continue;
       if (reply.completeEpoch > generation.epoch) continue;
       if (reply.completeEpoch < generation.epoch) return 'nothing';
       state.replace(reply.records, reply.lostForMs);
       return 'whole';
     }
-    return gone === holders.length ? 'lost' : 'silent';
+    return terminated === holders.length ? 'lost' : 'silent';
   }
 }
--- a/packages/requests/src/keySlot.ts
+++ b/packages/requests/src/keySlot.ts
@@ -24,7 +24,7 @@
   private readonly _clock: Clock;
   private readonly _records = new Map<string, HeldRecord>();
   private _lastChange = 0;
-  private _lostUntilMs = 0;
+  private _recordsLostUntilMs = 0;
   /** The highest epoch that this host promised to respect. */
   promisedEpoch = 0;
   /** The epoch for which the records here are all that were granted; 0 when never. */
@@ -99,11 +99,12 @@
 
   /** From now on, for this long, a key without a record may have run before. */
   markRecordsLost(durationMs: number): void {
-    if (durationMs > 0) this._lostUntilMs = Math.max(this._lostUntilMs, this._clock.nowMs() + durationMs);
+    if (durationMs > 0)
+      this._recordsLostUntilMs = Math.max(this._recordsLostUntilMs, this._clock.nowMs() + durationMs);
   }
 
   lostForMs(): number {
-    return Math.max(0, this._lostUntilMs - this._clock.nowMs());
+    return Math.max(0, this._recordsLostUntilMs - this._clock.nowMs());
   }
 
   /** All records that are still within the window. */
--- a/packages/requests/src/poisonCases.ts
+++ b/packages/requests/src/poisonCases.ts
@@ -42,9 +42,9 @@
  * the last endpoint of a small pool; later ones only find out whether the endpoints have been repaired. After these no
  * more: each costs an endpoint and all that runs there.
  */
-const TRIAL_PAUSES_MS = [2000, 60_000, 600_000] as const;
+const TRIAL_DELAYS_MS = [2000, 60_000, 600_000] as const;
 /** Two ends that lie further apart than this are none of the request's doing. */
-const FORGET_MS = 600_000;
+const CASE_RETENTION_MS = 600_000;
 /** Some hundred bytes each. Beyond it the one that was marked longest ago is forgotten. */
 const MAX_CASES = 2000;
 
@@ -60,7 +60,7 @@
   private readonly _clock: Clock;
   private readonly _cases = new Map<string, PoisonCase>();
   /** Cases by the digest of their request line. */
-  private readonly _targets = new Map<string, number>();
+  private readonly _caseCountByTarget = new Map<string, number>();
 
   constructor(clock: Clock) {
     this._clock = clock;
@@ -72,13 +72,13 @@
 
   /** False if no request with this request line is known: its body need not be read. */
   mayMatch(target: string): boolean {
-    return this._targets.has(target);
+    return this._caseCountByTarget.has(target);
   }
 
   /** An endpoint has ended while it ran the request. Returns how many have by now. */
   ended(fingerprint: string, startId: string): number {
-    this._forgetOld(fingerprint);
-    const known = this._case(fingerprint);
+    this._removeExpired(fingerprint);
+    const known = this._getOrCreateCase(fingerprint);
     if (!known.ends.has(startId)) known.lastMarkMs = this._clock.nowMs();
     known.ends.add(startId);
     return known.ends.size;
@@ -86,7 +86,7 @@
 
   /** `endsBefore`: what its host knew when it began; this one may have heard of the end of the trial first. */
   trialStarted(fingerprint: string, number: number, endsBefore: number): void {
-    const known = this._case(fingerprint);
+    const known = this._getOrCreateCase(fingerprint);
     if (known.trials.has(number)) return;
     known.trials.set(number, endsBefore);
     known.lastMarkMs = this._clock.nowMs();
@@ -108,9 +108,9 @@
   cleared(fingerprint: string): void {
     if (!this._cases.delete(fingerprint)) return;
     const target = targetOfFingerprint(fingerprint);
-    const left = (this._targets.get(target) ?? 1) - 1;
-    if (left > 0) this._targets.set(target, left);
-    else this._targets.delete(target);
+    const left = (this._caseCountByTarget.get(target) ?? 1) - 1;
+    if (left > 0) this._caseCountByTarget.set(target, left);
+    else this._caseCountByTarget.delete(target);
   }
 
   /** The starts of endpoints that have ended under the request, and its trials. */
@@ -135,20 +135,20 @@
     const known = this._cases.get(fingerprint);
     if (!known || known.ends.size < MIN_ENDS) return { kind: 'free' };
     const sinceMarkMs = this._clock.nowMs() - known.lastMarkMs;
-    const pauseMs = TRIAL_PAUSES_MS[known.trials.size] ?? Infinity;
+    const pauseMs = TRIAL_DELAYS_MS[known.trials.size] ?? Infinity;
     if (sinceMarkMs >= pauseMs) return { kind: 'trial', number: known.trials.size + 1 };
     // Only an end under a trial proves anything: a trial may also be cut off, or its caller leave.
-    const isProved = [...known.trials.values()].some(endsBefore => known.ends.size > endsBefore);
-    const isWaiting = !isProved && pauseMs < Infinity;
+    const isProven = [...known.trials.values()].some(endsBefore => known.ends.size > endsBefore);
+    const isWaiting = !isProven && pauseMs < Infinity;
     return isWaiting ? { kind: 'held', leftMs: pauseMs - sinceMarkMs } : { kind: 'condemned' };
   }
 
-  private _forgetOld(fingerprint: string): void {
+  private _removeExpired(fingerprint: string): void {
     const known = this._cases.get(fingerprint);
-    if (known && this._clock.nowMs() - known.lastMarkMs >= FORGET_MS) this.cleared(fingerprint);
+    if (known && this._clock.nowMs() - known.lastMarkMs >= CASE_RETENTION_MS) this.cleared(fingerprint);
   }
 
-  private _case(fingerprint: string): PoisonCase {
+  private _getOrCreateCase(fingerprint: string): PoisonCase {
     const known = this._cases.get(fingerprint);
     if (known) {
       // Last in order, as the one that was marked last.
@@ -165,7 +165,7 @@
     };
     this._cases.set(fingerprint, created);
     const target = targetOfFingerprint(fingerprint);
-    this._targets.set(target, (this._targets.get(target) ?? 0) + 1);
+    this._caseCountByTarget.set(target, (this._caseCountByTarget.get(target) ?? 0) + 1);
     return created;
   }
 }
--- a/packages/requests/src/requestQueue.ts
+++ b/packages/requests/src/requestQueue.ts
@@ -10,7 +10,7 @@
 /** Why a request left the queue without a turn. */
 export type QueueRefusal = 'queue-full' | 'too-late';
 
-interface Waiting {
+interface WaitingRequest {
   readonly offer: () => boolean;
   readonly refuse: (reason: QueueRefusal) => void;
   readonly cancelTimer: CancelTimer;
@@ -22,11 +22,11 @@
 export class RequestQueue {
   private readonly _clock: Clock;
   private readonly _limit: number;
-  private readonly _classes = new Map<QueuePriority, Set<Waiting>>(
+  private readonly _queues = new Map<QueuePriority, Set<WaitingRequest>>(
     queuePriorities.map(name => [name, new Set()]),
   );
-  private _turns = 0;
-  private _lastTurns = 0;
+  private _served = 0;
+  private _servedInLastWindow = 0;
   private _windowStartMs: number;
 
   constructor(clock: Clock, limit: number) {
@@ -37,7 +37,7 @@
 
   size(): number {
     let total = 0;
-    for (const waiting of this._classes.values()) total += waiting.size;
+    for (const waiting of this._queues.values()) total += waiting.size;
     return total;
   }
 
@@ -45,11 +45,11 @@
   expectedWaitMs(waitClass: QueuePriority): number {
     let ahead = 0;
     for (const name of queuePriorities) {
-      ahead += this._classes.get(name)?.size ?? 0;
+      ahead += this._queues.get(name)?.size ?? 0;
       if (name === waitClass) break;
     }
-    this._roll();
-    const turns = Math.max(this._turns, this._lastTurns);
+    this._rotateWindow();
+    const turns = Math.max(this._served, this._servedInLastWindow);
     if (ahead === 0 || turns === 0) return 0;
     return (ahead / turns) * RATE_WINDOW_MS;
   }
@@ -73,14 +73,14 @@
       refuse('too-late');
       return () => undefined;
     }
-    const members = this._classes.get(waitClass);
+    const queue = this._queues.get(waitClass);
     const cancelTimer = this._clock.after(deadline.leftMs(), () => {
-      if (members?.delete(waiting)) refuse('too-late');
+      if (queue?.delete(waiting)) refuse('too-late');
     });
-    const waiting: Waiting = { offer, refuse, cancelTimer };
-    members?.add(waiting);
+    const waiting: WaitingRequest = { offer, refuse, cancelTimer };
+    queue?.add(waiting);
     return () => {
-      members?.delete(waiting);
+      queue?.delete(waiting);
       cancelTimer();
     };
   }
@@ -88,22 +88,22 @@
   /** Offers room to the waiting, the highest class and the longest wait first, until nobody takes it. */
   dispatch(): void {
     for (const name of queuePriorities) {
-      for (const waiting of this._classes.get(name) ?? []) {
+      for (const waiting of this._queues.get(name) ?? []) {
         if (!waiting.offer()) return;
         waiting.cancelTimer();
-        this._classes.get(name)?.delete(waiting);
-        this._roll();
-        this._turns += 1;
+        this._queues.get(name)?.delete(waiting);
+        this._rotateWindow();
+        this._served += 1;
       }
     }
   }
 
-  private _roll(): void {
+  private _rotateWindow(): void {
     const nowMs = this._clock.nowMs();
     const passedMs = nowMs - this._windowStartMs;
     if (passedMs < RATE_WINDOW_MS) return;
-    this._lastTurns = passedMs < 2 * RATE_WINDOW_MS ? this._turns : 0;
-    this._turns = 0;
+    this._servedInLastWindow = passedMs < 2 * RATE_WINDOW_MS ? this._served : 0;
+    this._served = 0;
     this._windowStartMs = nowMs;
   }
 }
--- a/packages/requests/src/requestRun.ts
+++ b/packages/requests/src/requestRun.ts
@@ -15,12 +15,12 @@
 /** Why a request is given up from the outside. */
 export type AbandonCause = 'deadline' | 'caller-left' | 'shutdown';
 
-const NOT_RUN_OF: Readonly<Record<AbandonCause, NotRunReason>> = {
+const NOT_RUN_REASONS: Readonly<Record<AbandonCause, NotRunReason>> = {
   deadline: 'too-late',
   'caller-left': 'caller-left',
   shutdown: 'shutting-down',
 };
-const UNKNOWN_OF: Readonly<Record<AbandonCause, UnknownReason>> = {
+const UNKNOWN_REASONS: Readonly<Record<AbandonCause, UnknownReason>> = {
   deadline: 'no-answer-in-time',
   'caller-left': 'caller-left',
   shutdown: 'connection-lost',
@@ -62,14 +62,14 @@
 
   /** Proof that this attempt did not run: nothing was written, or the endpoint refused it before running. */
   provenNotRun(attempt: number): boolean {
-    if (!this._isCurrent(attempt) || this._phase !== 'sent') return this._drop();
+    if (!this._isCurrent(attempt) || this._phase !== 'sent') return this._dropEvent();
     this._phase = 'waiting';
     return true;
   }
 
   /** The attempt broke with nothing proved, and the request may be repeated: it goes back to waiting. */
   brokenRetryable(attempt: number): boolean {
-    if (!this._isCurrent(attempt) || this._phase === 'ended') return this._drop();
+    if (!this._isCurrent(attempt) || this._phase === 'ended') return this._dropEvent();
     this._mayHaveRun = true;
     this._phase = 'waiting';
     return true;
@@ -77,21 +77,21 @@
 
   /** The answer's head arrived. False: it belongs to an earlier attempt or an ended request, drop it. */
   answerStarted(attempt: number): boolean {
-    if (!this._isCurrent(attempt) || this._phase !== 'sent') return this._drop();
+    if (!this._isCurrent(attempt) || this._phase !== 'sent') return this._dropEvent();
     this._phase = 'answering';
     return true;
   }
 
   /** The whole answer arrived. */
   answered(attempt: number, status: number, isFailure: boolean): boolean {
-    if (!this._isCurrent(attempt) || this._phase !== 'answering') return this._drop();
+    if (!this._isCurrent(attempt) || this._phase !== 'answering') return this._dropEvent();
     this._end(isFailure ? { kind: 'failed', status } : { kind: 'completed', status });
     return true;
   }
 
   /** The attempt broke, and the request must not be repeated. */
   broken(attempt: number): boolean {
-    if (!this._isCurrent(attempt) || this._phase === 'ended') return this._drop();
+    if (!this._isCurrent(attempt) || this._phase === 'ended') return this._dropEvent();
     this._mayHaveRun = true;
     this._end(this._unknown('connection-lost'));
     return true;
@@ -101,7 +101,7 @@
   abandon(cause: AbandonCause): RequestOutcome {
     if (this._outcome) return this._outcome;
     const isProven = this._phase === 'waiting' && !this._mayHaveRun;
-    return this._end(isProven ? this._notRun(NOT_RUN_OF[cause]) : this._unknown(UNKNOWN_OF[cause]));
+    return this._end(isProven ? this._notRun(NOT_RUN_REASONS[cause]) : this._unknown(UNKNOWN_REASONS[cause]));
   }
 
   /** Refuses a request that waits. Once an attempt may have run it ends as unknown instead. */
@@ -127,7 +127,7 @@
     return attempt === this._attempt;
   }
 
-  private _drop(): false {
+  private _dropEvent(): false {
     this._dropped += 1;
     return false;
   }
--- a/packages/requests/src/retryBudget.ts
+++ b/packages/requests/src/retryBudget.ts
@@ -4,7 +4,7 @@
  * What goes wrong without it: when a third of the endpoints fail, each failed request comes again, and the
  * others sink under the doubled load. One sees attempts grow faster than requests.
  */
-const TOKENS_A_RETRY = 1;
+const TOKENS_PER_RETRY = 1;
 
 export class RetryBudget {
   private readonly _share: number;
@@ -24,8 +24,8 @@
 
   /** Takes one retry, if the budget has one. */
   take(): boolean {
-    if (this._tokens < TOKENS_A_RETRY) return false;
-    this._tokens -= TOKENS_A_RETRY;
+    if (this._tokens < TOKENS_PER_RETRY) return false;
+    this._tokens -= TOKENS_PER_RETRY;
     return true;
   }
 }
@@ -37,8 +37,8 @@
   baseMs: number,
   maxMs: number,
   retry: number,
-  below: (limit: number) => number,
+  randomBelow: (limit: number) => number,
 ): number {
   const ceilingMs = Math.min(maxMs, baseMs * 2 ** (retry - 1));
-  return (ceilingMs * (below(JITTER_STEPS) + 1)) / JITTER_STEPS;
+  return (ceilingMs * (randomBelow(JITTER_STEPS) + 1)) / JITTER_STEPS;
 }
--- a/packages/requests/src/slotMap.ts
+++ b/packages/requests/src/slotMap.ts
@@ -11,12 +11,12 @@
 /** Slots of one failure domain. At 33 hosts each owns four and copies four. */
 export const SLOTS_PER_DOMAIN = 128;
 /** Generations that were not confirmed as settled yet. Longer chains are not begun. */
-const MAX_OLDER = 16;
+const MAX_OLDER_GENERATIONS = 16;
 /** An owner shortens the chains of its settled slots when one is this long. */
-const TRIM_AT = 4;
+const TRIM_LENGTH = 4;
 /** Hosts whose loads differ by less than this share of the mean, or this number, are left alone. */
-const UNEVEN_SHARE = 0.25;
-const MIN_GAP = 2;
+const IMBALANCE_SHARE = 0.25;
+const MIN_IMBALANCE = 2;
 
 /** One process of a host: `hostId#incarnation`. A restarted host is another holder. */
 export const holderIdSchema = z.string().regex(/^[^#]+#\d+$/, 'not a holder hostId#incarnation');
@@ -35,7 +35,7 @@
 export const slotEntrySchema = z
   .strictObject({
     ...generationSchema.unwrap().shape,
-    older: z.array(generationSchema).max(MAX_OLDER).readonly(),
+    older: z.array(generationSchema).max(MAX_OLDER_GENERATIONS).readonly(),
   })
   .readonly();
 export type SlotEntry = z.infer<typeof slotEntrySchema>;
@@ -103,17 +103,17 @@
   private readonly _input: SlotPlanInput;
   private readonly _live: ReadonlySet<string>;
   /** Slots that a holder owns or copies. */
-  private readonly _duties = new Map<string, number>();
-  private readonly _owned = new Map<string, number>();
+  private readonly _dutyCounts = new Map<string, number>();
+  private readonly _ownedCounts = new Map<string, number>();
   private _changed = false;
 
   constructor(entries: readonly SlotEntry[] | undefined, input: SlotPlanInput) {
     this._entries = entries ?? Array.from({ length: SLOTS_PER_DOMAIN }, () => undefined);
     this._input = input;
     this._live = new Set(input.live);
-    for (const holder of input.live) this._duties.set(holder, 0);
+    for (const holder of input.live) this._dutyCounts.set(holder, 0);
     for (const entry of this._entries) {
-      if (entry) this._take(entry.owner, entry.copy, 1);
+      if (entry) this._adjustCounts(entry.owner, entry.copy, 1);
     }
   }
 
@@ -126,17 +126,17 @@
   }
 
   private _place(entry: SlotEntry | undefined, slot: number): SlotEntry {
-    if (!entry) return this._first();
+    if (!entry) return this._newEntry();
     const hasOwner = this._live.has(entry.owner);
     const hasCopy = this._live.has(entry.copy);
     const wantsCopy = this._input.live.length > 1;
     if (hasOwner && hasCopy) return this._rebalanced(this._trimmed(entry, slot), slot);
     if (hasOwner && !wantsCopy && entry.copy === '') return entry;
-    const older = this._olderOf(entry, slot);
-    if (older.length > MAX_OLDER) return entry;
+    const older = this._olderGenerations(entry, slot);
+    if (older.length > MAX_OLDER_GENERATIONS) return entry;
     const owner = hasOwner ? entry.owner : hasCopy ? entry.copy : this._leastLoaded('');
     const copy = hasOwner && hasCopy ? entry.copy : this._leastLoaded(owner);
-    return this._changedTo(entry, owner, copy, older);
+    return this._reassigned(entry, owner, copy, older);
   }
 
   /**
@@ -145,9 +145,9 @@
    * be confirmed made each join cost a map for each host, since only owners know what is settled.
    */
   private _rebalanced(entry: SlotEntry, slot: number): SlotEntry {
-    const older = this._olderOf(entry, slot);
-    if (older.length > TRIM_AT) return entry;
-    return this._copyMoved(entry, older) ?? this._rolesChanged(entry, older) ?? entry;
+    const older = this._olderGenerations(entry, slot);
+    if (older.length > TRIM_LENGTH) return entry;
+    return this._withCopyMoved(entry, older) ?? this._withRolesSwapped(entry, older) ?? entry;
   }
 
   /**
@@ -155,44 +155,49 @@
    * every change until none can be begun, and a slot whose holder dies stays without one.
    */
   private _trimmed(entry: SlotEntry, slot: number): SlotEntry {
-    if (entry.older.length < TRIM_AT || !this._input.settled.has(slot)) return entry;
+    if (entry.older.length < TRIM_LENGTH || !this._input.settled.has(slot)) return entry;
     this._changed = true;
     return { ...entry, older: [] };
   }
 
-  private _copyMoved(entry: SlotEntry, older: readonly Generation[]): SlotEntry | undefined {
+  private _withCopyMoved(entry: SlotEntry, older: readonly Generation[]): SlotEntry | undefined {
     const lightest = this._leastLoaded(entry.owner);
     if (lightest === '' || lightest === entry.copy) return undefined;
-    const gap = this._dutiesOf(entry.copy) - this._dutiesOf(lightest);
+    const gap = this._dutyCount(entry.copy) - this._dutyCount(lightest);
     const mean = (2 * SLOTS_PER_DOMAIN) / this._input.live.length;
-    if (gap <= Math.max(MIN_GAP, mean * UNEVEN_SHARE)) return undefined;
-    return this._changedTo(entry, entry.owner, lightest, older);
+    if (gap <= Math.max(MIN_IMBALANCE, mean * IMBALANCE_SHARE)) return undefined;
+    return this._reassigned(entry, entry.owner, lightest, older);
   }
 
-  private _rolesChanged(entry: SlotEntry, older: readonly Generation[]): SlotEntry | undefined {
-    const gap = this._ownedBy(entry.owner) - this._ownedBy(entry.copy);
+  private _withRolesSwapped(entry: SlotEntry, older: readonly Generation[]): SlotEntry | undefined {
+    const gap = this._ownedCount(entry.owner) - this._ownedCount(entry.copy);
     const mean = SLOTS_PER_DOMAIN / this._input.live.length;
-    if (gap <= Math.max(MIN_GAP, mean * UNEVEN_SHARE)) return undefined;
-    return this._changedTo(entry, entry.copy, entry.owner, older);
+    if (gap <= Math.max(MIN_IMBALANCE, mean * IMBALANCE_SHARE)) return undefined;
+    return this._reassigned(entry, entry.copy, entry.owner, older);
   }
 
-  private _changedTo(entry: SlotEntry, owner: string, copy: string, older: readonly Generation[]): SlotEntry {
+  private _reassigned(
+    entry: SlotEntry,
+    owner: string,
+    copy: string,
+    older: readonly Generation[],
+  ): SlotEntry {
     if (owner === entry.owner && copy === entry.copy) return entry;
     this._changed = true;
-    this._take(entry.owner, entry.copy, -1);
-    this._take(owner, copy, 1);
+    this._adjustCounts(entry.owner, entry.copy, -1);
+    this._adjustCounts(owner, copy, 1);
     return { epoch: entry.epoch + 1, owner, copy, older };
   }
 
-  private _first(): SlotEntry {
+  private _newEntry(): SlotEntry {
     this._changed = true;
     const owner = this._leastLoaded('');
     const copy = this._leastLoaded(owner);
-    this._take(owner, copy, 1);
+    this._adjustCounts(owner, copy, 1);
     return { epoch: 1, owner, copy, older: [] };
   }
 
-  private _olderOf(entry: SlotEntry, slot: number): readonly Generation[] {
+  private _olderGenerations(entry: SlotEntry, slot: number): readonly Generation[] {
     const last: Generation = { epoch: entry.epoch, owner: entry.owner, copy: entry.copy };
     return this._input.settled.has(slot) ? [last] : [last, ...entry.older];
   }
@@ -201,22 +206,22 @@
     let best = '';
     for (const holder of this._input.live) {
       if (holder === except) continue;
-      if (best === '' || this._dutiesOf(holder) < this._dutiesOf(best)) best = holder;
+      if (best === '' || this._dutyCount(holder) < this._dutyCount(best)) best = holder;
     }
     return best;
   }
 
-  private _dutiesOf(holder: string): number {
-    return this._duties.get(holder) ?? 0;
+  private _dutyCount(holder: string): number {
+    return this._dutyCounts.get(holder) ?? 0;
   }
 
-  private _ownedBy(holder: string): number {
-    return this._owned.get(holder) ?? 0;
+  private _ownedCount(holder: string): number {
+    return this._ownedCounts.get(holder) ?? 0;
   }
 
-  private _take(owner: string, copy: string, change: number): void {
-    this._owned.set(owner, this._ownedBy(owner) + change);
-    this._duties.set(owner, this._dutiesOf(owner) + change);
-    if (copy !== '') this._duties.set(copy, this._dutiesOf(copy) + change);
+  private _adjustCounts(owner: string, copy: string, change: number): void {
+    this._ownedCounts.set(owner, this._ownedCount(owner) + change);
+    this._dutyCounts.set(owner, this._dutyCount(owner) + change);
+    if (copy !== '') this._dutyCounts.set(copy, this._dutyCount(copy) + change);
   }
 }
