--- a/packages/requests/src/concurrencyLimit.ts
+++ b/packages/requests/src/concurrencyLimit.ts
@@ -1,9 +1,8 @@
 /**
- * How many requests one host may have in flight at one endpoint.
+ * Limits the requests that one host has in flight at one endpoint.
  *
- * Hosts don't ask each other for each request. Each starts with an even share of the endpoint's slots, adds
- * one a round when the endpoint reports no queue, and takes a fifth off when it reports one or refuses:
- * additive increase and multiplicative decrease, under which the shares of hosts converge.
+ * Hosts do not coordinate per request. Each starts with an even share of the endpoint's slots and adjusts it by
+ * additive increase and multiplicative decrease (AIMD), so that the shares of the hosts converge.
  */
 const DECREASE_FACTOR = 0.8;
 const MAX_TOLERATED_QUEUE = 1;
@@ -13,35 +12,34 @@
   private _limit: number;
   private _peakUsageSinceReport = 0;
 
-  /** `slots` of the endpoint, shared at the start by `hosts`. */
+  /** `slots`: concurrent requests that the endpoint accepts; `hosts`: how many hosts share them at the start. */
   constructor(slots: number, hosts: number) {
     this._slots = slots;
     this._limit = Math.max(1, Math.ceil(slots / Math.max(1, hosts)));
   }
 
-  /** Whole requests allowed now. */
+  /** The number of requests allowed now. */
   value(): number {
     return Math.max(1, Math.floor(this._limit));
   }
 
-  /** How many the customers' reserve leaves to rollouts: rounded down, so that the reserve is never eaten. */
+  /** The part of the limit available to rollouts, rounded down so that they never use the customers' reserve. */
   rolloutLimit(reserve: number): number {
     return Math.floor(this.value() * (1 - reserve));
   }
 
-  /** Notes the highest own use: a limit that is not reached need not grow. */
+  /** Records the peak usage: a limit that is not reached is not raised. */
   recordUsage(inFlight: number): void {
     this._peakUsageSinceReport = Math.max(this._peakUsageSinceReport, inFlight);
   }
 
-  /** Takes in a load report. */
   onLoadReport(queued: number, inFlight: number): void {
     if (queued > MAX_TOLERATED_QUEUE) this._decrease();
     else if (inFlight < this._slots && this._peakUsageSinceReport >= this.value()) this._increase();
     this._peakUsageSinceReport = 0;
   }
 
-  /** The endpoint refused for lack of room. */
+  /** Handles a request that the endpoint refused for lack of capacity. */
   refused(): void {
     this._decrease();
   }
--- a/packages/requests/src/endpointPicker.ts
+++ b/packages/requests/src/endpointPicker.ts
@@ -1,15 +1,15 @@
 /**
- * Chooses the endpoint of a request.
+ * Selects the endpoint for a request.
  *
- * Order: rules (pool, domains), then the host's own failure domain, then the endpoint that holds the prompt's
- * prefix if it is not loaded beyond its share, then the less loaded of two drawn at random. At the target a
- * host looks at its own subset of a pool's servers only, so that no host watches all of them.
+ * Criteria in order: rules (pool, domains), the host's own failure domain, the endpoint that holds the prompt's
+ * prefix unless it is overloaded, then the less loaded of two drawn at random. Each host uses a subset of a
+ * large pool, so that no host watches all endpoints.
  */
 import { hash32, rendezvous, type Random } from '@fuchsiahitch/base';
 import type { ConcurrencyLimit } from './concurrencyLimit.js';
 import type { EndpointStats } from './endpointStats.js';
 
-/** One endpoint as a host sees it. */
+/** A host's view of one endpoint. */
 export interface EndpointView {
   readonly id: string;
   readonly domain: string;
@@ -20,34 +20,34 @@
   readonly limit: ConcurrencyLimit;
 }
 
-/** What a request asks of its endpoint. */
+/** The requirements of a request on its endpoint. */
 export interface PickRequest {
   readonly pool: string;
   readonly ownDomain: string;
-  /** Failure domains in the order that a rule prefers them; empty for the own one first. */
+  /** Failure domains in the rule's order of preference; empty to prefer the host's own. */
   readonly domains: readonly string[];
   readonly isRollout: boolean;
   readonly reserve: number;
-  /** The beginning of the prompt, for the engines' prefix caches; empty for none. */
+  /** The start of the prompt, for affinity to prefix caches; empty for none. */
   readonly prefix: string;
-  /** Only this version, if not empty. */
+  /** The required weight version; empty for any. */
   readonly version: string;
-  /** Endpoints that this request was already tried at. */
+  /** Identifiers of endpoints that already received this request. */
   readonly tried: ReadonlySet<string>;
 }
 
-/** Endpoints of one pool and domain that one host uses. */
+/** The number of endpoints that one host uses of each pool and domain. */
 export const SUBSET_SIZE = 16;
-/** The endpoint with the prefix may carry this much of the mean load, and no more. */
+/** Prefix affinity applies up to this multiple of the mean load. */
 const AFFINITY_LOAD_FACTOR = 1.25;
 
-/** The subset of a pool's endpoints in one domain that this host uses and watches. */
+/** Returns the subset of a pool's endpoints in one domain that this host uses and watches. */
 export function subsetFor(hostId: string, endpointIds: readonly string[]): readonly string[] {
   if (endpointIds.length <= SUBSET_SIZE) return endpointIds;
   return rendezvous(hostId, endpointIds).slice(0, SUBSET_SIZE);
 }
 
-/** True if the endpoint has room for the request under this host's limit. */
+/** Returns true if this host's limit for the endpoint allows another request. */
 export function hasRoom(endpoint: EndpointView, isRollout: boolean, reserve: number): boolean {
   if (endpoint.stats.inFlight() >= endpoint.limit.value()) return false;
   return !isRollout || endpoint.stats.rolloutInFlight() < endpoint.limit.rolloutLimit(reserve);
@@ -60,7 +60,7 @@
     this._random = random;
   }
 
-  /** The endpoint to send to now, or undefined when none has room. */
+  /** Returns the endpoint to send to, or undefined when none has room. */
   pick(endpoints: readonly EndpointView[], request: PickRequest): EndpointView | undefined {
     const usable = endpoints.filter(endpoint => isCandidate(endpoint, request));
     for (const group of byDomain(usable, request)) {
@@ -71,7 +71,7 @@
     return undefined;
   }
 
-  /** The rollout's endpoint that must yield to a customer: the one with the most rollouts. */
+  /** Returns the endpoint whose rollout yields to a customer: the one with the most rollouts. */
   pickToPreempt(endpoints: readonly EndpointView[], request: PickRequest): EndpointView | undefined {
     const usable = endpoints.filter(e => isCandidate(e, request) && e.stats.rolloutInFlight() > 0);
     const [group = []] = byDomain(usable, request);
@@ -107,7 +107,7 @@
   return endpoint.stats.isUsable();
 }
 
-/** The endpoints in groups by domain: preferred ones in order, then the own, then the rest together. */
+/** Groups endpoints by domain: the preferred domains in order, or else the own one, then all others together. */
 function byDomain(
   endpoints: readonly EndpointView[],
   request: PickRequest,
@@ -118,6 +118,7 @@
   return groups.filter(group => group.length > 0);
 }
 
+/** Rendezvous hashing: returns the endpoint with the highest weight for the prefix. */
 function highestRanked(endpoints: readonly EndpointView[], prefix: string): EndpointView | undefined {
   let best: EndpointView | undefined;
   let bestWeight = -1;
--- a/packages/requests/src/endpointStats.ts
+++ b/packages/requests/src/endpointStats.ts
@@ -1,10 +1,10 @@
 /**
- * What one host knows of one endpoint: its own requests in flight, the endpoint's lagging report, and how
- * its recent answers went.
+ * A host's statistics of one endpoint: its own requests in flight, the last load report, and a circuit breaker
+ * over recent failures.
  */
 import type { Clock } from '@fuchsiahitch/base';
 
-/** A load report of an endpoint. It lags; `startId` changes when the endpoint restarts. */
+/** A load report of an endpoint, possibly outdated. `startId` changes when the endpoint restarts. */
 export interface LoadReport {
   readonly inFlight: number;
   readonly queued: number;
@@ -18,7 +18,6 @@
 const MIN_COMPLETED_ATTEMPTS = 5;
 const INITIAL_OPEN_MS = 1000;
 const MAX_OPEN_MS = 30_000;
-/** A report older than this says nothing any more. */
 const REPORT_VALID_MS = 15_000;
 
 type BreakerState =
@@ -40,8 +39,8 @@
   private _breaker: BreakerState = { kind: 'closed' };
 
   /**
-   * `reportValidMs`: a load report that is older says nothing any more. `maxOpenMs`: an endpoint that failed is tried
-   * again after no longer than this.
+   * `reportValidMs`: the age beyond which a load report is ignored. `maxOpenMs`: the longest time that the breaker
+   * stays open before a probe.
    */
   constructor(clock: Clock, reportValidMs: number = REPORT_VALID_MS, maxOpenMs: number = MAX_OPEN_MS) {
     this._clock = clock;
@@ -68,8 +67,8 @@
   }
 
   /**
-   * An attempt ended. An endpoint that answers errors at once looks idle and would draw all the traffic,
-   * which one would notice as an error rate near its share of answers; its failures open the breaker.
+   * Records the end of an attempt. Failures open the breaker: an endpoint that fails fast looks idle and would
+   * otherwise attract all traffic.
    */
   ended(isRollout: boolean, isFailure: boolean): void {
     this._inFlight -= 1;
@@ -82,8 +81,8 @@
   }
 
   /**
-   * The present attempt of a request was cancelled: it says nothing about the endpoint. If it was the one trial of an
-   * endpoint that had failed, the next request is the trial; without that the endpoint would never be used again.
+   * Records a cancelled attempt, which counts as neither success nor failure. If it was the breaker's probe, the next
+   * request becomes the probe; otherwise the breaker would never close.
    */
   cancelled(isRollout: boolean): void {
     this._inFlight -= 1;
@@ -101,8 +100,8 @@
   }
 
   /**
-   * The load that this host reckons with: what the others had at the last report, and its own present
-   * count. Own counts don't lag, so that hosts that read the same report do not all pick one endpoint.
+   * Returns the other hosts' load at the last report plus this host's current count. The own count is always
+   * up to date, so that hosts that read the same report do not all pick one endpoint.
    */
   estimatedLoad(): number {
     const isFresh = this._clock.nowMs() - this._reportedMs < this._reportValidMs;
@@ -111,7 +110,7 @@
     return others + this._inFlight;
   }
 
-  /** False while the breaker is open, or while its one probe is on the way. */
+  /** Returns false while the breaker is open or its probe is in flight. */
   isUsable(): boolean {
     if (this._breaker.kind === 'closed') return true;
     return this._breaker.kind === 'open' && this._clock.nowMs() >= this._breaker.untilMs;
--- a/packages/requests/src/fairAdmission.ts
+++ b/packages/requests/src/fairAdmission.ts
@@ -1,18 +1,17 @@
 /**
- * Which account has to wait when endpoints are full.
+ * Admission control per client account while endpoints are full.
  *
- * Without it an account that floods is refused as often as all others, and of an account with few requests hardly one is served.
- * While endpoints refuse, each account may send as many requests as an even share allows: those that ask for less get all that
- * they ask for, and what they leave goes to the others.
+ * Capacity is divided by max-min fairness, so that an account that floods does not starve the others: accounts with
+ * less demand than an even share are served in full, and what they leave is divided among the rest.
  */
 
-/** Requests are counted over slices of this length; the one before decides in the present one. */
+/** Requests are counted in slices of this length; the counts of one slice set the limits of the next. */
 const SLICE_MS = 500;
-/** With fewer requests in a slice a host can't tell a flood from chance. */
+/** With fewer requests in a slice, refusals are not significant. */
 const MIN_REQUESTS = 20;
-/** Endpoints are full when this share of the requests is refused. */
+/** Endpoints count as full when this share of the requests is refused. */
 const FULL_REFUSED_SHARE = 0.1;
-/** More is let through than was served, so that places that come free are found. */
+/** Admits more than was served, to detect capacity that has become free. */
 const PROBE_FACTOR = 1.2;
 
 class TimeSlice {
@@ -30,16 +29,16 @@
 export class FairAdmission {
   private _slice = new TimeSlice();
   private _sliceStartMs = -Infinity;
-  /** The most that one account may send in this slice; Infinity while endpoints have room. */
+  /** The maximum number of requests of one account in this slice; Infinity while endpoints have room. */
   private _limit = Infinity;
 
-  /** True if the account's request may be sent. One that may not counts as refused. */
+  /** Returns true if the account's request may be sent; otherwise it is counted as refused. */
   admit(accountName: string, nowMs: number): boolean {
     this._rotateSlice(nowMs);
     const slice = this._slice;
     slice.total += 1;
     increment(slice.requested, accountName);
-    // Spread over the slice: sent all at its beginning, the share of all would meet full endpoints, and leave them idle after.
+    // Spread admission over the slice: a burst at its start would find full endpoints and leave them idle afterwards.
     const elapsedShare = (nowMs - this._sliceStartMs) / SLICE_MS;
     if ((slice.admitted.get(accountName) ?? 0) >= 1 + this._limit * elapsedShare) {
       slice.refused += 1;
@@ -49,7 +48,7 @@
     return true;
   }
 
-  /** How a request ended that was let through. `isRefused`: every endpoint that it was sent to was full. */
+  /** Records the end of an admitted request. `isRefused`: every endpoint that received it was full. */
   ended(isRefused: boolean): void {
     if (isRefused) this._slice.refused += 1;
     else this._slice.served += 1;
@@ -68,7 +67,7 @@
   }
 }
 
-/** The most that each account gets where they share `capacity` evenly, and some ask for less; at least one. */
+/** Returns the max-min fair limit per account for the given demands, at least 1; Infinity if all demands fit. */
 export function maxMinFairShare(asked: ReadonlyMap<string, number>, capacity: number): number {
   const demands = [...asked.values()].sort((a, b) => a - b);
   let left = capacity;
--- a/packages/requests/src/keyClient.ts
+++ b/packages/requests/src/keyClient.ts
@@ -1,26 +1,26 @@
 /**
- * The entry host's side of idempotency keys: asks the owner, wherever it is.
+ * The entry host's side of idempotency keys: sends claims and results to the owner of a key.
  */
 import type { Deadline } from '@fuchsiahitch/base';
 import type { Claim, ClaimReply, Finish } from './keyMessages.js';
 import { homeDomain } from './slotMap.js';
 
-/** What came back from a claim, or how little is known. */
+/** The owner's reply to a claim; `unreachable` if none arrived. */
 export type ClaimResult = ClaimReply | { readonly kind: 'unreachable' };
 
-/** Reaches the owner of a key in a failure domain, directly or through a host there. */
+/** Transport to the owner of a key in a failure domain, directly or through another host there. */
 export interface KeyRoutes {
   claim(domain: string, claim: Claim, deadline: Deadline): Promise<ClaimReply | undefined>;
   finish(domain: string, finish: Finish): Promise<boolean>;
-  /** Waits until this host may have heard of a newer map. */
+  /** Waits until this host may have received a newer slot map. */
   refresh(deadline: Deadline): Promise<void>;
 }
 
 const MAX_CLAIM_TRIES = 3;
 const MAX_FINISH_TRIES = 4;
-/** A resend waits at most this long for the first run's answer. */
+/** The longest time that a resend waits for the first run's answer. */
 const MAX_WAIT_MS = 30_000;
-/** Left of the deadline for the way back. */
+/** Reserved from the deadline to return the reply. */
 const RETURN_MARGIN_MS = 50;
 
 export class KeyClient {
@@ -35,8 +35,8 @@
   }
 
   /**
-   * Asks for leave to run. A claim that got no reply is never repeated with the same attempt: the owner may
-   * have granted it, and the caller is told `unknown`.
+   * Requests permission to run. A claim without a reply is never repeated with the same attempt, since the owner may
+   * have granted it; the caller receives `unknown`.
    */
   async claim(key: string, fingerprint: string, attemptId: string, deadline: Deadline): Promise<ClaimResult> {
     const home = homeDomain(key, this._domains);
@@ -51,7 +51,7 @@
     return { kind: 'unreachable' };
   }
 
-  /** Tells the owner how the attempt ended; if nobody takes it, resends are told `unknown`, which is safe. */
+  /** Reports the end of the attempt to the owner. If that fails, resends receive `unknown`, which is safe. */
   async finish(finish: Omit<Finish, 'relayed'>, deadline: Deadline): Promise<void> {
     const home = homeDomain(finish.key, this._domains);
     for (let i = 0; i < MAX_FINISH_TRIES && !deadline.isOver(); i++) {
--- a/packages/requests/src/keyHolder.ts
+++ b/packages/requests/src/keyHolder.ts
@@ -1,10 +1,9 @@
 /**
- * Owner and copy of idempotency keys in a failure domain: a non-repeatable request runs at most once.
+ * Owner and copy of idempotency keys in a failure domain: a non-idempotent request runs at most once.
  *
- * A request may run only after its record stands at the owner and at the copy of one epoch. Whoever takes
- * over a slot first makes one of the two promise to take no more part in that epoch, and gets its records;
- * since every grant needs both, nothing granted is missed and nothing more is granted
- * (docs/design/keys.md, with the ways that were not taken).
+ * A request may run only after its record is stored at the owner and at the copy of one epoch. A host that takes
+ * over a slot first fences one of the two from that epoch and fetches its records. Since every grant needs both,
+ * no granted record is missed and no further grant is possible (docs/design/keys.md, with rejected alternatives).
  */
 import { sleep, type Clock } from '@fuchsiahitch/base';
 import type {
@@ -21,12 +20,12 @@
 import { KEY_RETENTION_MS, KeySlot, MAX_STORED_ANSWER_BYTES, type HeldRecord } from './keySlot.js';
 import { slotOf, SLOTS_PER_DOMAIN, type Generation, type SlotEntry, type SlotMap } from './slotMap.js';
 
-/** How holders reach each other. An undefined reply means that none came: nothing is proved. */
+/** Transport between holders. An undefined reply means that none arrived; the peer may have processed the message. */
 export interface HolderPeers {
   copyRecord(holder: string, message: CopyRecord): Promise<Accepted | undefined>;
   syncSlot(holder: string, message: SyncSlot): Promise<Accepted | undefined>;
   fenceSlot(holder: string, message: FenceSlot): Promise<FenceReply | undefined>;
-  /** True when that very process is known to have ended: its host runs a later one, or was removed. */
+  /** Returns true if that process is known to have terminated: its host runs a later one or was removed. */
   isProvenTerminated(holder: string): boolean;
 }
 
@@ -42,14 +41,14 @@
 
 type Waiter = () => void;
 
-/** The slots that one host holds. */
+/** Holds the slots of one host, as owner or as copy. */
 export class KeyHolder {
   private readonly _options: KeyHolderOptions;
   private readonly _slots: readonly KeySlot[];
   private readonly _waiters = new Map<HeldRecord, Waiter[]>();
   private readonly _settled = new Set<number>();
   private _map: SlotMap | undefined;
-  /** The epoch that each slot is being settled for. */
+  /** The epoch for which each slot is being settled. */
   private readonly _settling = new Map<number, number>();
   private readonly _handedOver = new Set<number>();
 
@@ -58,7 +57,7 @@
     this._slots = Array.from({ length: SLOTS_PER_DOMAIN }, () => new KeySlot(options.clock));
   }
 
-  /** Slots that this host owns, with their copy up to date. */
+  /** Slots that this host owns and whose copy is up to date. */
   settledSlots(): ReadonlySet<number> {
     return this._settled;
   }
@@ -71,7 +70,7 @@
     return this._slots.reduce((sum, slot) => sum + slot.size(), 0);
   }
 
-  /** Learns a map. One that is not newer is ignored, whatever the store says: epochs never fall. */
+  /** Applies a newer map. Others are ignored, even if they come from the store: epochs never decrease. */
   updateMap(map: SlotMap): void {
     if (this._map && map.revision <= this._map.revision) return;
     this._map = map;
@@ -88,13 +87,13 @@
     const state = this._slot(slot);
     const known = state.find(claim.key);
     if (known) return this._claimExisting(known, claim);
-    // Before the slot is settled nobody can say whether an earlier arrival ran.
+    // Until the slot is settled it is not known whether an earlier arrival ran.
     if (!this._mayGrant(slot, entry)) return { kind: 'unknown', reason: 'key-unsettled' };
     if (state.lostForMs() > 0) return { kind: 'unknown', reason: 'key-records-lost' };
     return this._grant(slot, entry, claim);
   }
 
-  /** Takes in how a granted attempt ended. */
+  /** Records the end of a granted attempt. */
   async finish(finish: Finish): Promise<Accepted> {
     const slot = slotOf(finish.key);
     const entry = this._ownedEntry(slot);
@@ -102,13 +101,13 @@
     if (!entry || record?.attemptId !== finish.attemptId) return { accepted: false };
     const change = this._applyFinish(slot, record, finish);
     this._wakeWaiters(record);
-    // The copy's loss of this change is harmless: it would tell `unknown` where an answer was kept.
+    // If the copy misses this change, it replies `unknown` instead of the stored answer, which is safe.
     if (entry.copy !== '')
       await this._options.peers.copyRecord(entry.copy, { slot, epoch: entry.epoch, record: change });
     return { accepted: true };
   }
 
-  /** As the copy: takes in one change, unless a later epoch was promised. */
+  /** As the copy: applies one change, unless a later epoch was promised. */
   copyRecord(message: CopyRecord): Accepted {
     const state = this._slot(message.slot);
     const isCurrent = message.epoch === state.promisedEpoch && state.completeEpoch === message.epoch;
@@ -117,7 +116,7 @@
     return { accepted: true };
   }
 
-  /** As the copy: takes in a whole slot. */
+  /** As the copy: replaces the contents of a slot. */
   syncSlot(message: SyncSlot): Accepted {
     const state = this._slot(message.slot);
     if (message.epoch < state.promisedEpoch) return { accepted: false };
@@ -128,7 +127,7 @@
     return { accepted: true };
   }
 
-  /** As an earlier holder: promises the later epoch and hands over what it holds. */
+  /** As an earlier holder: promises the later epoch and returns its records. */
   fenceSlot(message: FenceSlot): FenceReply {
     if (message.holder !== this._options.self) return { kind: 'gone' };
     const state = this._slot(message.slot);
@@ -144,7 +143,7 @@
     };
   }
 
-  /** As a host that leaves: true once every slot it held stands elsewhere, so that nothing is lost with it. */
+  /** As a leaving host: returns true once another host holds the records of each of its slots. */
   hasHandedOver(): boolean {
     const slots = this._map?.slots ?? [];
     return slots.every((entry, slot) => {
@@ -188,8 +187,8 @@
       const message = { slot, epoch: entry.epoch, record: state.toRecord(record) };
       const reply = await this._options.peers.copyRecord(entry.copy, message);
       if (!reply?.accepted) {
-        // Nobody gets a grant for this attempt. That does not prove that the key never ran: a copy that is
-        // silent, or refuses, may already serve a successor that granted it to another arrival.
+        // No grant for this attempt. The key may have run nevertheless: a copy that does not answer or refuses
+        // may already serve a successor that granted the key to another arrival.
         state.remove(record);
         this._wakeWaiters(record);
         if (reply) this._settled.delete(slot);
@@ -237,7 +236,7 @@
       this._settled.delete(slot);
       this._handedOver.delete(slot);
     }
-    // The new owner may have reached this host before the map did: then the epoch is not news, and the role is.
+    // The new owner's message may arrive before the map: then the epoch is known already, but the role changes.
     if (entry.owner !== this._options.self) {
       this._settled.delete(slot);
       return;
@@ -247,7 +246,7 @@
     void this._settle(slot, entry);
   }
 
-  /** Gathers the slot's records, brings the copy up to date, and begins to grant. */
+  /** Collects the slot's records and synchronizes the copy; grants are allowed afterwards. */
   private async _settle(slot: number, entry: SlotEntry): Promise<void> {
     const state = this._slot(slot);
     const isCurrent = (): boolean =>
@@ -279,12 +278,12 @@
     return reply?.accepted ?? false;
   }
 
-  /** Walks the earlier generations, newest first, until one shows what was granted. False: ask again later. */
+  /** Queries earlier generations, newest first, until one has the granted records. Returns false to retry later. */
   private async _collectRecords(slot: number, entry: SlotEntry): Promise<boolean> {
     for (const generation of entry.older) {
       const found = await this._queryGeneration(slot, entry.epoch, generation);
-      if (found === 'whole') return true;
-      if (found === 'silent') return false;
+      if (found === 'complete') return true;
+      if (found === 'unresponsive') return false;
       if (found === 'lost') {
         this._slot(slot).markRecordsLost(KEY_RETENTION_MS);
         return true;
@@ -294,18 +293,18 @@
   }
 
   /**
-   * `whole`: its records are here now. `nothing`: one of its holders never got them and promised never to,
-   * so that this generation granted nothing. `lost`: both processes ended. `silent`: nothing is proved.
+   * `complete`: the generation's records were loaded. `none`: one of its holders never received them and is fenced,
+   * so that the generation granted nothing. `lost`: both processes terminated. `unresponsive`: not known.
    */
   private async _queryGeneration(
     slot: number,
     epoch: number,
     generation: Generation,
-  ): Promise<'whole' | 'nothing' | 'lost' | 'silent'> {
+  ): Promise<'complete' | 'none' | 'lost' | 'unresponsive'> {
     const state = this._slot(slot);
     const holders = generation.copy === '' ? [generation.owner] : [generation.owner, generation.copy];
     if (holders.includes(this._options.self))
-      return state.completeEpoch === generation.epoch ? 'whole' : 'nothing';
+      return state.completeEpoch === generation.epoch ? 'complete' : 'none';
     let terminated = 0;
     for (const holder of holders) {
       if (this._options.peers.isProvenTerminated(holder)) {
@@ -316,10 +315,10 @@
       if (reply?.kind === 'gone') terminated += 1;
       if (reply?.kind !== 'holds') continue;
       if (reply.completeEpoch > generation.epoch) continue;
-      if (reply.completeEpoch < generation.epoch) return 'nothing';
+      if (reply.completeEpoch < generation.epoch) return 'none';
       state.replace(reply.records, reply.lostForMs);
-      return 'whole';
+      return 'complete';
     }
-    return terminated === holders.length ? 'lost' : 'silent';
+    return terminated === holders.length ? 'lost' : 'unresponsive';
   }
 }
--- a/packages/requests/src/keyMessages.ts
+++ b/packages/requests/src/keyMessages.ts
@@ -6,13 +6,13 @@
 const MAX_KEY = 255;
 const keySchema = z.string().min(1).max(MAX_KEY);
 
-/** An answer that is kept for resends. Only small ones are. */
+/** A small answer stored for resends. */
 export const storedAnswerSchema = z
   .strictObject({ status: z.number().int(), contentType: z.string(), body: z.string() })
   .readonly();
 export type StoredAnswer = z.infer<typeof storedAnswerSchema>;
 
-/** What is known of a key. `released` erases it: the request was proved not to have run. */
+/** The states of a key. `released` removes the record: the request provably did not run. */
 export const keyStates = ['preparing', 'granted', 'finished', 'released'] as const;
 
 export const keyRecordSchema = z
@@ -22,14 +22,14 @@
     attemptId: z.string(),
     state: z.enum(keyStates),
     answer: storedAnswerSchema.optional(),
-    /** Grows with every change that the owner makes in this slot: an older change never overwrites. */
+    /** Sequence number of the owner's changes in this slot: an older change never overwrites a newer one. */
     change: z.number().int(),
     ageMs: z.number().min(0),
   })
   .readonly();
 export type KeyRecord = z.infer<typeof keyRecordSchema>;
 
-/** Asks the owner of a key for leave to run its request. */
+/** Requests permission from the owner of a key to run its request. */
 export const claimSchema = z
   .strictObject({
     key: keySchema,
@@ -37,13 +37,13 @@
     attemptId: z.string(),
     domains: z.string(),
     waitMs: z.number().min(0),
-    /** True once a host of the home domain passed the claim on; it is not passed on again. */
+    /** True if a host of the home domain forwarded the claim; it is not forwarded again. */
     relayed: z.boolean(),
   })
   .readonly();
 export type Claim = z.infer<typeof claimSchema>;
 
-/** What the owner says. Only `granted` allows a run, and only of the attempt that asked. */
+/** The owner's reply. Only `granted` permits a run, and only of the requesting attempt. */
 export const claimReplySchema = z.discriminatedUnion('kind', [
   z.strictObject({ kind: z.literal('granted') }),
   z.strictObject({ kind: z.literal('answered'), answer: storedAnswerSchema }),
@@ -56,12 +56,12 @@
 ]);
 export type ClaimReply = Readonly<z.infer<typeof claimReplySchema>>;
 
-/** Tells the owner how a granted attempt ended. */
+/** Reports the end of a granted attempt to the owner. */
 export const finishSchema = z
   .strictObject({
     key: keySchema,
     attemptId: z.string(),
-    /** `released`: proved not run. `finished`: it ran, or may have. */
+    /** `released`: it provably did not run. `finished`: it ran or may have run. */
     end: z.enum(['released', 'finished']),
     answer: storedAnswerSchema.optional(),
     relayed: z.boolean(),
@@ -73,23 +73,23 @@
 const slot = z.number().int().min(0);
 const epoch = z.number().int().min(0);
 
-/** The owner's change of one record, sent to the copy before the change counts. */
+/** The owner's change of one record, sent to the copy before the change takes effect. */
 export const copyRecordSchema = z.strictObject({ slot, epoch, record: keyRecordSchema }).readonly();
 export type CopyRecord = z.infer<typeof copyRecordSchema>;
 export const acceptedSchema = z.strictObject({ accepted: z.boolean() }).readonly();
 export type Accepted = z.infer<typeof acceptedSchema>;
 
-/** Everything that a slot's owner knows, sent to a new copy. */
+/** All records of a slot, sent by its owner to a new copy. */
 export const syncSlotSchema = z
   .strictObject({ slot, epoch, records: z.array(keyRecordSchema).readonly(), lostForMs: z.number().min(0) })
   .readonly();
 export type SyncSlot = z.infer<typeof syncSlotSchema>;
 
-/** Asks an earlier holder to take no more part below `epoch`, and for what it holds. */
+/** Fences an earlier holder from epochs below `epoch` and requests its records. */
 export const fenceSlotSchema = z.strictObject({ slot, epoch, holder: z.string() }).readonly();
 export type FenceSlot = z.infer<typeof fenceSlotSchema>;
 
-/** `holds` only if the holder's records are whole for `completeEpoch`; another process answers `gone`. */
+/** `holds`: the records are complete for `completeEpoch`. `gone`: the process that answers is another one. */
 export const fenceReplySchema = z.discriminatedUnion('kind', [
   z.strictObject({
     kind: z.literal('holds'),
--- a/packages/requests/src/keySlot.ts
+++ b/packages/requests/src/keySlot.ts
@@ -4,12 +4,12 @@
 import type { Clock } from '@fuchsiahitch/base';
 import type { StoredAnswer, KeyRecord } from './keyMessages.js';
 
-/** How long a key is remembered after its last change. A resend must come within it. */
+/** The time for which a key is stored after its last change. Resends must arrive within it. */
 export const KEY_RETENTION_MS = 600_000;
-/** A kept answer is at most this large; a resend of a larger one is told `unknown`. */
+/** Larger answers are not stored; their resends receive `unknown`. */
 export const MAX_STORED_ANSWER_BYTES = 16 * 1024;
 
-/** A record in memory. `settledWaiters` are resends that wait for the first run's end. */
+/** A record in memory. */
 export interface HeldRecord {
   readonly key: string;
   readonly fingerprint: string;
@@ -25,9 +25,9 @@
   private readonly _records = new Map<string, HeldRecord>();
   private _lastChange = 0;
   private _recordsLostUntilMs = 0;
-  /** The highest epoch that this host promised to respect. */
+  /** The highest epoch that this host promised; it accepts no changes of earlier ones. */
   promisedEpoch = 0;
-  /** The epoch for which the records here are all that were granted; 0 when never. */
+  /** The epoch for which these are all granted records; 0 for none. */
   completeEpoch = 0;
 
   constructor(clock: Clock) {
@@ -41,7 +41,7 @@
     return undefined;
   }
 
-  /** Adds a record that waits for its copy. */
+  /** Adds a record that is not confirmed by the copy yet. */
   prepare(key: string, fingerprint: string, attemptId: string): HeldRecord {
     const record: HeldRecord = {
       key,
@@ -63,18 +63,18 @@
     this._touch(record);
   }
 
-  /** Forgets a record, if it still is the one that stands for its key. */
+  /** Removes a record unless its key has a newer one. */
   remove(record: HeldRecord): void {
     if (this._records.get(record.key) === record) this._records.delete(record.key);
   }
 
-  /** A number for a change that erases a record. */
+  /** Returns the next sequence number of a change. */
   nextChange(): number {
     this._lastChange += 1;
     return this._lastChange;
   }
 
-  /** Takes in a record of the owner or of an earlier holder; older changes lose. */
+  /** Merges a record of the owner or of an earlier holder; the newer change wins. */
   merge(record: KeyRecord): void {
     this._lastChange = Math.max(this._lastChange, record.change);
     const known = this._records.get(record.key);
@@ -84,20 +84,20 @@
       return;
     }
     const { key, fingerprint, attemptId, answer, change } = record;
-    // A record that was on its way to a copy may have been granted: from outside both look alike.
+    // A record still in preparation may have been granted meanwhile; treat it as granted.
     const state = record.state === 'finished' ? 'finished' : 'granted';
     const changedMs = this._clock.nowMs() - record.ageMs;
     this._records.set(key, { key, fingerprint, attemptId, state, answer, change, changedMs });
   }
 
-  /** Replaces everything by what a fresh owner sent. */
+  /** Replaces all records by those of a new owner. */
   replace(records: readonly KeyRecord[], lostForMs: number): void {
     this._records.clear();
     for (const record of records) this.merge(record);
     this.markRecordsLost(lostForMs);
   }
 
-  /** From now on, for this long, a key without a record may have run before. */
+  /** Records were lost: for this time, a key without a record may have run before. */
   markRecordsLost(durationMs: number): void {
     if (durationMs > 0)
       this._recordsLostUntilMs = Math.max(this._recordsLostUntilMs, this._clock.nowMs() + durationMs);
@@ -107,7 +107,6 @@
     return Math.max(0, this._recordsLostUntilMs - this._clock.nowMs());
   }
 
-  /** All records that are still within the window. */
   unexpiredRecords(): readonly KeyRecord[] {
     const records: KeyRecord[] = [];
     for (const key of [...this._records.keys()]) {
--- a/packages/requests/src/outcome.ts
+++ b/packages/requests/src/outcome.ts
@@ -1,9 +1,9 @@
 /**
- * How a request ends. Exactly one of four outcomes, each with a stated meaning to the caller
+ * The outcome of a request: exactly one of four, each with a documented meaning to the caller
  * (docs/design/callers-interface.md).
  */
 
-/** Why a request certainly did not run. */
+/** Why a request provably did not run. */
 export type NotRunReason =
   | 'refused-by-rule'
   | 'queue-full'
@@ -14,7 +14,7 @@
   | 'caller-left'
   | 'bad-request';
 
-/** Why nobody can say whether the request ran, or its answer is no longer held. */
+/** Why it is not known whether the request ran, or why its answer is not available. */
 export type UnknownReason =
   | 'connection-lost'
   | 'no-answer-in-time'
@@ -25,7 +25,6 @@
   | 'key-owner-unreachable'
   | 'caller-left';
 
-/** The end of a request. Times are in milliseconds. */
 export type RequestOutcome =
   | { readonly kind: 'completed'; readonly status: number }
   | { readonly kind: 'not-run'; readonly reason: NotRunReason; readonly retryAfterMs: number }
@@ -34,9 +33,9 @@
 
 export type OutcomeKind = RequestOutcome['kind'];
 
-/** The header that tells the outcome to the caller. */
+/** Reports the outcome to the caller. */
 export const OUTCOME_HEADER = 'fuchsiahitch-outcome';
-/** The header that tells the reason of an outcome that is not `completed`. */
+/** Reports the reason of an outcome other than `completed`. */
 export const REASON_HEADER = 'fuchsiahitch-reason';
 
 const SERVICE_UNAVAILABLE = 503;
@@ -44,7 +43,7 @@
 const FORBIDDEN = 403;
 const BAD_REQUEST = 400;
 
-/** The HTTP status of an outcome when no part of an endpoint's answer was passed on. */
+/** Returns the HTTP status of an outcome when no part of an endpoint's answer was forwarded. */
 export function statusOf(outcome: RequestOutcome): number {
   switch (outcome.kind) {
     case 'completed':
--- a/packages/requests/src/poisonCases.ts
+++ b/packages/requests/src/poisonCases.ts
@@ -1,57 +1,54 @@
 /**
- * Poison requests: those under which endpoints end, one after the other, whichever runs them.
+ * Poison requests: requests that crash every endpoint that runs them.
  *
- * What goes wrong without a memory of them: a crash looks like a broken connection, so the request is sent to the next
- * endpoint, and its caller brings it again. One notices it as a pool whose endpoints all restart every few seconds while
- * everybody's requests are refused. So each end is counted for the requests that ran there.
+ * A crash looks like a broken connection, so that retries would crash one endpoint after another. Therefore each
+ * termination of an endpoint is counted for the requests that ran there.
  *
- * An end speaks as well against the requests that merely ran at the same endpoint. Therefore nothing is condemned by such
- * ends alone: after two, the request is held until the endpoints are back, and one copy of it in the whole fleet is
- * then tried. An answer clears it; a further end condemns it.
+ * The count also covers requests that merely ran at the same endpoint and does not condemn on its own: after two
+ * terminations the request is held until the endpoints have restarted, then one copy is tried in the whole fleet.
+ * An answer clears the request; another termination condemns it.
  */
 import type { Clock } from '@fuchsiahitch/base';
 import { targetOfFingerprint } from './requestFingerprint.js';
 
-/** What may be done with a request. */
 export type PoisonVerdict =
-  /** It may be sent like any other. */
+  /** No restriction. */
   | { readonly kind: 'free' }
-  /** One copy may be sent once, by the host that claims this trial for the whole fleet. */
+  /** One copy may be sent, by the host that claims this trial for the whole fleet. */
   | { readonly kind: 'trial'; readonly number: number }
-  /** It may be sound: it waits for its next trial, or for the result of one. */
+  /** Possibly harmless: waits for its next trial or for the result of one. */
   | { readonly kind: 'held'; readonly leftMs: number }
-  /** An endpoint ended under its trial too, or no trial is left. */
+  /** An endpoint terminated during a trial, or no trial is left. */
   | { readonly kind: 'condemned' };
 
-/** One thing known of a request. */
+/** One observation about a request. */
 export type PoisonMark =
-  /** An endpoint has ended under it; the identifier of its start. */
+  /** An endpoint terminated while running it; `startId` identifies the start of that endpoint. */
   | { readonly kind: 'end'; readonly startId: string }
-  /** A trial of it was begun, after so many ends. */
+  /** A trial was started after `endsBefore` terminations. */
   | { readonly kind: 'trial'; readonly number: number; readonly endsBefore: number };
 
-/** Tells the marks of one request apart; a trial by its number only. */
+/** Returns a key that identifies the mark among those of its request; a trial by its number only. */
 export function markKey(mark: PoisonMark): string {
   return mark.kind === 'end' ? `end-${mark.startId}` : `trial-${mark.number}`;
 }
 
-/** One end may be anything; two, of two endpoints, take two thirds of a pool of three. */
+/** A single termination may have any cause. */
 const MIN_ENDS = 2;
 /**
- * The pause before each trial. A process is back about two seconds after its end, so that the first trial does not take
- * the last endpoint of a small pool; later ones only find out whether the endpoints have been repaired. After these no
- * more: each costs an endpoint and all that runs there.
+ * The delay before each trial. The first one lets terminated endpoints restart; later trials detect whether the
+ * endpoints have been repaired. The number is limited because a failed trial costs an endpoint and all its requests.
  */
 const TRIAL_DELAYS_MS = [2000, 60_000, 600_000] as const;
-/** Two ends that lie further apart than this are none of the request's doing. */
+/** Terminations further apart than this are not attributed to the same request. */
 const CASE_RETENTION_MS = 600_000;
-/** Some hundred bytes each. Beyond it the one that was marked longest ago is forgotten. */
+/** Beyond this number the case that was marked least recently is evicted. */
 const MAX_CASES = 2000;
 
 interface PoisonCase {
-  /** The starts of endpoints that have ended under the request. */
+  /** `startId` of the endpoints that terminated while running the request. */
   readonly ends: Set<string>;
-  /** The trials that were begun, and the ends that were known before each. */
+  /** Started trials by number, each with the count of terminations before it. */
   readonly trials: Map<number, number>;
   lastMarkMs: number;
 }
@@ -59,7 +56,7 @@
 export class PoisonCases {
   private readonly _clock: Clock;
   private readonly _cases = new Map<string, PoisonCase>();
-  /** Cases by the digest of their request line. */
+  /** The number of cases by the digest of their request line. */
   private readonly _caseCountByTarget = new Map<string, number>();
 
   constructor(clock: Clock) {
@@ -70,12 +67,12 @@
     return this._cases.size;
   }
 
-  /** False if no request with this request line is known: its body need not be read. */
+  /** Returns false if no case has this request line, so that the body need not be read. */
   mayMatch(target: string): boolean {
     return this._caseCountByTarget.has(target);
   }
 
-  /** An endpoint has ended while it ran the request. Returns how many have by now. */
+  /** Records that an endpoint terminated while running the request. Returns the number of such endpoints. */
   ended(fingerprint: string, startId: string): number {
     this._removeExpired(fingerprint);
     const known = this._getOrCreateCase(fingerprint);
@@ -84,7 +81,7 @@
     return known.ends.size;
   }
 
-  /** `endsBefore`: what its host knew when it began; this one may have heard of the end of the trial first. */
+  /** `endsBefore`: the count at the host that started the trial; this host may learn of the trial's end first. */
   trialStarted(fingerprint: string, number: number, endsBefore: number): void {
     const known = this._getOrCreateCase(fingerprint);
     if (known.trials.has(number)) return;
@@ -92,19 +89,19 @@
     known.lastMarkMs = this._clock.nowMs();
   }
 
-  /** The request did not run after all. */
+  /** Removes a trial whose request did not run. */
   trialDropped(fingerprint: string, number: number): void {
     this._cases.get(fingerprint)?.trials.delete(number);
   }
 
-  /** An end counts no more: the record of it has lapsed, or its request was answered elsewhere. */
+  /** Removes a termination whose record expired or whose request was answered elsewhere. */
   removeEnd(fingerprint: string, startId: string): void {
     const known = this._cases.get(fingerprint);
     known?.ends.delete(startId);
     if (known?.ends.size === 0) this.cleared(fingerprint);
   }
 
-  /** The request was answered: whatever ended, it was not the cause. */
+  /** Removes the case of a request that was answered, which proves it harmless. */
   cleared(fingerprint: string): void {
     if (!this._cases.delete(fingerprint)) return;
     const target = targetOfFingerprint(fingerprint);
@@ -113,7 +110,6 @@
     else this._caseCountByTarget.delete(target);
   }
 
-  /** The starts of endpoints that have ended under the request, and its trials. */
   marks(fingerprint: string): readonly PoisonMark[] {
     const known = this._cases.get(fingerprint);
     return [
@@ -126,7 +122,7 @@
     ];
   }
 
-  /** How many endpoints have ended under the request. */
+  /** Returns the number of endpoints that terminated while running the request. */
   ends(fingerprint: string): number {
     return this._cases.get(fingerprint)?.ends.size ?? 0;
   }
@@ -137,7 +133,7 @@
     const sinceMarkMs = this._clock.nowMs() - known.lastMarkMs;
     const pauseMs = TRIAL_DELAYS_MS[known.trials.size] ?? Infinity;
     if (sinceMarkMs >= pauseMs) return { kind: 'trial', number: known.trials.size + 1 };
-    // Only an end under a trial proves anything: a trial may also be cut off, or its caller leave.
+    // Only a termination during a trial is proof: a trial may also be interrupted, or its caller may disconnect.
     const isProven = [...known.trials.values()].some(endsBefore => known.ends.size > endsBefore);
     const isWaiting = !isProven && pauseMs < Infinity;
     return isWaiting ? { kind: 'held', leftMs: pauseMs - sinceMarkMs } : { kind: 'condemned' };
@@ -151,7 +147,7 @@
   private _getOrCreateCase(fingerprint: string): PoisonCase {
     const known = this._cases.get(fingerprint);
     if (known) {
-      // Last in order, as the one that was marked last.
+      // Reinserted, since eviction takes the first entry.
       this._cases.delete(fingerprint);
       this._cases.set(fingerprint, known);
       return known;
--- a/packages/requests/src/requestFingerprint.ts
+++ b/packages/requests/src/requestFingerprint.ts
@@ -1,24 +1,24 @@
 /**
- * What makes two requests the same when one comes again: under another identifier, at another host, with other headers.
+ * Fingerprints that recognize a repeated request, also at another host or with other identifiers and headers.
  */
 import { digest, strongDigest } from '@fuchsiahitch/base';
 
-/** What an endpoint's work on a request depends on. */
+/** The properties that determine an endpoint's work on a request. */
 export interface RequestIdentity {
-  /** What tells callers apart: the client account or, where none is known, the credential that was brought; empty for neither. */
+  /** Identifies the caller: the client account or else the credential that was presented; empty for neither. */
   readonly caller: string;
   readonly host: string;
   readonly method: string;
   /** Path and query. */
   readonly target: string;
   readonly body: Uint8Array | undefined;
-  /** The body's length, where it is known without the body. */
+  /** The body's length if known without the body. */
   readonly bodyBytes?: number;
 }
 
 /**
- * A digest of the request line and the body's length, with which the fingerprints of all requests begin that share them. It
- * takes microseconds where a fingerprint reads a body of megabytes: whoever looks for a few known requests compares this first.
+ * Returns a digest of the request line and the body's length, which is the prefix of the fingerprint. Cheap to compute:
+ * use it as a filter before the fingerprint, which reads the body.
  */
 export function targetDigest(request: RequestIdentity): string {
   const { host, method, target } = request;
@@ -26,14 +26,14 @@
   return digest(`${method} ${host} ${target} ${bodyBytes}`);
 }
 
-/** A digest of a request's identity, the same at every host. Reads the whole body. */
+/** Returns a digest of a request's identity, the same at every host. Reads the complete body. */
 export function requestFingerprint(request: RequestIdentity): string {
   const { caller, host, method, target, body } = request;
   const identity = strongDigest([caller, host, method, target, body ?? '']);
   return `${targetDigest(request)}-${identity}`;
 }
 
-/** The digest of request line and length with which a fingerprint begins. */
+/** Returns the `targetDigest` part of a fingerprint. */
 export function targetOfFingerprint(fingerprint: string): string {
   return fingerprint.slice(0, fingerprint.indexOf('-'));
 }
--- a/packages/requests/src/requestQueue.ts
+++ b/packages/requests/src/requestQueue.ts
@@ -1,13 +1,13 @@
 /**
- * Requests of one pool that wait for room at an endpoint: bounded, customers first, each with its deadline.
+ * A bounded priority queue of requests that wait for capacity in one pool, each with its deadline.
  */
 import type { CancelTimer, Clock, Deadline } from '@fuchsiahitch/base';
 
-/** Classes of waiting requests; a lower one is served only when the higher ones are empty. */
+/** In descending order: a lower priority is served only when the higher ones are empty. */
 export const queuePriorities = ['customer-high', 'customer', 'customer-low', 'rollout'] as const;
 export type QueuePriority = (typeof queuePriorities)[number];
 
-/** Why a request left the queue without a turn. */
+/** Why a request left the queue without being served. */
 export type QueueRefusal = 'queue-full' | 'too-late';
 
 interface WaitingRequest {
@@ -16,7 +16,7 @@
   readonly cancelTimer: CancelTimer;
 }
 
-/** A window over which turns are counted to tell how long a newcomer would wait. */
+/** The window over which served requests are counted to estimate the wait. */
 const RATE_WINDOW_MS = 2000;
 
 export class RequestQueue {
@@ -41,7 +41,7 @@
     return total;
   }
 
-  /** How long a newcomer of the class would wait, from the rate of the last turns; 0 when nothing waits. */
+  /** Estimates the wait of a new request from the recent service rate; 0 when the queue is empty. */
   expectedWaitMs(waitClass: QueuePriority): number {
     let ahead = 0;
     for (const name of queuePriorities) {
@@ -55,9 +55,9 @@
   }
 
   /**
-   * Waits for a turn. `offer` is called when there may be room, and says whether it used it; `refuse` is
-   * called at once when the queue is full or the wait would outlast the deadline, and else at the deadline.
-   * Returns a function that leaves the queue.
+   * Adds a request. `offer` is called when there may be room and returns true if the request was sent; `refuse` is
+   * called immediately when the queue is full or the expected wait exceeds the deadline, and otherwise at the deadline.
+   * Returns a function that removes the request from the queue.
    */
   enqueue(
     waitClass: QueuePriority,
@@ -85,7 +85,7 @@
     };
   }
 
-  /** Offers room to the waiting, the highest class and the longest wait first, until nobody takes it. */
+  /** Offers room to waiting requests, by priority and then in order of arrival, until one declines. */
   dispatch(): void {
     for (const name of queuePriorities) {
       for (const waiting of this._queues.get(name) ?? []) {
--- a/packages/requests/src/requestRun.ts
+++ b/packages/requests/src/requestRun.ts
@@ -1,18 +1,16 @@
 /**
- * The life of one request, in one state machine.
+ * State machine of one request.
  *
- * What goes wrong without it: a queued request times out, its caller is told "not run", and the
- * dispatcher's pending turn sends it all the same. One would notice it as a service that counts a run for a
- * request answered "not run". Here leaving the queue and giving up are transitions of the same state, so
- * that whichever comes first excludes the other.
+ * Sending and abandoning are transitions of the same state, so that they exclude each other: a request that the caller
+ * was told did not run is never sent afterwards.
  */
 import { invariant } from '@fuchsiahitch/base';
 import type { NotRunReason, RequestOutcome, UnknownReason } from './outcome.js';
 
-/** Where a request stands. From `sent` on nobody can claim that it did not run without proof. */
+/** From `sent` on, a request counts as not run only with proof. */
 export type RequestPhase = 'waiting' | 'sent' | 'answering' | 'ended';
 
-/** Why a request is given up from the outside. */
+/** Why a request is abandoned before its answer is complete. */
 export type AbandonCause = 'deadline' | 'caller-left' | 'shutdown';
 
 const NOT_RUN_REASONS: Readonly<Record<AbandonCause, NotRunReason>> = {
@@ -26,7 +24,7 @@
   shutdown: 'connection-lost',
 };
 
-/** The state machine of one request. Events of attempts other than the present one are counted and dropped. */
+/** Events of attempts other than the current one are counted and dropped. */
 export class RequestRun {
   private readonly _retryAfterMs: number;
   private _phase: RequestPhase = 'waiting';
@@ -47,12 +45,12 @@
     return this._outcome;
   }
 
-  /** Events that came too late or out of order. */
+  /** The number of events that arrived late or out of order. */
   droppedEvents(): number {
     return this._dropped;
   }
 
-  /** The move from waiting to sent: the attempt's number, or undefined when the request has ended. */
+  /** Moves from `waiting` to `sent`. Returns the attempt's number, or undefined if the request was not waiting. */
   send(): number | undefined {
     if (this._phase !== 'waiting') return undefined;
     this._phase = 'sent';
@@ -60,14 +58,14 @@
     return this._attempt;
   }
 
-  /** Proof that this attempt did not run: nothing was written, or the endpoint refused it before running. */
+  /** The attempt provably did not run: nothing was written, or the endpoint refused it before running. */
   provenNotRun(attempt: number): boolean {
     if (!this._isCurrent(attempt) || this._phase !== 'sent') return this._dropEvent();
     this._phase = 'waiting';
     return true;
   }
 
-  /** The attempt broke with nothing proved, and the request may be repeated: it goes back to waiting. */
+  /** The connection broke and the attempt may have run, but the request is retryable: it returns to `waiting`. */
   brokenRetryable(attempt: number): boolean {
     if (!this._isCurrent(attempt) || this._phase === 'ended') return this._dropEvent();
     this._mayHaveRun = true;
@@ -75,21 +73,21 @@
     return true;
   }
 
-  /** The answer's head arrived. False: it belongs to an earlier attempt or an ended request, drop it. */
+  /** The answer's head arrived. Returns false if it must be dropped: the attempt is outdated or the request ended. */
   answerStarted(attempt: number): boolean {
     if (!this._isCurrent(attempt) || this._phase !== 'sent') return this._dropEvent();
     this._phase = 'answering';
     return true;
   }
 
-  /** The whole answer arrived. */
+  /** The complete answer arrived. */
   answered(attempt: number, status: number, isFailure: boolean): boolean {
     if (!this._isCurrent(attempt) || this._phase !== 'answering') return this._dropEvent();
     this._end(isFailure ? { kind: 'failed', status } : { kind: 'completed', status });
     return true;
   }
 
-  /** The attempt broke, and the request must not be repeated. */
+  /** The connection broke and the request is not retryable. */
   broken(attempt: number): boolean {
     if (!this._isCurrent(attempt) || this._phase === 'ended') return this._dropEvent();
     this._mayHaveRun = true;
@@ -97,27 +95,27 @@
     return true;
   }
 
-  /** Ends the request from outside: not run if it was never sent, unknown otherwise. */
+  /** Ends the request early: `not-run` if provably no attempt ran, `unknown` otherwise. */
   abandon(cause: AbandonCause): RequestOutcome {
     if (this._outcome) return this._outcome;
     const isProven = this._phase === 'waiting' && !this._mayHaveRun;
     return this._end(isProven ? this._notRun(NOT_RUN_REASONS[cause]) : this._unknown(UNKNOWN_REASONS[cause]));
   }
 
-  /** Refuses a request that waits. Once an attempt may have run it ends as unknown instead. */
+  /** Refuses a waiting request. It ends as `unknown` if an earlier attempt may have run. */
   refuse(reason: NotRunReason): RequestOutcome {
     if (this._outcome) return this._outcome;
     invariant(this._phase === 'waiting', 'only a waiting request can be refused');
     return this._end(this._mayHaveRun ? this._unknown('connection-lost') : this._notRun(reason));
   }
 
-  /** Ends a waiting request with what the key's owner said of an earlier arrival. */
+  /** Ends a waiting request for whose key the owner reported an earlier arrival. */
   endUnknown(reason: UnknownReason): RequestOutcome {
     if (this._outcome) return this._outcome;
     return this._end(this._unknown(reason));
   }
 
-  /** Ends a waiting request with the kept answer of an earlier arrival. */
+  /** Ends a waiting request with the stored answer of an earlier arrival. */
   endWithStoredAnswer(status: number): RequestOutcome {
     if (this._outcome) return this._outcome;
     return this._end({ kind: 'completed', status });
--- a/packages/requests/src/retryBudget.ts
+++ b/packages/requests/src/retryBudget.ts
@@ -1,8 +1,6 @@
 /**
- * Keeps retries to a share of requests.
- *
- * What goes wrong without it: when a third of the endpoints fail, each failed request comes again, and the
- * others sink under the doubled load. One sees attempts grow faster than requests.
+ * Limits retries to a share of requests, so that retries during a partial failure do not overload the remaining
+ * endpoints.
  */
 const TOKENS_PER_RETRY = 1;
 
@@ -11,7 +9,7 @@
   private readonly _burst: number;
   private _tokens: number;
 
-  /** `share`: retries for each request, at most. `burst`: retries that may come at once. */
+  /** `share`: the maximum ratio of retries to requests. `burst`: the maximum number of retries at once. */
   constructor(share: number, burst: number) {
     this._share = share;
     this._burst = burst;
@@ -22,7 +20,7 @@
     this._tokens = Math.min(this._burst, this._tokens + this._share);
   }
 
-  /** Takes one retry, if the budget has one. */
+  /** Consumes one retry. Returns false if the budget is exhausted. */
   take(): boolean {
     if (this._tokens < TOKENS_PER_RETRY) return false;
     this._tokens -= TOKENS_PER_RETRY;
@@ -32,7 +30,7 @@
 
 const JITTER_STEPS = 1000;
 
-/** The pause before retry number `retry` (from 1): doubled each time, drawn over its whole length. */
+/** Returns the delay before retry number `retry` (from 1): exponential backoff with full jitter. */
 export function backoffMs(
   baseMs: number,
   maxMs: number,
--- a/packages/requests/src/slotMap.ts
+++ b/packages/requests/src/slotMap.ts
@@ -1,27 +1,26 @@
 /**
- * Which host of a failure domain answers for which idempotency keys.
+ * Assigns the idempotency keys of a failure domain to its hosts.
  *
- * The map is one small value in the platform's key-value service for each failure domain, changed by
- * compare-and-swap when hosts come and go. Its epochs fence: a holder that learnt a later epoch of a slot
- * takes no part in the earlier one (docs/design/keys.md).
+ * The map is one value per failure domain in the platform's key-value service, updated by compare-and-swap when hosts
+ * join or leave. Its epochs fence: a holder that received a later epoch of a slot accepts nothing of earlier ones
+ * (docs/design/keys.md).
  */
 import { hash32, rendezvous } from '@fuchsiahitch/base';
 import * as z from 'zod';
 
-/** Slots of one failure domain. At 33 hosts each owns four and copies four. */
 export const SLOTS_PER_DOMAIN = 128;
-/** Generations that were not confirmed as settled yet. Longer chains are not begun. */
+/** The maximum number of earlier generations that are not confirmed as settled. */
 const MAX_OLDER_GENERATIONS = 16;
-/** An owner shortens the chains of its settled slots when one is this long. */
+/** An owner removes the earlier generations of a settled slot from this number on. */
 const TRIM_LENGTH = 4;
-/** Hosts whose loads differ by less than this share of the mean, or this number, are left alone. */
+/** Differences up to this share of the mean, or up to `MIN_IMBALANCE`, are not rebalanced. */
 const IMBALANCE_SHARE = 0.25;
 const MIN_IMBALANCE = 2;
 
-/** One process of a host: `hostId#incarnation`. A restarted host is another holder. */
+/** One process of a host, as `hostId#incarnation`: a restarted host is another holder. */
 export const holderIdSchema = z.string().regex(/^[^#]+#\d+$/, 'not a holder hostId#incarnation');
 
-/** Who held a slot in an epoch; an empty copy means that the owner stood alone. */
+/** The holders of a slot in one epoch; `copy` is empty if the owner is the only one. */
 export const generationSchema = z
   .strictObject({
     epoch: z.number().int(),
@@ -31,7 +30,7 @@
   .readonly();
 export type Generation = z.infer<typeof generationSchema>;
 
-/** A slot's present generation and the earlier ones that may hold its records. */
+/** A slot's current generation, and in `older` the earlier ones that may hold its records. */
 export const slotEntrySchema = z
   .strictObject({
     ...generationSchema.unwrap().shape,
@@ -47,7 +46,7 @@
     /** Digest of the deployment's list of failure domains: hosts with another list serve no keys. */
     domains: z.string(),
     slots: z.array(slotEntrySchema).length(SLOTS_PER_DOMAIN).readonly(),
-    /** Holders that an operator declared to have ended: nothing else proves it when a host never returns. */
+    /** Holders that an operator declared terminated, for hosts that never return. */
     gone: z.array(holderIdSchema).max(1000).readonly(),
   })
   .readonly();
@@ -62,14 +61,13 @@
   return { hostId, incarnation: Number(incarnation) };
 }
 
-/** The slot of a key. */
 export function slotOf(key: string): number {
   return hash32(key) % SLOTS_PER_DOMAIN;
 }
 
 /**
- * The failure domain that answers for a key: the one that the key names before a colon, or else one by
- * hash. It never depends on who is alive, or two cut-off domains could both run the request.
+ * Returns the failure domain responsible for a key: the one named before the key's first colon, or else one by hash.
+ * It must not depend on which hosts are alive: two partitioned domains could otherwise both run the request.
  */
 export function homeDomain(key: string, domains: readonly string[]): string {
   const prefix = key.slice(0, Math.max(0, key.indexOf(':')));
@@ -77,17 +75,16 @@
   return rendezvous(key, domains)[0] ?? '';
 }
 
-/** What a plan may take for granted about hosts. */
 export interface SlotPlanInput {
   readonly domain: string;
   readonly domains: string;
-  /** Holders that can take duties, sorted. */
+  /** Holders that can be assigned duties, sorted. */
   readonly live: readonly string[];
-  /** Slots that this host owns and has settled: their earlier generations are no longer needed. */
+  /** Slots that this host owns and has settled, whose earlier generations are no longer needed. */
   readonly settled: ReadonlySet<number>;
 }
 
-/** The map that suits the live holders, or undefined when the present one does. */
+/** Returns a new map for the live holders, or undefined if the current one needs no change. */
 export function planSlotMap(current: SlotMap | undefined, input: SlotPlanInput): SlotMap | undefined {
   if (input.live.length === 0) return undefined;
   const plan = new SlotPlan(current?.slots, input);
@@ -97,12 +94,12 @@
   return { domain: input.domain, domains: input.domains, revision, slots, gone: current?.gone ?? [] };
 }
 
-/** One run of the planner: keeps surviving holders where they are and spreads the rest evenly. */
+/** One planning run: keeps the assignments of live holders and distributes the rest evenly. */
 class SlotPlan {
   private readonly _entries: readonly (SlotEntry | undefined)[];
   private readonly _input: SlotPlanInput;
   private readonly _live: ReadonlySet<string>;
-  /** Slots that a holder owns or copies. */
+  /** The number of slots that each holder owns or copies. */
   private readonly _dutyCounts = new Map<string, number>();
   private readonly _ownedCounts = new Map<string, number>();
   private _changed = false;
@@ -140,9 +137,8 @@
   }
 
   /**
-   * Evens out what joined hosts left uneven: first copies move to them, then owner and copy change roles.
-   * A slot whose chain is long waits until its owner has shortened it. Waiting for every single generation to
-   * be confirmed made each join cost a map for each host, since only owners know what is settled.
+   * Rebalances a slot after hosts have joined: moves the copy or else swaps the roles of owner and copy. A slot with
+   * many earlier generations is left until its owner has trimmed them.
    */
   private _rebalanced(entry: SlotEntry, slot: number): SlotEntry {
     const older = this._olderGenerations(entry, slot);
@@ -151,8 +147,8 @@
   }
 
   /**
-   * Forgets the earlier generations of a slot that this planner owns and has settled. Without it chains grow with
-   * every change until none can be begun, and a slot whose holder dies stays without one.
+   * Removes the earlier generations of a settled slot. Without it they reach their maximum, and a slot that loses a
+   * holder could not be reassigned.
    */
   private _trimmed(entry: SlotEntry, slot: number): SlotEntry {
     if (entry.older.length < TRIM_LENGTH || !this._input.settled.has(slot)) return entry;
