--- a/packages/batches/src/batchMessages.ts
+++ b/packages/batches/src/batchMessages.ts
@@ -1,5 +1,5 @@
 /**
- * What hosts ask the owner of a batch.
+ * Messages between hosts about batches.
  */
 import * as z from 'zod';
 import { generatedEventSchema } from './itemProgress.js';
@@ -11,7 +11,7 @@
   .strictObject({ batchId: z.string(), after: count, waitMs: z.number().min(0) })
   .readonly();
 
-/** `not-owner`: the host does not run the batch. `unsure`: it may have lost it and cannot ask the store. */
+/** `not-owner`: the host does not run the batch. `unsure`: it may have lost the claim and cannot reach the store. */
 export const batchReadReplySchema = z.discriminatedUnion('kind', [
   z.strictObject({
     kind: z.literal('page'),
@@ -33,26 +33,26 @@
 ]);
 export type BatchItemReply = z.infer<typeof batchItemReplySchema>;
 
-/** What was generated of one item. */
+/** Generated events of one item. */
 export const itemEventsSchema = z
   .strictObject({
     itemId: z.string(),
     events: z.array(generatedEventSchema).readonly(),
-    /** How many events the whole text has; absent while its end is not known. */
+    /** The number of events of the complete text; absent while the text is incomplete. */
     wholeEvents: count.optional(),
   })
   .readonly();
 export type ItemEvents = z.infer<typeof itemEventsSchema>;
 
 /**
- * Asks another host to go on with a batch: its owner shuts down, and gives what it had of the items; or its owner was
- * seen to be gone.
+ * Requests another host to adopt a batch: the owner shuts down and hands over the events of its items, or the owner
+ * was found to be gone.
  */
 export const batchAdoptSchema = z
   .strictObject({
     batchId: z.string(),
     from: ownerSchema,
-    /** True if the owner itself asks. If not, it may live after all, and is asked first. */
+    /** True if sent by the owner itself. Otherwise the owner may still be alive and is queried first. */
     isGivenUp: z.boolean(),
     unfinished: z.array(itemEventsSchema).readonly(),
   })
@@ -62,13 +62,13 @@
 export const batchAdoptReplySchema = z.strictObject({ isAdopted: z.boolean() }).readonly();
 
 /**
- * An endpoint and a weight version that it was seen with, or was ordered to load: tells hosts at once what its next
- * heartbeat would tell them later.
+ * A weight version that an endpoint reported or was ordered to load, sent to other hosts ahead of the endpoint's next
+ * heartbeat.
  */
 export const endpointVersionSchema = z
   .strictObject({
     endpointId: z.string(),
-    /** The endpoint's start that it is true of. */
+    /** The start of the endpoint to which this applies. */
     startWallMs: z.number(),
     model: z.string(),
     version: count,
@@ -76,7 +76,7 @@
   .readonly();
 export type EndpointVersion = z.infer<typeof endpointVersionSchema>;
 
-/** How quick a host has found endpoints to be, a moment ago. */
+/** The paces of endpoints that a host has measured recently. */
 export const pacesSeenSchema = z
   .strictObject({
     paces: z
@@ -91,10 +91,10 @@
   .readonly();
 export type PacesSeen = z.infer<typeof pacesSeenSchema>;
 
-/** Asks a host that owns a batch whether it lives and runs it. */
+/** Checks whether the owner of a batch is alive and runs it. */
 export const batchRunsSchema = z.strictObject({ batchId: z.string() }).readonly();
 
-/** `isRun`: the host runs the batch, and the store has confirmed that within the lease of the claim. */
+/** `isRun`: the host runs the batch, and the store confirmed its claim within the claim's lease. */
 export const batchRunsReplySchema = z.strictObject({ isRun: z.boolean() }).readonly();
 
 export const batchEndSchema = z.strictObject({ batchId: z.string() }).readonly();
--- a/packages/batches/src/carryOver.ts
+++ b/packages/batches/src/carryOver.ts
@@ -1,34 +1,33 @@
 /**
- * What a batch takes over from the batches of earlier steps.
+ * Texts that a batch takes over from earlier steps.
  *
- * Groups that were not whole when their trainer went on come again in its next step, or in the one after where steps
- * overlap, with the same items, and the trainer waits for them whatever else is whole. Generated anew, an item that was
- * too long for one step is too long for the next as well. So what was generated is used where its weight versions fit,
- * and these groups go first. A score is used where it was asked for by the same request.
+ * Groups that were incomplete when a step ended are submitted again in one of the next steps with the same items, and
+ * the trainer waits for them. Their texts are resumed where the weight versions allow it, since an item that was too
+ * long for one step would be too long for the next as well. A score is reused if its request is the same.
  */
 import type { ItemEvents } from './batchMessages.js';
 import type { Batch, BatchItem, ItemResult } from './model.js';
 
-/** The batch of an earlier step, as the store has it. */
+/** The batch of an earlier step as stored. */
 export interface EarlierBatch {
   readonly batch: Batch;
   readonly results: readonly ItemResult[];
-  /** What its owners kept of items that they did not list, in the order in which it was generated. */
+  /** Stored events of items without a listed result, in the order of generation. */
   readonly progress: readonly ItemEvents[];
 }
 
 export interface CarryOver {
-  /** Groups that come again. */
+  /** Groups of the earlier step that were submitted again. */
   readonly groups: ReadonlySet<string>;
-  /** Whole texts that the batch may use as they are. One without a score is scored where the item asks for it. */
+  /** Complete texts that the batch can use unchanged. */
   readonly results: readonly ItemResult[];
-  /** Beginnings of texts. The ledger leaves out what does not fit. */
+  /** Partial texts. The ledger skips events that do not fit. */
   readonly unfinished: readonly ItemEvents[];
 }
 
 export const EMPTY_CARRY_OVER: CarryOver = { groups: new Set(), results: [], unfinished: [] };
 
-/** True if an item of the batch stood in the earlier one. */
+/** Returns true if the batches have an item in common. */
 export function hasSharedItems(batch: Batch, earlier: Batch): boolean {
   const before = new Set(earlier.items.map(item => item.id));
   return batch.items.some(item => before.has(item.id));
@@ -53,7 +52,7 @@
   };
 }
 
-/** The result without its score if that was asked for by another request than the item's. */
+/** Removes the score from the result if the item's score request differs from the earlier one. */
 function withMatchingScore(
   result: ItemResult,
   item: BatchItem | undefined,
@@ -64,7 +63,7 @@
   return { id, state, text, versions };
 }
 
-/** What two earlier steps leave. Where both have a text of an item, the newer one counts. */
+/** Merges the carry-over of two earlier steps. The newer text of an item takes precedence. */
 export function mergeCarryOver(older: CarryOver, newer: CarryOver): CarryOver {
   return {
     groups: new Set([...older.groups, ...newer.groups]),
@@ -73,7 +72,7 @@
   };
 }
 
-/** The same identifier alone is no proof: a text belongs to the request that it was generated for. */
+/** Compares the requests, since an identifier may be reused for another request. */
 function isSameItem(item: BatchItem, before: BatchItem | undefined): boolean {
   if (!before) return false;
   return (
--- a/packages/batches/src/endpointShares.ts
+++ b/packages/batches/src/endpointShares.ts
@@ -1,21 +1,20 @@
 /**
- * Which endpoints load the weights of which model.
+ * Assigns the endpoints of a pool to the models of its trainers.
  *
- * Several trainers share one pool. A load stops an endpoint for about a second and throws away what it has
- * read, so that each trainer's versions go to a share of the endpoints only. An endpoint stays with the model
- * whose newest weights it has, because moving it costs a load; it moves only when shares differ by two or more.
+ * A weight load stops an endpoint for about a second and discards its prefix cache. Therefore each endpoint loads the
+ * weights of one model only. It keeps its model unless the shares differ by two or more.
  */
 
-/** An endpoint with the weight version that it has of each model. */
+/** An endpoint with its weight version of each model. */
 export interface SharedEndpoint {
   readonly id: string;
   readonly versions: ReadonlyMap<string, number>;
 }
 
-/** The newest version of each model by its name. */
+/** The newest version of each model, by model name. */
 export type ModelTargets = ReadonlyMap<string, number>;
 
-/** The endpoints of each model. Every endpoint stands with one model. */
+/** Returns the endpoints of each model. Every endpoint is assigned to exactly one model. */
 export function assignEndpoints(
   endpoints: readonly SharedEndpoint[],
   targets: ModelTargets,
@@ -36,7 +35,7 @@
   return [...endpoints].sort((a, b) => (a.id < b.id ? -1 : 1));
 }
 
-/** The model of which the endpoint is the least behind; undefined when two are even. */
+/** Returns the model whose newest version the endpoint is closest to; undefined on a tie. */
 function closestModel(endpoint: SharedEndpoint, targets: ModelTargets): string | undefined {
   let home: string | undefined;
   let least = Infinity;
--- a/packages/batches/src/idleTimeouts.ts
+++ b/packages/batches/src/idleTimeouts.ts
@@ -1,28 +1,26 @@
 /**
- * How long an endpoint may be silent before its item goes on elsewhere.
+ * Idle timeouts of an item's stream, after which the item is resumed at another endpoint.
  *
- * What goes wrong with one fixed time: an endpoint that loses its power tells nobody, and each of its items stands still
- * for that time; a trainer's step often waits for one of them. Going on elsewhere costs the reading of the prompt, some
- * 35 ms, so that a mistaken move is cheap where another endpoint has a place, and useless where none has. Therefore two
- * times: after the short one an item leaves for a free place, after the long one in any case.
+ * A mistaken move costs only the prefill of the prompt if another endpoint has a free place, and gains nothing
+ * otherwise. Hence two timeouts: after the first the item moves if a place is free, after the second in any case.
  */
 
 export interface IdleTimeouts {
-  /** From here on an item leaves if a place is free elsewhere. */
+  /** The item moves if another endpoint has a free place. */
   readonly suspectMs: number;
-  /** From here on it leaves in any case. */
+  /** The attempt is abandoned in any case. */
   readonly abandonMs: number;
 }
 
-/** Before the first event an item may wait behind the prompts of others: a whole batch takes some 150 ms to read. */
+/** The first event may have to wait for the prefill of other prompts. */
 const FIRST_EVENT_TIMEOUTS: IdleTimeouts = { suspectMs: 700, abandonMs: 2500 };
 const ABANDON_MS = 1200;
-/** Events come evenly, at 37 to 40 ms on engines that are well; so many are missed before the endpoint is suspect. */
+/** The number of missed events after which the endpoint is suspect. */
 const SUSPECT_MISSED_EVENTS = 8;
-/** A garbage collection or a burst of prompts may cost some 150 ms: twice that and more. Chosen, not measured. */
+/** Longer than usual interruptions, such as garbage collection or a burst of prompts. */
 const MIN_SUSPECT_MS = 350;
 
-/** `paceMs`: the time between two events at the endpoint, undefined before any was seen. */
+/** `paceMs`: the time between two events at the endpoint; undefined while not measured. */
 export function idleTimeouts(hasEvents: boolean, paceMs: number | undefined): IdleTimeouts {
   if (!hasEvents) return FIRST_EVENT_TIMEOUTS;
   if (paceMs === undefined) return { suspectMs: ABANDON_MS, abandonMs: ABANDON_MS };
--- a/packages/batches/src/index.ts
+++ b/packages/batches/src/index.ts
@@ -1,4 +1,4 @@
-/** Decisions about batches: what is kept, who runs what, and what a reader sees. */
+/** Decisions about batches: storage, ownership, placement and results. */
 export * from './batchKeys.js';
 export * from './batchLedger.js';
 export * from './batchMessages.js';
--- a/packages/batches/src/itemPlacement.ts
+++ b/packages/batches/src/itemPlacement.ts
@@ -1,44 +1,40 @@
 /**
- * Which endpoint runs an item.
+ * Selects the endpoint that runs an item.
  *
- * Engines batch what they run, and a step of the batch costs nearly the same at any fill, so free places are
- * used to the full. What decides how long an item takes is the pace of its endpoint: a slow one holds a whole
- * group, and with it the step. Items of a group share their prompt and go to one endpoint while it has room.
+ * Engines run requests in batches at nearly the same cost at any fill level, so all free places are used. The duration
+ * of an item depends on the pace of its endpoint: a slow endpoint delays the complete group and with it the step.
+ * Items of a group share their prompt and are placed together while the endpoint has room.
  */
 
-/** An endpoint as the placement sees it. */
+/** The placement's view of an endpoint. */
 export interface PlacementEndpoint {
   readonly id: string;
   readonly domain: string;
-  /** Places that are free by this host's own count and the endpoint's last word. */
+  /** Concurrent requests that the endpoint can still accept, by this host's count and the endpoint's last report. */
   readonly freePlaces: number;
-  /** Milliseconds from one event to the next; undefined before the first. */
+  /** The time between two events; undefined while not measured. */
   readonly paceMs: number | undefined;
 }
 
-/** An endpoint with this many times the median pace is slow. Endpoints of one pool differ by up to 1.3. */
+/** An endpoint is slow if its time between events exceeds this multiple of the median. */
 export const SLOW_FACTOR = 2;
 const PACE_TOLERANCE = 1.1;
-/** A run moves only away from an endpoint that is clearly slow: a measured pace swings by a quarter. */
+/** The minimum ratio of paces for a move, well above the variation of measured paces. */
 const MOVE_FACTOR = 2;
-/**
- * A run that is this old is one of the few that decide when its step is whole: half of all items end within 0.8 s, and
- * the longest take 7.1 s of 7.5 at the quickest endpoints and 9.2 s at those that are 1.3 times slower. Going on
- * elsewhere costs some ms of prefill.
- */
+/** Runs of this age determine the duration of their step, so that they move for a smaller gain. */
 const OLD_RUN_MS = 1500;
 const OLD_RUN_MOVE_FACTOR = 1.2;
-/** A younger run is not worth moving: its text would end in the time that the move takes. */
+/** Younger runs do not move: they usually end before a move would pay off. */
 const YOUNG_RUN_MS = 800;
 
-/** True if a run that has taken `ranMs` at an endpoint of one pace should go on at one of another. */
+/** Returns true if a run of age `ranMs` should move from an endpoint with `paceMs` to one with `otherPaceMs`. */
 export function shouldMove(ranMs: number, paceMs: number, otherPaceMs: number): boolean {
   if (ranMs <= YOUNG_RUN_MS) return false;
   const factor = ranMs > OLD_RUN_MS ? OLD_RUN_MOVE_FACTOR : MOVE_FACTOR;
   return otherPaceMs * factor < paceMs;
 }
 
-/** The median pace of the endpoints that have one; undefined when none has. */
+/** Returns the median of the known paces; undefined if there are none. */
 export function medianPaceMs(endpoints: readonly PlacementEndpoint[]): number | undefined {
   const paces = endpoints.map(endpoint => endpoint.paceMs).filter(pace => pace !== undefined);
   paces.sort((a, b) => a - b);
@@ -51,18 +47,18 @@
 }
 
 export interface PlacementRequest {
-  /** The endpoint that runs other items of the group, if any. */
+  /** The endpoint that runs other items of the group. */
   readonly groupEndpointId: string | undefined;
-  /** True for an item that is expected to be among the longest: pace counts more for it than company. */
+  /** True if the item is expected to be among the longest: pace then takes precedence over group affinity. */
   readonly isLong: boolean;
   readonly ownDomain: string;
-  /** Endpoints at which this item was refused or broke a moment ago. */
+  /** Endpoints at which this item was recently refused or interrupted. */
   readonly avoid: ReadonlySet<string>;
 }
 
-/** Which of the endpoints that are not slow an item goes to. */
+/** Selects among the endpoints that are not slow. */
 export interface PlacementPolicy {
-  /** `quick`: endpoints with a free place; `together`: the one of them that runs others of the item's group, if any. */
+  /** `quick`: endpoints with a free place; `together`: the one of them that runs other items of the group. */
   choose(
     quick: readonly PlacementEndpoint[],
     together: PlacementEndpoint | undefined,
@@ -70,7 +66,7 @@
   ): PlacementEndpoint | undefined;
 }
 
-/** Long items to the quickest endpoint, others to their group, or to the endpoint with the most room. */
+/** Places long items at the fastest endpoint, others with their group or else where most places are free. */
 export class MostFreePlacement implements PlacementPolicy {
   choose(
     quick: readonly PlacementEndpoint[],
@@ -83,8 +79,8 @@
 }
 
 /**
- * Every item to the quickest endpoint that has a place, of equals to its group's. Lengths are estimated badly: an item that turns
- * out to be among the longest then runs well already, where it would have to move.
+ * Places every item at the fastest endpoint with a free place, and with its group among equals. Items that turn out
+ * longer than estimated then need not move.
  */
 export class FastestPlacement implements PlacementPolicy {
   choose(
@@ -98,7 +94,7 @@
   }
 }
 
-/** The endpoint for an item, or undefined when it is better to wait for a place. */
+/** Returns the endpoint for an item, or undefined if the item should wait for a free place. */
 export function placeItem(
   endpoints: readonly PlacementEndpoint[],
   request: PlacementRequest,
@@ -116,12 +112,12 @@
 
 const DEFAULT_PLACEMENT: PlacementPolicy = new MostFreePlacement();
 
-/** True if an endpoint that is not slow exists: an item that waits for its place still ends sooner there. */
+/** Returns true if an endpoint is not slow. Waiting for its places is faster than running at a slow endpoint. */
 function hasFastEndpoint(endpoints: readonly PlacementEndpoint[], medianMs: number | undefined): boolean {
   return endpoints.some(endpoint => !isSlow(endpoint, medianMs));
 }
 
-/** The endpoint with the best pace; among equals, and where paces are not known, the one with the most places. */
+/** Returns the endpoint with the best pace; among equals or without known paces, the one with the most free places. */
 function fastest(endpoints: readonly PlacementEndpoint[]): PlacementEndpoint | undefined {
   let found: PlacementEndpoint | undefined;
   for (const endpoint of endpoints) {
@@ -136,12 +132,12 @@
   return a.freePlaces > b.freePlaces;
 }
 
-/** Paces are measured: a tenth is no difference. */
+/** Ignores differences within the tolerance of the measurement. */
 function isClearlyFaster(a: PlacementEndpoint, b: PlacementEndpoint): boolean {
   return (a.paceMs ?? 0) * PACE_TOLERANCE < (b.paceMs ?? 0);
 }
 
-/** The endpoint with the most free places; among equals one of the own failure domain. */
+/** Returns the endpoint with the most free places; among equals, one of the own failure domain. */
 function mostFree(endpoints: readonly PlacementEndpoint[], ownDomain: string): PlacementEndpoint | undefined {
   let found: PlacementEndpoint | undefined;
   for (const endpoint of endpoints) {
--- a/packages/batches/src/itemProgress.ts
+++ b/packages/batches/src/itemProgress.ts
@@ -1,17 +1,17 @@
 /**
- * What has been generated of one item so far, across all attempts at it.
+ * The events generated for one item, across all attempts.
  *
- * What goes wrong without it: a stream breaks and is taken up elsewhere, and events are doubled, lost or
- * carry the wrong version. An event counts once it is whole, in the order of its number; the next attempt
- * goes on after the last whole one; versions come from the streams alone, never from what was ordered.
+ * Only complete events count, in the order of their numbers; the next attempt resumes after the last one. This prevents
+ * duplicated or lost events when a stream is resumed at another endpoint. Versions are taken from the streams only,
+ * never from weight orders.
  */
 
 import * as z from 'zod';
 
-/** One whole event of a stream. */
+/** One complete event of a stream. */
 export const generatedEventSchema = z
   .strictObject({
-    /** Number of the event, from 1. */
+    /** The number of the event, from 1. */
     number: z.number().int().min(1),
     text: z.string(),
     /** The weight version that generated it. */
@@ -20,7 +20,7 @@
   .readonly();
 export type GeneratedEvent = z.infer<typeof generatedEventSchema>;
 
-/** What an event did. `restart`: the attempt must end, and the item begins anew. */
+/** The effect of an event. `restart`: the text was discarded; the attempt must end and the item starts over. */
 export type EventEffect = 'added' | 'repeated' | 'gap' | 'restart';
 
 export interface VersionRequirement {
@@ -37,12 +37,12 @@
     this._requirement = demand;
   }
 
-  /** The number of the last whole event; 0 for none. */
+  /** The number of the last complete event; 0 for none. */
   lastEventNumber(): number {
     return this._events.length;
   }
 
-  /** Counts the texts that were begun: a new one shares no event with the one before. */
+  /** Incremented whenever the text is discarded. Texts with different numbers share no events. */
   textNumber(): number {
     return this._textNumber;
   }
@@ -51,12 +51,11 @@
     return this._events.map(event => event.text).join('\n');
   }
 
-  /** The whole events, in order. */
   events(): readonly GeneratedEvent[] {
     return this._events;
   }
 
-  /** Every version of the text, in the order of their use. */
+  /** The weight versions of the text, in the order of their first use. */
   versions(): readonly number[] {
     return [...new Set(this._events.map(event => event.version))];
   }
@@ -72,12 +71,12 @@
     return 'added';
   }
 
-  /** True if a text that goes on under the version is what the batch asked for. */
+  /** Returns true if the text may be continued with the version. */
   mayContinueWith(version: number): boolean {
     return this._events.length === 0 || this._allows(version);
   }
 
-  /** Forgets the text: it cannot be part of an allowed result any more. */
+  /** Discards the text. */
   clear(): void {
     this._events = [];
     this._textNumber += 1;
--- a/packages/batches/src/listingPolicy.ts
+++ b/packages/batches/src/listingPolicy.ts
@@ -1,21 +1,20 @@
 /**
- * When finished results are written to the store, where readers see them.
- *
- * Each write is a call to the store, and a batch of long and short items ends over many seconds.
+ * Decides when finished results are written to the store, which makes them visible to readers. Results are collected
+ * for an interval to save store calls.
  */
 import type { BatchLedger } from './batchLedger.js';
 
 export interface ListingPolicy {
-  /** How long after the first of them the results are written that are finished now. */
+  /** The time from the first unlisted result to the write. */
   intervalMs(ledger: BatchLedger): number;
 }
 
-/** Trainers read twice a second. */
+/** Less than the trainers' polling interval. */
 const SHORT_INTERVAL_MS = 150;
-/** Often enough for those who look on, and for the claim, which each write confirms. */
+/** Still frequent enough to confirm the claim, which each write does. */
 const LONG_INTERVAL_MS = 500;
 
-/** Every result soon. */
+/** Lists every result after the short interval. */
 export class PromptListing implements ListingPolicy {
   intervalMs(ledger: BatchLedger): number {
     return ledger.isFinished() ? 0 : SHORT_INTERVAL_MS;
@@ -23,8 +22,8 @@
 }
 
 /**
- * Soon where a group has become whole, at once where it is the last that the trainer waits for, and seldom else: a trainer can use
- * a result only together with its group, and names its next version so much later.
+ * Lists after the short interval when a group is complete, immediately when the trainer waits for no further group, and
+ * after the long interval otherwise: a trainer can use results only with their complete group.
  */
 export class CompleteGroupListing implements ListingPolicy {
   intervalMs(ledger: BatchLedger): number {
--- a/packages/batches/src/model.ts
+++ b/packages/batches/src/model.ts
@@ -1,14 +1,13 @@
 /**
- * A batch: many generations that a trainer submits at once, that are kept until they are done, and whose
- * results are read by position.
+ * A batch: generations that a trainer submits together, stored until they are done, with results read by position.
  */
 import * as z from 'zod';
 
-/** The request that asks for the score of an item's text. It may be repeated; the service knows the text by itself. */
+/** The idempotent request for the score of an item's text. The scoring service obtains the text itself. */
 export const scoreRequestSchema = z
   .strictObject({
     id: z.string(),
-    /** Host name and path: they decide by the rules where the request goes, as they do for a caller's. */
+    /** Host name and path, which determine the route of the request as for callers. */
     host: z.string(),
     path: z.string(),
     /** The request's body, in base64. */
@@ -21,21 +20,21 @@
 export const batchItemSchema = z
   .strictObject({
     id: z.string(),
-    /** The path of the request that runs the item, with its query. */
+    /** Path and query of the request that runs the item. */
     path: z.string(),
-    /** Headers of that request, as the trainer gave them. */
+    /** Headers of that request, unchanged from the trainer. */
     headers: z.record(z.string(), z.string()).readonly(),
     /** The request's body, in base64. */
     bodyBase64: z.string(),
-    /** Prompt tokens and the maximum of output tokens together. */
+    /** The sum of prompt tokens and maximum output tokens. */
     tokens: z.number().min(0),
-    /** The trainer's estimate of output tokens: right at the median, often far off. 0 for none. */
+    /** The trainer's rough estimate of output tokens; 0 for none. */
     expectedTokens: z.number().min(0),
-    /** Items of one group share their prompt, and count for the trainer only when all are listed. */
+    /** Items of one group share their prompt and are useful to the trainer only when all are listed. */
     group: z.string(),
-    /** Names the part of the prompt that other items share; empty for none. */
+    /** Identifies the part of the prompt that is shared with other items; empty for none. */
     promptKey: z.string(),
-    /** Asks for the score of the whole text; absent for an item that is listed without one. */
+    /** Requests the score of the complete text; absent for items without a score. */
     scoring: scoreRequestSchema.optional(),
   })
   .readonly();
@@ -44,38 +43,38 @@
 export const batchSchema = z
   .strictObject({
     id: z.string(),
-    /** The client account whose batch it is; absent for a batch that anybody may submit. */
+    /** The client account that owns the batch; absent if submission needs no account. */
     accountName: z.string().optional(),
-    /** The host name of the route; with an item's path it decides where the item runs. */
+    /** The host name of the route, which is selected together with an item's path. */
     host: z.string(),
-    /** The trainer's step; undefined for a batch that belongs to none. */
+    /** The trainer's step; undefined for a batch without a step. */
     step: z.number().optional(),
-    /** The model whose weights generate; empty for whichever the endpoint has. */
+    /** The model to generate with; empty for whichever the endpoint has loaded. */
     model: z.string(),
-    /** The oldest weight version that may generate a token of this batch. */
+    /** The oldest weight version allowed for any token of this batch. */
     minVersion: z.number(),
-    /** Whole groups that the trainer waits for. */
+    /** The number of complete groups that the trainer waits for. */
     groupsWanted: z.number(),
     items: z.array(batchItemSchema).readonly(),
   })
   .readonly();
 export type Batch = z.infer<typeof batchSchema>;
 
-/** What became of one item. `terminated`: given up, with the text that there was. */
+/** The result of one item. `terminated`: abandoned, with the partial text. */
 export const itemResultSchema = z
   .strictObject({
     id: z.string(),
     state: z.enum(['completed', 'terminated']),
     text: z.string(),
-    /** Every weight version that generated a part of the text, in the order of their use. */
+    /** The weight versions of the text, in the order of their first use. */
     versions: z.array(z.number()).readonly(),
-    /** The scoring service's proof of origin on its answer, which trainers take for the score. */
+    /** The proof of origin on the scoring service's answer, which trainers use as the score. */
     score: z.string().optional(),
   })
   .readonly();
 export type ItemResult = z.infer<typeof itemResultSchema>;
 
-/** One process of a host, and where its peers reach it. */
+/** One process of a host and its address for peers. */
 export const ownerFields = { hostId: z.string(), incarnation: z.string(), address: z.string() } as const;
 export const ownerSchema = z.strictObject(ownerFields).readonly();
 export type Owner = z.infer<typeof ownerSchema>;
--- a/packages/batches/src/records.ts
+++ b/packages/batches/src/records.ts
@@ -1,29 +1,29 @@
 /**
- * The records of a batch in the store, and how they are read back.
+ * The records of a batch in the store.
  */
 import { err, ok, type Result } from '@fuchsiahitch/base';
 import * as z from 'zod';
 import { itemEventsSchema, type ItemEvents } from './batchMessages.js';
 import { batchSchema, itemResultSchema, ownerSchema, type Batch, type ItemResult } from './model.js';
 
-/** Who runs a batch, and whether it has ended. */
+/** The owner of a batch and whether the batch has ended. */
 export const claimSchema = z
   .strictObject({
     owner: ownerSchema,
     isEnded: z.boolean(),
-    /** How many items the batch has. */
+    /** The number of items of the batch. */
     items: z.number().int().min(0),
-    /** How many records the submitted batch takes. */
+    /** The number of records of the submitted batch. */
     parts: z.number().int().min(1),
-    /** Wall time of acceptance: tells when the records may be removed, with a generous margin. */
+    /** Wall time of acceptance, which determines when the records may be removed. */
     acceptedWallMs: z.number(),
-    /** How often the batch changed hands. */
+    /** The number of takeovers so far. */
     takeovers: z.number().int().min(0),
   })
   .readonly();
 export type Claim = z.infer<typeof claimSchema>;
 
-/** An owner tells the other hosts of its claim: `revision` is that of the record. */
+/** Reports an owner's claim to the other hosts. `revision` is that of the record. */
 export const claimUpdateSchema = z
   .strictObject({ batchId: z.string(), claim: claimSchema, revision: z.number().int().min(0) })
   .readonly();
@@ -31,19 +31,19 @@
 
 const resultListSchema = z.array(itemResultSchema).readonly();
 
-/** The batch of a step. */
+/** Maps a step to its batch. */
 const stepRecordSchema = z.strictObject({ batchId: z.string(), step: z.number() }).readonly();
 export type StepRecord = z.infer<typeof stepRecordSchema>;
 
 const progressListSchema = z.array(itemEventsSchema).readonly();
 
 /**
- * The longest record in UTF-16 units. The store takes values of a million bytes or so; a unit takes at most
- * three bytes in UTF-8, so that a third of it fits whatever the text.
+ * The maximum length of a record in UTF-16 units. A unit takes at most three bytes in UTF-8, and the store accepts
+ * values of about a million bytes.
  */
 export const MAX_RECORD_UNITS = 330_000;
 
-/** A record that does not fit its schema: written by another version, or damaged. */
+/** A record that does not match its schema: written by another version or damaged. */
 export interface RecordError {
   readonly kind: 'bad-record';
   readonly key: string;
@@ -65,7 +65,7 @@
   return parse(key, text, progressListSchema);
 }
 
-/** The batch as texts that each fit one record. */
+/** Serializes the batch into parts that each fit one record. */
 export function splitBatch(batch: Batch): readonly string[] {
   const text = JSON.stringify(batch);
   const parts: string[] = [];
@@ -78,12 +78,12 @@
   return parse(key, parts.join(''), batchSchema);
 }
 
-/** How many of the results fit one record, at least one. */
+/** Returns how many of the results fit one record, at least one. */
 export function countFitting(results: readonly ItemResult[]): number {
   let units = 0;
   let count = 0;
   for (const result of results) {
-    // Quotes and line feeds are written with a backslash: twice the text is a safe bound.
+    // JSON escapes quotes and line feeds, which at most doubles a typical text.
     units += 2 * result.text.length + 200;
     if (count > 0 && units > MAX_RECORD_UNITS) break;
     count += 1;
--- a/packages/batches/src/resultList.ts
+++ b/packages/batches/src/resultList.ts
@@ -1,19 +1,19 @@
 /**
- * The results of a batch by position. A position, once read by anybody, never changes.
+ * The results of a batch by position. The result at a position never changes once it has been read.
  */
 import type { ItemResult } from './model.js';
 
-/** What a reader gets: results from its position on, and where to go on. */
+/** A page of results; `next` is the position of the following page. */
 export interface ResultPage {
   readonly total: number;
   readonly results: readonly ItemResult[];
   readonly next: number;
 }
 
-/** Text units in one page: the callers' interface allows a megabyte, and JSON may double a text. */
+/** UTF-16 units of text in one page: the callers' interface allows a megabyte, and JSON may double a text. */
 const MAX_PAGE_UNITS = 400_000;
 
-/** The page that begins at a position. At least one result if there is one. */
+/** Returns the page that starts at position `after`, with at least one result if there is one. */
 export function pageFrom(results: readonly ItemResult[], total: number, after: number): ResultPage {
   const page: ItemResult[] = [];
   let units = 0;
--- a/packages/batches/src/storedEvents.ts
+++ b/packages/batches/src/storedEvents.ts
@@ -1,24 +1,22 @@
 /**
- * Which generated events are kept outside the owner's memory, and which are not yet.
+ * Tracks which generated events of a batch are stored outside the owner's memory.
  *
- * What goes wrong without it: the owner of a batch dies, and items that ran for seconds begin anew; the longest, which
- * take as long as a step may, then come late. Only events that were not kept before are written, so that each crosses
- * the network once. Short items are left out: they are done again sooner than kept. That a text is whole is kept with it,
- * so that the next owner scores or lists it and asks no endpoint for more.
+ * Stored events allow the next owner to resume items after a takeover. Each event is written once. Short items are
+ * skipped, since generating them again is cheaper. The completeness of a text is stored as well, so that the next
+ * owner scores or lists it without generating more.
  */
 import type { BatchLedger } from './batchLedger.js';
 import type { ItemEvents } from './batchMessages.js';
 import type { GeneratedEvent } from './itemProgress.js';
 import { MAX_RECORD_UNITS } from './records.js';
 
-/** An item with fewer events runs for under a second: half of all items of a batch have fewer. */
 const MIN_EVENTS = 20;
-/** Quotes and line feeds are written with a backslash: twice the text is a safe bound, with the event's own fields. */
+/** JSON escapes quotes and line feeds, which at most doubles a typical text. */
 const UNITS_PER_CHARACTER = 2;
 const UNITS_PER_EVENT = 60;
 
 interface StoredState {
-  /** Which text of the item: it begins anew when its versions may not be joined. */
+  /** `ItemProgress.textNumber()` of the stored text. */
   readonly textNumber: number;
   readonly events: number;
   readonly isWhole: boolean;
@@ -35,8 +33,8 @@
   }
 
   /**
-   * Events of items without a confirmed result that are not kept yet, as many as fit one record; empty when there are
-   * none. `minEvents`: items with fewer are left out, unless their text is whole.
+   * Returns events of items without a confirmed result that are not stored yet, as many as fit one record.
+   * `minEvents`: items with fewer events are skipped unless their text is complete.
    */
   missing(minEvents = MIN_EVENTS): readonly ItemEvents[] {
     const missing: ItemEvents[] = [];
@@ -58,7 +56,7 @@
     return missing;
   }
 
-  /** The events are kept now. `texts`: which text of each item they belong to, from before they were written. */
+  /** Marks the events as stored. `textNumbers`: the text number of each item when the write was started. */
   keep(kept: readonly ItemEvents[], textNumbers: ReadonlyMap<string, number>): void {
     for (const { itemId, events, wholeEvents } of kept) {
       const textNumber = textNumbers.get(itemId) ?? 0;
@@ -67,7 +65,7 @@
     }
   }
 
-  /** The number of each item's present text. */
+  /** Returns the current text number of each item. */
   texts(items: readonly ItemEvents[]): ReadonlyMap<string, number> {
     return new Map(items.map(({ itemId }) => [itemId, this._ledger.progress(itemId).textNumber()]));
   }
@@ -79,7 +77,7 @@
   }
 }
 
-/** The first of the events, as many as take no more than the units. */
+/** Returns the longest prefix of the events that fits the units. */
 function fittingEvents(events: readonly GeneratedEvent[], units: number): readonly GeneratedEvent[] {
   let unitsLeft = units;
   const beyond = events.findIndex(event => {
--- a/packages/orders/src/loadChoice.ts
+++ b/packages/orders/src/loadChoice.ts
@@ -1,29 +1,27 @@
 /**
- * Which endpoints load a newly named version now, and which keep the one they have.
+ * Selects the endpoints that load a newly named version.
  *
- * A step accepts tokens that are a version old. If every endpoint loaded every version, each step would begin
- * while its endpoints load, and what runs on them would be cut. So half of a model's endpoints load one version
- * and the other half the next: each load falls on endpoints that the running step may not use anyway, no run is
- * cut, and there are half as many loads. Measured on 8 endpoints of two trainers under load: 48 instead of
- * 63 loads a minute, 50 instead of 1,083 refused sends.
+ * A step accepts tokens of the previous version. If every endpoint loaded every version, each step would start while
+ * its endpoints load, and their runs would be interrupted. Therefore half of a model's endpoints load one version and
+ * the other half the next: loads occur on endpoints that the running step does not use, and half as often.
  */
 import type { Clock } from '@fuchsiahitch/base';
 
 /** An endpoint of one model's share. */
 export interface LoadCandidate {
   readonly id: string;
-  /** The version that it has, or that it loads. */
+  /** The version that it has or is loading. */
   readonly version: number;
-  /** Requests that it runs: the idlest loads first. */
+  /** Running requests: the least loaded endpoint loads first. */
   readonly load: number;
-  /** False while it loads, or while a former holder's order is too fresh: it counts, and no load is due for it. */
+  /** False while it loads or a former holder's order is too recent: it counts, but no load is due for it. */
   readonly acceptsOrders: boolean;
 }
 
-/** The share of endpoints that has the newest version at least. */
+/** The minimum share of endpoints with the newest version. */
 const FRESH_SHARE = 0.5;
 
-/** The endpoints that should have the version by now, the most urgent first. */
+/** Returns the endpoints that should load the version, the most urgent first. */
 export function endpointsDueForLoad(
   candidates: readonly LoadCandidate[],
   namedVersion: number,
@@ -44,19 +42,17 @@
   return a.version - b.version || a.load - b.load || (a.id < b.id ? -1 : 1);
 }
 
-/** An endpoint that is due to load, and since when it has been among the next. */
 export interface DueEndpoint {
   readonly id: string;
   readonly version: number;
 }
 
 /**
- * The next of all endpoints that are due, at most `limit`, as every domain's orderer computes them for itself.
+ * Limits the number of concurrent loads over all failure domains.
  *
- * More loads at a time slow each other down, and take places that the running step needs. Orderers of different
- * domains don't ask each other: each sees the same order of due endpoints, and gives orders to those of its own
- * domain that are among the first. An endpoint that stays there for long has no orderer, or can't load; it is
- * passed over, so that it does not hold up the others.
+ * Orderers of different domains do not coordinate: each computes the same list of due endpoints and gives orders to
+ * those of its own domain that are in the window. An endpoint that stays in the window too long has no orderer or
+ * cannot load; it no longer counts, so that it does not block the others.
  */
 export class LoadWindow {
   private readonly _clock: Clock;
--- a/packages/orders/src/loadSchedule.ts
+++ b/packages/orders/src/loadSchedule.ts
@@ -1,14 +1,13 @@
 /**
- * Which loads come first when the trainers of a pool name versions at the same time.
+ * Orders the due loads of several models in one pool.
  *
- * Only a few endpoints load at once. Taken model by model, the loads of one trainer, which prepare its next step,
- * keep those of another waiting whose step has begun and finds no endpoint with weights that it accepts: measured
- * on 8 endpoints of two trainers, such a step stood still for 3.5 of its 7.5 s. So the model with the smallest share
- * of usable endpoints comes first, one load at a time.
+ * Only a few endpoints load at a time. The model with the smallest share of usable endpoints comes first, load by
+ * load, so that a running step without usable endpoints does not wait for loads that prepare the step of another
+ * trainer.
  */
 import { endpointsDueForLoad, type LoadCandidate } from './loadChoice.js';
 
-/** The endpoints of one model's share, and the version that its trainer named last. */
+/** The endpoints of one model's share and the version that its trainer named last. */
 export interface ModelLoads {
   readonly model: string;
   readonly namedVersion: number;
@@ -29,7 +28,7 @@
   fresh: number;
 }
 
-/** The loads that are due over all models of a pool, the most urgent first. */
+/** Returns the due loads of all models of a pool, the most urgent first. */
 export function prioritizeLoads(models: readonly ModelLoads[], allowedLag: number): readonly DueLoad[] {
   const queues = models.map(loads => toQueue(loads, allowedLag));
   const ordered: DueLoad[] = [];
--- a/packages/orders/src/model.ts
+++ b/packages/orders/src/model.ts
@@ -1,18 +1,18 @@
 /**
- * Orders to endpoints: which weight version an endpoint is to run.
+ * Orders that set the weight version of endpoints.
  *
- * Targets are absolute, so that an order that comes twice changes nothing, and each carries the fencing token
- * of the lease under which it was given.
+ * Orders are idempotent: they name an absolute version. Each carries the fencing token of the lease under which it was
+ * given.
  */
 import * as z from 'zod';
 
-/** What operators or trainers want of a pool. Grows by `sequence`; a lower one never replaces a higher. */
+/** The requested version of a pool. A target never replaces one with a higher `sequence`. */
 export const weightTargetSchema = z
   .strictObject({
     pool: z.string().min(1).max(63),
     version: z.number().int().min(0),
     sequence: z.number().int().min(1),
-    /** The share of the pool that gets the version: below 1 for a staged rollout. */
+    /** The share of the pool that receives the version; below 1 for a staged rollout. */
     share: z.number().min(0).max(1),
   })
   .readonly();
@@ -25,11 +25,11 @@
   readonly token: number;
 }
 
-/** What an endpoint says it runs. */
+/** The version that an endpoint reports. */
 export interface ReadBack {
   readonly version: number;
   readonly startId: string;
 }
 
-/** How an order ended, as far as the one who gave it knows. */
+/** The result of an order as seen by its sender. */
 export type OrderResult = 'accepted' | 'failed' | 'fenced' | 'unknown';
--- a/packages/orders/src/swapPlanner.ts
+++ b/packages/orders/src/swapPlanner.ts
@@ -1,29 +1,28 @@
 /**
- * Which endpoints of a pool are told to load a new version, and when.
+ * Plans which endpoints of a pool are ordered to load a new version, and when.
  *
- * All at once would empty the pool and exceed the weight store's rate. So at most a share of the endpoints
- * swaps at a time, at the rate that the store allows; what an endpoint says it runs is read back, and one that
- * stays on the old version is told again, then set aside.
+ * To keep the pool serving, at most a share of the endpoints swaps at a time, within the rate limit of the weight
+ * store. The version of each endpoint is read back; an endpoint that keeps the old version is ordered again and
+ * finally excluded.
  */
 import type { Clock } from '@fuchsiahitch/base';
 import type { OrderResult, ReadBack, WeightOrder, WeightTarget } from './model.js';
 
-/** An endpoint as the planner is told of it. */
 export interface SwapEndpoint {
   readonly id: string;
   readonly isUsable: boolean;
 }
 
 export interface SwapOptions {
-  /** Endpoints that may swap at the same time, as a share of the pool. */
+  /** The maximum share of the pool that swaps at the same time. */
   readonly maxSwappingShare: number;
-  /** Loads that the weight store allows this domain each second. */
+  /** Loads per second that the weight store allows this domain. */
   readonly loadsPerSecond: number;
-  /** An endpoint that does not report the version within this time is told again. */
+  /** An endpoint that does not report the version within this time is ordered again. */
   readonly swapTimeoutMs: number;
-  /** After so many failed swaps an endpoint is set aside until it restarts or a new version comes. */
+  /** The number of failed swaps after which an endpoint is excluded until it restarts or the target changes. */
   readonly maxTries: number;
-  /** How long after an order, and after each reading, the endpoint is read again. */
+  /** The time from an order or a read-back to the next read-back. */
   readonly readBackIntervalMs?: number;
 }
 
@@ -44,7 +43,7 @@
   readBack: undefined,
   readMs: -Infinity,
 };
-/** A swap takes about this long; asking sooner or more often would cost bytes and tell little. */
+/** About the duration of a swap. */
 const READ_BACK_INTERVAL_MS = 500;
 const MS_PER_SECOND = 1000;
 
@@ -67,7 +66,7 @@
     return this._target;
   }
 
-  /** A new target. One with a lower sequence is late and ignored: version N's order after N+1's. */
+  /** Sets a new target. Returns false if it is outdated by its sequence and ignored. */
   setTarget(target: WeightTarget): boolean {
     if (this._target && target.sequence <= this._target.sequence) return false;
     this._target = target;
@@ -76,7 +75,7 @@
     return true;
   }
 
-  /** What an endpoint reports of itself, the only proof that a swap took place. */
+  /** Records the version reported by an endpoint, the only proof that a swap took place. */
   readBack(endpointId: string, readBack: ReadBack): void {
     const state = this._states.get(endpointId) ?? INITIAL_STATE;
     const isRestarted = state.readBack !== undefined && state.readBack.startId !== readBack.startId;
@@ -86,12 +85,11 @@
     this._states.set(endpointId, { ...base, readBack, readMs, isSwapping: base.isSwapping && !isDone });
   }
 
-  /** What an endpoint was last read back with. */
   lastReadBack(endpointId: string): ReadBack | undefined {
     return this._states.get(endpointId)?.readBack;
   }
 
-  /** Orders to give now. The caller holds the lease whose token they carry. */
+  /** Returns the orders to give now. The caller must hold the lease whose token they carry. */
   next(endpoints: readonly SwapEndpoint[], token: number): readonly WeightOrder[] {
     const target = this._target;
     if (!target) return [];
@@ -109,14 +107,14 @@
     return orders;
   }
 
-  /** How an order ended. An unknown end is not a failure: reading back decides. */
+  /** Records the result of an order. `unknown` is not a failure: the read-back decides. */
   ended(endpointId: string, result: OrderResult): void {
     const state = this._states.get(endpointId);
     if (!state || result === 'accepted' || result === 'unknown') return;
     this._states.set(endpointId, this._failed(state));
   }
 
-  /** Endpoints whose swap should show by now: ordered, and not read back for a while. */
+  /** The swapping endpoints whose read-back is due. */
   dueForReadBack(): readonly string[] {
     const nowMs = this._clock.nowMs();
     const due: string[] = [];
@@ -128,19 +126,19 @@
     return due;
   }
 
-  /** The order was not given after all: it does not count as a try. */
+  /** The order was not given: it does not count as a try. */
   postponed(endpointId: string): void {
     const state = this._states.get(endpointId);
     if (!state?.isSwapping) return;
     this._states.set(endpointId, { ...state, isSwapping: false, tries: Math.max(0, state.tries - 1) });
   }
 
-  /** Endpoints that carry traffic although they could not be brought to the version are for the operator. */
+  /** Endpoints that failed to load the version, reported to the operator. */
   excludedEndpoints(): readonly string[] {
     return [...this._states].filter(([, state]) => state.isExcluded).map(([id]) => id);
   }
 
-  /** True when every endpoint of the share reports the target's version, or was set aside. */
+  /** Returns true if every endpoint of the share reports the target's version or is excluded. */
   isDone(endpoints: readonly SwapEndpoint[]): boolean {
     const target = this._target;
     if (!target) return true;
@@ -151,7 +149,7 @@
     });
   }
 
-  /** Endpoints that swap now. */
+  /** The number of endpoints that are swapping. */
   swapping(): number {
     let count = 0;
     for (const state of this._states.values()) if (state.isSwapping) count += 1;
@@ -178,7 +176,7 @@
     });
   }
 
-  /** A swap that failed without a word shows as a version that never changes. */
+  /** Counts swaps as failed that were not confirmed in time. */
   private _expireSwaps(): void {
     const nowMs = this._clock.nowMs();
     for (const [id, state] of this._states) {
