--- a/packages/batches/src/batchLedger.ts
+++ b/packages/batches/src/batchLedger.ts
@@ -145,16 +145,16 @@
   }
 
   /** Applies what earlier steps generated. Repeated groups get priority. */
-  applyCarryOver(before: CarryOver): void {
-    for (const result of before.results) {
+  applyCarryOver(carryOver: CarryOver): void {
+    for (const result of carryOver.results) {
       const entry = this._entries.get(result.id);
       if (entry?.state !== 'waiting') continue;
       entry.carriedText = { text: result.text, versions: result.versions };
       if (result.score === undefined) this._onTextComplete(entry);
       else this._finish(entry, 'completed', result.score);
     }
-    this._priorityGroups = before.groups;
-    this.resume(before.unfinished);
+    this._priorityGroups = carryOver.groups;
+    this.resume(carryOver.unfinished);
   }
 
   /**
@@ -162,15 +162,15 @@
    * starts with event 1 replaces the item's text. A complete text is neither generated again nor resumed.
    */
   resume(unfinished: readonly ItemEvents[]): void {
-    const wholeEvents = new Map<string, number>();
-    for (const kept of unfinished) {
-      const entry = this._entries.get(kept.itemId);
+    const completeCounts = new Map<string, number>();
+    for (const item of unfinished) {
+      const entry = this._entries.get(item.itemId);
       if (entry?.state !== 'waiting') continue;
-      addEvents(entry.progress, kept);
-      if (kept.events[0]?.number === 1) wholeEvents.delete(kept.itemId);
-      if (kept.wholeEvents !== undefined) wholeEvents.set(kept.itemId, kept.wholeEvents);
+      addEvents(entry.progress, item);
+      if (item.events[0]?.number === 1) completeCounts.delete(item.itemId);
+      if (item.wholeEvents !== undefined) completeCounts.set(item.itemId, item.wholeEvents);
     }
-    for (const [itemId, events] of wholeEvents) {
+    for (const [itemId, events] of completeCounts) {
       const entry = this._entry(itemId);
       if (entry.progress.lastEventNumber() === events) this._onTextComplete(entry);
     }
--- a/packages/batches/src/carryOver.ts
+++ b/packages/batches/src/carryOver.ts
@@ -29,13 +29,13 @@
 
 /** Returns true if the batches have an item in common. */
 export function hasSharedItems(batch: Batch, earlier: Batch): boolean {
-  const before = new Set(earlier.items.map(item => item.id));
-  return batch.items.some(item => before.has(item.id));
+  const earlierIds = new Set(earlier.items.map(item => item.id));
+  return batch.items.some(item => earlierIds.has(item.id));
 }
 
 export function carryOver(batch: Batch, earlier: EarlierBatch, isSingleVersion: boolean): CarryOver {
-  const before = new Map(earlier.batch.items.map(item => [item.id, item]));
-  const repeated = batch.items.filter(item => isSameItem(item, before.get(item.id)));
+  const earlierItems = new Map(earlier.batch.items.map(item => [item.id, item]));
+  const repeated = batch.items.filter(item => isSameItem(item, earlierItems.get(item.id)));
   const items = new Map(repeated.map(item => [item.id, item]));
   const ids = new Set(items.keys());
   const fits = (result: ItemResult): boolean => {
@@ -47,7 +47,7 @@
     groups: new Set(repeated.map(item => item.group)),
     results: earlier.results
       .filter(fits)
-      .map(result => withMatchingScore(result, items.get(result.id), before.get(result.id))),
+      .map(result => withMatchingScore(result, items.get(result.id), earlierItems.get(result.id))),
     unfinished: earlier.progress.filter(({ itemId }) => ids.has(itemId)),
   };
 }
@@ -56,9 +56,9 @@
 function withMatchingScore(
   result: ItemResult,
   item: BatchItem | undefined,
-  before: BatchItem | undefined,
+  earlierItem: BatchItem | undefined,
 ): ItemResult {
-  if (isSameJson(item?.scoring, before?.scoring)) return result;
+  if (isSameJson(item?.scoring, earlierItem?.scoring)) return result;
   const { id, state, text, versions } = result;
   return { id, state, text, versions };
 }
@@ -73,13 +73,13 @@
 }
 
 /** Compares the requests, since an identifier may be reused for another request. */
-function isSameItem(item: BatchItem, before: BatchItem | undefined): boolean {
-  if (!before) return false;
+function isSameItem(item: BatchItem, earlierItem: BatchItem | undefined): boolean {
+  if (!earlierItem) return false;
   return (
-    item.group === before.group &&
-    item.path === before.path &&
-    item.bodyBase64 === before.bodyBase64 &&
-    isSameJson(item.headers, before.headers)
+    item.group === earlierItem.group &&
+    item.path === earlierItem.path &&
+    item.bodyBase64 === earlierItem.bodyBase64 &&
+    isSameJson(item.headers, earlierItem.headers)
   );
 }
 
--- a/packages/batches/src/itemPlacement.ts
+++ b/packages/batches/src/itemPlacement.ts
@@ -58,10 +58,10 @@
 
 /** Selects among the endpoints that are not slow. */
 export interface PlacementPolicy {
-  /** `quick`: endpoints with a free place; `together`: the one of them that runs other items of the group. */
+  /** `candidates`: endpoints with a free place; `groupEndpoint`: the one of them that runs other items of the group. */
   choose(
-    quick: readonly PlacementEndpoint[],
-    together: PlacementEndpoint | undefined,
+    candidates: readonly PlacementEndpoint[],
+    groupEndpoint: PlacementEndpoint | undefined,
     request: PlacementRequest,
   ): PlacementEndpoint | undefined;
 }
@@ -69,12 +69,12 @@
 /** Places long items at the fastest endpoint, others with their group or else where most places are free. */
 export class MostFreePlacement implements PlacementPolicy {
   choose(
-    quick: readonly PlacementEndpoint[],
-    together: PlacementEndpoint | undefined,
+    candidates: readonly PlacementEndpoint[],
+    groupEndpoint: PlacementEndpoint | undefined,
     { isLong, ownDomain }: PlacementRequest,
   ): PlacementEndpoint | undefined {
-    if (isLong) return fastest(quick);
-    return together ?? mostFree(quick, ownDomain);
+    if (isLong) return fastest(candidates);
+    return groupEndpoint ?? mostFree(candidates, ownDomain);
   }
 }
 
@@ -84,13 +84,13 @@
  */
 export class FastestPlacement implements PlacementPolicy {
   choose(
-    quick: readonly PlacementEndpoint[],
-    together: PlacementEndpoint | undefined,
+    candidates: readonly PlacementEndpoint[],
+    groupEndpoint: PlacementEndpoint | undefined,
     { isLong }: PlacementRequest,
   ): PlacementEndpoint | undefined {
-    const found = fastest(quick);
-    if (!found || !together || isLong) return found;
-    return isClearlyFaster(found, together) ? found : together;
+    const found = fastest(candidates);
+    if (!found || !groupEndpoint || isLong) return found;
+    return isClearlyFaster(found, groupEndpoint) ? found : groupEndpoint;
   }
 }
 
@@ -101,12 +101,12 @@
   policy: PlacementPolicy = DEFAULT_PLACEMENT,
 ): PlacementEndpoint | undefined {
   const medianMs = medianPaceMs(endpoints);
-  const open = endpoints.filter(endpoint => endpoint.freePlaces > 0 && !request.avoid.has(endpoint.id));
-  const quick = open.filter(endpoint => !isSlow(endpoint, medianMs));
-  const together = quick.find(endpoint => endpoint.id === request.groupEndpointId);
+  const available = endpoints.filter(endpoint => endpoint.freePlaces > 0 && !request.avoid.has(endpoint.id));
+  const candidates = available.filter(endpoint => !isSlow(endpoint, medianMs));
+  const groupEndpoint = candidates.find(endpoint => endpoint.id === request.groupEndpointId);
   return (
-    policy.choose(quick, together, request) ??
-    (hasFastEndpoint(endpoints, medianMs) ? undefined : mostFree(open, ''))
+    policy.choose(candidates, groupEndpoint, request) ??
+    (hasFastEndpoint(endpoints, medianMs) ? undefined : mostFree(available, ''))
   );
 }
 
--- a/packages/batches/src/itemProgress.ts
+++ b/packages/batches/src/itemProgress.ts
@@ -85,6 +85,6 @@
   private _allows(version: number): boolean {
     if (version < this._requirement.minVersion) return false;
     if (!this._requirement.isSingleVersion) return true;
-    return this._events.every(known => known.version === version);
+    return this._events.every(previous => previous.version === version);
   }
 }
--- a/packages/batches/src/retryDelay.ts
+++ b/packages/batches/src/retryDelay.ts
@@ -9,7 +9,7 @@
 const FIRST_DELAY_MS = 50;
 /** Below the interval at which endpoints report their state. */
 const MAX_DELAY_MS = 800;
-/** The number of consecutive failures at which the first log entry is written; the next ones follow at each doubling. */
+/** The number of consecutive failures of the first log entry; the next entries follow at each doubling. */
 const FIRST_LOGGED_COUNT = 5;
 
 /** Returns the delay after a number of consecutive failures. */
--- a/packages/batches/src/storedEvents.ts
+++ b/packages/batches/src/storedEvents.ts
@@ -19,10 +19,10 @@
   /** `ItemProgress.textNumber()` of the stored text. */
   readonly textNumber: number;
   readonly events: number;
-  readonly isWhole: boolean;
+  readonly isComplete: boolean;
 }
 
-const NOTHING_STORED: StoredState = { textNumber: 0, events: 0, isWhole: false };
+const NOTHING_STORED: StoredState = { textNumber: 0, events: 0, isComplete: false };
 
 export class StoredEvents {
   private readonly _ledger: BatchLedger;
@@ -41,12 +41,12 @@
     let unitsLeft = MAX_RECORD_UNITS;
     for (const unfinished of this._ledger.unfinished()) {
       const { itemId, events } = unfinished;
-      const isWhole = unfinished.wholeEvents !== undefined;
-      if (!isWhole && events.length < minEvents) continue;
-      const kept = this._storedOf(itemId);
-      const fitting = fittingEvents(events.slice(kept.events), unitsLeft);
-      const isEndStored = isWhole && kept.events + fitting.length === events.length;
-      const hasChanges = fitting.length > 0 || (isEndStored && !kept.isWhole);
+      const isComplete = unfinished.wholeEvents !== undefined;
+      if (!isComplete && events.length < minEvents) continue;
+      const stored = this._storedOf(itemId);
+      const fitting = fittingEvents(events.slice(stored.events), unitsLeft);
+      const isEndStored = isComplete && stored.events + fitting.length === events.length;
+      const hasChanges = fitting.length > 0 || (isEndStored && !stored.isComplete);
       if (!hasChanges) continue;
       unitsLeft -= unitsOf(fitting);
       missing.push(
@@ -57,11 +57,11 @@
   }
 
   /** Marks the events as stored. `textNumbers`: the text number of each item when the write was started. */
-  keep(kept: readonly ItemEvents[], textNumbers: ReadonlyMap<string, number>): void {
-    for (const { itemId, events, wholeEvents } of kept) {
+  keep(items: readonly ItemEvents[], textNumbers: ReadonlyMap<string, number>): void {
+    for (const { itemId, events, wholeEvents } of items) {
       const textNumber = textNumbers.get(itemId) ?? 0;
       const last = events.at(-1)?.number ?? wholeEvents ?? 0;
-      this._stored.set(itemId, { textNumber, events: last, isWhole: wholeEvents !== undefined });
+      this._stored.set(itemId, { textNumber, events: last, isComplete: wholeEvents !== undefined });
     }
   }
 
@@ -71,9 +71,9 @@
   }
 
   private _storedOf(itemId: string): StoredState {
-    const kept = this._stored.get(itemId);
-    const isSameText = kept?.textNumber === this._ledger.progress(itemId).textNumber();
-    return kept && isSameText ? kept : NOTHING_STORED;
+    const stored = this._stored.get(itemId);
+    const isSameText = stored?.textNumber === this._ledger.progress(itemId).textNumber();
+    return stored && isSameText ? stored : NOTHING_STORED;
   }
 }
 
--- a/packages/orders/src/loadSchedule.ts
+++ b/packages/orders/src/loadSchedule.ts
@@ -36,21 +36,21 @@
     const queue = mostUnderserved(queues);
     const id = queue?.due.shift();
     if (!queue || id === undefined) return ordered;
-    const { model, namedVersion: named, candidates } = queue.loads;
-    ordered.push({ id, model, version: named });
+    const { model, namedVersion, candidates } = queue.loads;
+    ordered.push({ id, model, version: namedVersion });
     const version = candidates.find(candidate => candidate.id === id)?.version ?? 0;
-    if (version < named - allowedLag) queue.usable += 1;
+    if (version < namedVersion - allowedLag) queue.usable += 1;
     queue.fresh += 1;
   }
 }
 
 function toQueue(loads: ModelLoads, allowedLag: number): ModelQueue {
-  const { namedVersion: named, candidates } = loads;
+  const { namedVersion, candidates } = loads;
   return {
     loads,
-    due: [...endpointsDueForLoad(candidates, named, allowedLag)],
-    usable: candidates.filter(({ version }) => version >= named - allowedLag).length,
-    fresh: candidates.filter(({ version }) => version >= named).length,
+    due: [...endpointsDueForLoad(candidates, namedVersion, allowedLag)],
+    usable: candidates.filter(({ version }) => version >= namedVersion - allowedLag).length,
+    fresh: candidates.filter(({ version }) => version >= namedVersion).length,
   };
 }
 
--- a/packages/requests/src/keyHolder.ts
+++ b/packages/requests/src/keyHolder.ts
@@ -85,8 +85,8 @@
     const hasSameDomains = claim.domains === this._options.domains && this._map?.domains === claim.domains;
     if (!hasSameDomains) return { kind: 'unknown', reason: 'key-unsettled' };
     const state = this._slot(slot);
-    const known = state.find(claim.key);
-    if (known) return this._claimExisting(known, claim);
+    const existing = state.find(claim.key);
+    if (existing) return this._claimExisting(existing, claim);
     // Until the slot is settled it is not known whether an earlier arrival ran.
     if (!this._mayGrant(slot, entry)) return { kind: 'unknown', reason: 'key-unsettled' };
     if (state.lostForMs() > 0) return { kind: 'unknown', reason: 'key-records-lost' };
@@ -171,12 +171,12 @@
     return this._settled.has(slot) && this._slot(slot).promisedEpoch === entry.epoch;
   }
 
-  private async _claimExisting(known: HeldRecord, claim: Claim): Promise<ClaimReply> {
-    if (known.fingerprint !== claim.fingerprint) return { kind: 'conflict' };
-    if (known.state !== 'finished' && claim.waitMs > 0) await this._wait(known, claim.waitMs);
-    if (known.state !== 'finished') return { kind: 'unknown', reason: 'first-still-running' };
-    return known.answer
-      ? { kind: 'answered', answer: known.answer }
+  private async _claimExisting(existing: HeldRecord, claim: Claim): Promise<ClaimReply> {
+    if (existing.fingerprint !== claim.fingerprint) return { kind: 'conflict' };
+    if (existing.state !== 'finished' && claim.waitMs > 0) await this._wait(existing, claim.waitMs);
+    if (existing.state !== 'finished') return { kind: 'unknown', reason: 'first-still-running' };
+    return existing.answer
+      ? { kind: 'answered', answer: existing.answer }
       : { kind: 'unknown', reason: 'answer-not-kept' };
   }
 
--- a/packages/requests/src/keySlot.ts
+++ b/packages/requests/src/keySlot.ts
@@ -77,8 +77,8 @@
   /** Merges a record of the owner or of an earlier holder; the newer change wins. */
   merge(record: KeyRecord): void {
     this._lastChange = Math.max(this._lastChange, record.change);
-    const known = this._records.get(record.key);
-    if (known && known.change > record.change) return;
+    const existing = this._records.get(record.key);
+    if (existing && existing.change > record.change) return;
     if (record.state === 'released') {
       this._records.delete(record.key);
       return;
--- a/packages/requests/src/poisonCases.ts
+++ b/packages/requests/src/poisonCases.ts
@@ -75,18 +75,18 @@
   /** Records that an endpoint terminated while running the request. Returns the number of such endpoints. */
   ended(fingerprint: string, startId: string): number {
     this._removeExpired(fingerprint);
-    const known = this._getOrCreateCase(fingerprint);
-    if (!known.ends.has(startId)) known.lastMarkMs = this._clock.nowMs();
-    known.ends.add(startId);
-    return known.ends.size;
+    const poisonCase = this._getOrCreateCase(fingerprint);
+    if (!poisonCase.ends.has(startId)) poisonCase.lastMarkMs = this._clock.nowMs();
+    poisonCase.ends.add(startId);
+    return poisonCase.ends.size;
   }
 
   /** `endsBefore`: the count at the host that started the trial; this host may learn of the trial's end first. */
   trialStarted(fingerprint: string, number: number, endsBefore: number): void {
-    const known = this._getOrCreateCase(fingerprint);
-    if (known.trials.has(number)) return;
-    known.trials.set(number, endsBefore);
-    known.lastMarkMs = this._clock.nowMs();
+    const poisonCase = this._getOrCreateCase(fingerprint);
+    if (poisonCase.trials.has(number)) return;
+    poisonCase.trials.set(number, endsBefore);
+    poisonCase.lastMarkMs = this._clock.nowMs();
   }
 
   /** Removes a trial whose request did not run. */
@@ -96,9 +96,9 @@
 
   /** Removes a termination whose record expired or whose request was answered elsewhere. */
   removeEnd(fingerprint: string, startId: string): void {
-    const known = this._cases.get(fingerprint);
-    known?.ends.delete(startId);
-    if (known?.ends.size === 0) this.cleared(fingerprint);
+    const poisonCase = this._cases.get(fingerprint);
+    poisonCase?.ends.delete(startId);
+    if (poisonCase?.ends.size === 0) this.cleared(fingerprint);
   }
 
   /** Removes the case of a request that was answered, which proves it harmless. */
@@ -111,10 +111,10 @@
   }
 
   marks(fingerprint: string): readonly PoisonMark[] {
-    const known = this._cases.get(fingerprint);
+    const poisonCase = this._cases.get(fingerprint);
     return [
-      ...[...(known?.ends ?? [])].map((startId): PoisonMark => ({ kind: 'end', startId })),
-      ...[...(known?.trials ?? [])].map(([number, endsBefore]): PoisonMark => ({
+      ...[...(poisonCase?.ends ?? [])].map((startId): PoisonMark => ({ kind: 'end', startId })),
+      ...[...(poisonCase?.trials ?? [])].map(([number, endsBefore]): PoisonMark => ({
         kind: 'trial',
         number,
         endsBefore,
@@ -128,29 +128,30 @@
   }
 
   verdict(fingerprint: string): PoisonVerdict {
-    const known = this._cases.get(fingerprint);
-    if (!known || known.ends.size < MIN_ENDS) return { kind: 'free' };
-    const sinceMarkMs = this._clock.nowMs() - known.lastMarkMs;
-    const pauseMs = TRIAL_DELAYS_MS[known.trials.size] ?? Infinity;
-    if (sinceMarkMs >= pauseMs) return { kind: 'trial', number: known.trials.size + 1 };
+    const poisonCase = this._cases.get(fingerprint);
+    if (!poisonCase || poisonCase.ends.size < MIN_ENDS) return { kind: 'free' };
+    const sinceMarkMs = this._clock.nowMs() - poisonCase.lastMarkMs;
+    const pauseMs = TRIAL_DELAYS_MS[poisonCase.trials.size] ?? Infinity;
+    if (sinceMarkMs >= pauseMs) return { kind: 'trial', number: poisonCase.trials.size + 1 };
     // Only a termination during a trial is proof: a trial may also be interrupted, or its caller may disconnect.
-    const isProven = [...known.trials.values()].some(endsBefore => known.ends.size > endsBefore);
+    const isProven = [...poisonCase.trials.values()].some(endsBefore => poisonCase.ends.size > endsBefore);
     const isWaiting = !isProven && pauseMs < Infinity;
     return isWaiting ? { kind: 'held', leftMs: pauseMs - sinceMarkMs } : { kind: 'condemned' };
   }
 
   private _removeExpired(fingerprint: string): void {
-    const known = this._cases.get(fingerprint);
-    if (known && this._clock.nowMs() - known.lastMarkMs >= CASE_RETENTION_MS) this.cleared(fingerprint);
+    const poisonCase = this._cases.get(fingerprint);
+    if (poisonCase && this._clock.nowMs() - poisonCase.lastMarkMs >= CASE_RETENTION_MS)
+      this.cleared(fingerprint);
   }
 
   private _getOrCreateCase(fingerprint: string): PoisonCase {
-    const known = this._cases.get(fingerprint);
-    if (known) {
+    const existing = this._cases.get(fingerprint);
+    if (existing) {
       // Reinserted, since eviction takes the first entry.
       this._cases.delete(fingerprint);
-      this._cases.set(fingerprint, known);
-      return known;
+      this._cases.set(fingerprint, existing);
+      return existing;
     }
     const [oldest] = this._cases.keys();
     if (this._cases.size >= MAX_CASES && oldest !== undefined) this.cleared(oldest);
