--- a/packages/requests/src/endpointStats.ts
+++ b/packages/requests/src/endpointStats.ts
@@ -1,10 +1,10 @@
 /**
- * What one host knows of one endpoint: its own requests in flight, the endpoint's lagging report, and how
- * its recent answers went.
+ * A host's statistics of one endpoint: its own requests in flight, the last load report, and a circuit breaker
+ * over recent failures.
  */
 import type { Clock } from '@fuchsiahitch/base';
 
-/** A load report of an endpoint. It lags; `startId` changes when the endpoint restarts. */
+/** A load report of an endpoint, possibly outdated. `startId` changes when the endpoint restarts. */
 export interface LoadReport {
   readonly inFlight: number;
   readonly queued: number;
@@ -14,11 +14,10 @@
 }
 
 const FAILURE_WEIGHT = 0.2;
-const OPEN_THRESHOLD = 0.5;
-const MIN_ANSWERS = 5;
-const FIRST_OPEN_MS = 1000;
+const OPEN_FAILURE_SHARE = 0.5;
+const MIN_COMPLETED_ATTEMPTS = 5;
+const INITIAL_OPEN_MS = 1000;
 const MAX_OPEN_MS = 30_000;
-/** A report older than this says nothing any more. */
 const REPORT_VALID_MS = 15_000;
 
 type BreakerState =
@@ -34,14 +33,14 @@
   private _rolloutInFlight = 0;
   private _report: LoadReport | undefined;
   private _reportedMs = -Infinity;
-  private _ownAtReport = 0;
+  private _inFlightAtReport = 0;
   private _failureShare = 0;
-  private _answers = 0;
+  private _completedAttempts = 0;
   private _breaker: BreakerState = { kind: 'closed' };
 
   /**
-   * `reportValidMs`: a load report that is older says nothing any more. `maxOpenMs`: an endpoint that failed is tried
-   * again after no longer than this.
+   * `reportValidMs`: the age beyond which a load report is ignored. `maxOpenMs`: the longest time that the breaker
+   * stays open before a probe.
    */
   constructor(clock: Clock, reportValidMs: number = REPORT_VALID_MS, maxOpenMs: number = MAX_OPEN_MS) {
     this._clock = clock;
@@ -68,21 +67,22 @@
   }
 
   /**
-   * An attempt ended. An endpoint that answers errors at once looks idle and would draw all the traffic,
-   * which one would notice as an error rate near its share of answers; its failures open the breaker.
+   * Records the end of an attempt. Failures open the breaker: an endpoint that fails fast looks idle and would
+   * otherwise attract all traffic.
    */
   ended(isRollout: boolean, isFailure: boolean): void {
     this._inFlight -= 1;
     if (isRollout) this._rolloutInFlight -= 1;
-    this._answers += 1;
+    this._completedAttempts += 1;
     this._failureShare += FAILURE_WEIGHT * ((isFailure ? 1 : 0) - this._failureShare);
     if (this._breaker.kind === 'probing') this._probeEnded(isFailure, this._breaker.lengthMs);
-    else if (this._answers >= MIN_ANSWERS && this._failureShare > OPEN_THRESHOLD) this._open(FIRST_OPEN_MS);
+    else if (this._completedAttempts >= MIN_COMPLETED_ATTEMPTS && this._failureShare > OPEN_FAILURE_SHARE)
+      this._openBreaker(INITIAL_OPEN_MS);
   }
 
   /**
-   * The present attempt of a request was cancelled: it says nothing about the endpoint. If it was the one trial of an
-   * endpoint that had failed, the next request is the trial; without that the endpoint would never be used again.
+   * Records a cancelled attempt, which counts as neither success nor failure. If it was the breaker's probe, the next
+   * request becomes the probe; otherwise the breaker would never close.
    */
   cancelled(isRollout: boolean): void {
     this._inFlight -= 1;
@@ -92,42 +92,42 @@
     this._breaker = { kind: 'open', untilMs: this._clock.nowMs(), lengthMs };
   }
 
-  reported(report: LoadReport): void {
-    if (this._report && this._report.startId !== report.startId) this._restarted();
+  onLoadReport(report: LoadReport): void {
+    if (this._report && this._report.startId !== report.startId) this._resetBreaker();
     this._report = report;
     this._reportedMs = this._clock.nowMs();
-    this._ownAtReport = this._inFlight;
+    this._inFlightAtReport = this._inFlight;
   }
 
   /**
-   * The load that this host reckons with: what the others had at the last report, and its own present
-   * count. Own counts don't lag, so that hosts that read the same report do not all pick one endpoint.
+   * Returns the other hosts' load at the last report plus this host's current count. The own count is always
+   * up to date, so that hosts that read the same report do not all pick one endpoint.
    */
   estimatedLoad(): number {
     const isFresh = this._clock.nowMs() - this._reportedMs < this._reportValidMs;
     if (!this._report || !isFresh) return this._inFlight;
-    const others = Math.max(0, this._report.inFlight + this._report.queued - this._ownAtReport);
+    const others = Math.max(0, this._report.inFlight + this._report.queued - this._inFlightAtReport);
     return others + this._inFlight;
   }
 
-  /** False while the breaker is open, or while its one probe is on the way. */
+  /** Returns false while the breaker is open or its probe is in flight. */
   isUsable(): boolean {
     if (this._breaker.kind === 'closed') return true;
     return this._breaker.kind === 'open' && this._clock.nowMs() >= this._breaker.untilMs;
   }
 
   private _probeEnded(isFailure: boolean, lengthMs: number): void {
-    if (isFailure) this._open(Math.min(this._maxOpenMs, lengthMs * 2));
-    else this._restarted();
+    if (isFailure) this._openBreaker(Math.min(this._maxOpenMs, lengthMs * 2));
+    else this._resetBreaker();
   }
 
-  private _open(lengthMs: number): void {
+  private _openBreaker(lengthMs: number): void {
     this._breaker = { kind: 'open', untilMs: this._clock.nowMs() + lengthMs, lengthMs };
   }
 
-  private _restarted(): void {
+  private _resetBreaker(): void {
     this._breaker = { kind: 'closed' };
     this._failureShare = 0;
-    this._answers = 0;
+    this._completedAttempts = 0;
   }
 }
--- a/packages/requests/src/keyHolder.ts
+++ b/packages/requests/src/keyHolder.ts
@@ -1,10 +1,9 @@
 /**
- * Owner and copy of idempotency keys in a failure domain: a non-repeatable request runs at most once.
+ * Owner and copy of idempotency keys in a failure domain: a non-idempotent request runs at most once.
  *
- * A request may run only after its record stands at the owner and at the copy of one epoch. Whoever takes
- * over a slot first makes one of the two promise to take no more part in that epoch, and gets its records;
- * since every grant needs both, nothing granted is missed and nothing more is granted
- * (docs/design/keys.md, with the ways that were not taken).
+ * A request may run only after its record is stored at the owner and at the copy of one epoch. A host that takes
+ * over a slot first fences one of the two from that epoch and fetches its records. Since every grant needs both,
+ * no granted record is missed and no further grant is possible (docs/design/keys.md, with rejected alternatives).
  */
 import { sleep, type Clock } from '@fuchsiahitch/base';
 import type {
@@ -18,16 +17,16 @@
   KeyRecord,
   SyncSlot,
 } from './keyMessages.js';
-import { KEY_WINDOW_MS, KeySlot, MAX_KEPT_ANSWER_BYTES, type HeldRecord } from './keySlot.js';
-import { slotOf, SLOTS_A_DOMAIN, type Generation, type SlotEntry, type SlotMap } from './slotMap.js';
+import { KEY_RETENTION_MS, KeySlot, MAX_STORED_ANSWER_BYTES, type HeldRecord } from './keySlot.js';
+import { slotOf, SLOTS_PER_DOMAIN, type Generation, type SlotEntry, type SlotMap } from './slotMap.js';
 
-/** How holders reach each other. An undefined reply means that none came: nothing is proved. */
+/** Transport between holders. An undefined reply means that none arrived; the peer may have processed the message. */
 export interface HolderPeers {
   copyRecord(holder: string, message: CopyRecord): Promise<Accepted | undefined>;
   syncSlot(holder: string, message: SyncSlot): Promise<Accepted | undefined>;
   fenceSlot(holder: string, message: FenceSlot): Promise<FenceReply | undefined>;
-  /** True when that very process is known to have ended: its host runs a later one, or was removed. */
-  isProvenGone(holder: string): boolean;
+  /** Returns true if that process is known to have terminated: its host runs a later one or was removed. */
+  isProvenTerminated(holder: string): boolean;
 }
 
 export interface KeyHolderOptions {
@@ -42,23 +41,23 @@
 
 type Waiter = () => void;
 
-/** The slots that one host holds. */
+/** Holds the slots of one host, as owner or as copy. */
 export class KeyHolder {
   private readonly _options: KeyHolderOptions;
   private readonly _slots: readonly KeySlot[];
   private readonly _waiters = new Map<HeldRecord, Waiter[]>();
   private readonly _settled = new Set<number>();
   private _map: SlotMap | undefined;
-  /** The epoch that each slot is being settled for. */
+  /** The epoch for which each slot is being settled. */
   private readonly _settling = new Map<number, number>();
   private readonly _handedOver = new Set<number>();
 
   constructor(options: KeyHolderOptions) {
     this._options = options;
-    this._slots = Array.from({ length: SLOTS_A_DOMAIN }, () => new KeySlot(options.clock));
+    this._slots = Array.from({ length: SLOTS_PER_DOMAIN }, () => new KeySlot(options.clock));
   }
 
-  /** Slots that this host owns, with their copy up to date. */
+  /** Slots that this host owns and whose copy is up to date. */
   settledSlots(): ReadonlySet<number> {
     return this._settled;
   }
@@ -71,11 +70,11 @@
     return this._slots.reduce((sum, slot) => sum + slot.size(), 0);
   }
 
-  /** Learns a map. One that is not newer is ignored, whatever the store says: epochs never fall. */
-  learnMap(map: SlotMap): void {
+  /** Applies a newer map. Others are ignored, even if they come from the store: epochs never decrease. */
+  updateMap(map: SlotMap): void {
     if (this._map && map.revision <= this._map.revision) return;
     this._map = map;
-    for (const [slot, entry] of map.slots.entries()) this._learnEntry(slot, entry);
+    for (const [slot, entry] of map.slots.entries()) this._updateEntry(slot, entry);
   }
 
   /** Answers a claim as the owner of the key's slot. */
@@ -83,77 +82,77 @@
     const slot = slotOf(claim.key);
     const entry = this._ownedEntry(slot);
     if (!entry) return { kind: 'wrong-owner' };
-    const isSameFleet = claim.domains === this._options.domains && this._map?.domains === claim.domains;
-    if (!isSameFleet) return { kind: 'unknown', reason: 'key-unsettled' };
+    const hasSameDomains = claim.domains === this._options.domains && this._map?.domains === claim.domains;
+    if (!hasSameDomains) return { kind: 'unknown', reason: 'key-unsettled' };
     const state = this._slot(slot);
-    const known = state.find(claim.key);
-    if (known) return this._claimKnown(known, claim);
-    // Before the slot is settled nobody can say whether an earlier arrival ran.
+    const existing = state.find(claim.key);
+    if (existing) return this._claimExisting(existing, claim);
+    // Until the slot is settled it is not known whether an earlier arrival ran.
     if (!this._mayGrant(slot, entry)) return { kind: 'unknown', reason: 'key-unsettled' };
     if (state.lostForMs() > 0) return { kind: 'unknown', reason: 'key-records-lost' };
     return this._grant(slot, entry, claim);
   }
 
-  /** Takes in how a granted attempt ended. */
+  /** Records the end of a granted attempt. */
   async finish(finish: Finish): Promise<Accepted> {
     const slot = slotOf(finish.key);
     const entry = this._ownedEntry(slot);
     const record = this._slot(slot).find(finish.key);
     if (!entry || record?.attemptId !== finish.attemptId) return { accepted: false };
-    const change = this._change(slot, record, finish);
-    this._wake(record);
-    // The copy's loss of this change is harmless: it would tell `unknown` where an answer was kept.
+    const change = this._applyFinish(slot, record, finish);
+    this._wakeWaiters(record);
+    // If the copy misses this change, it replies `unknown` instead of the stored answer, which is safe.
     if (entry.copy !== '')
       await this._options.peers.copyRecord(entry.copy, { slot, epoch: entry.epoch, record: change });
     return { accepted: true };
   }
 
-  /** As the copy: takes in one change, unless a later epoch was promised. */
+  /** As the copy: applies one change, unless a later epoch was promised. */
   copyRecord(message: CopyRecord): Accepted {
     const state = this._slot(message.slot);
-    const isCurrent = message.epoch === state.promised && state.completeEpoch === message.epoch;
+    const isCurrent = message.epoch === state.promisedEpoch && state.completeEpoch === message.epoch;
     if (!isCurrent) return { accepted: false };
     state.merge(message.record);
     return { accepted: true };
   }
 
-  /** As the copy: takes in a whole slot. */
+  /** As the copy: replaces the contents of a slot. */
   syncSlot(message: SyncSlot): Accepted {
     const state = this._slot(message.slot);
-    if (message.epoch < state.promised) return { accepted: false };
-    state.promised = message.epoch;
+    if (message.epoch < state.promisedEpoch) return { accepted: false };
+    state.promisedEpoch = message.epoch;
     this._settled.delete(message.slot);
     state.replace(message.records, message.lostForMs);
     state.completeEpoch = message.epoch;
     return { accepted: true };
   }
 
-  /** As an earlier holder: promises the later epoch and hands over what it holds. */
+  /** As an earlier holder: promises the later epoch and returns its records. */
   fenceSlot(message: FenceSlot): FenceReply {
     if (message.holder !== this._options.self) return { kind: 'gone' };
     const state = this._slot(message.slot);
-    if (message.epoch < state.promised) return { kind: 'later-epoch' };
-    state.promised = message.epoch;
+    if (message.epoch < state.promisedEpoch) return { kind: 'later-epoch' };
+    state.promisedEpoch = message.epoch;
     if (this._map?.slots[message.slot]?.epoch !== message.epoch) this._settled.delete(message.slot);
     this._handedOver.add(message.slot);
     return {
       kind: 'holds',
       completeEpoch: state.completeEpoch,
-      records: state.all(),
+      records: state.unexpiredRecords(),
       lostForMs: state.lostForMs(),
     };
   }
 
-  /** As a host that leaves: true once every slot it held stands elsewhere, so that nothing is lost with it. */
+  /** As a leaving host: returns true once another host holds the records of each of its slots. */
   hasHandedOver(): boolean {
     const slots = this._map?.slots ?? [];
     return slots.every((entry, slot) => {
       if (this._slot(slot).completeEpoch === 0) return true;
       if (entry.owner === this._options.self || entry.copy === this._options.self) return false;
       const last = entry.older[0];
-      const wasMine = last?.owner === this._options.self || last?.copy === this._options.self;
+      const wasHolder = last?.owner === this._options.self || last?.copy === this._options.self;
       const isOwnerInformed = entry.owner === last?.owner || entry.owner === last?.copy;
-      return !wasMine || isOwnerInformed || this._handedOver.has(slot);
+      return !wasHolder || isOwnerInformed || this._handedOver.has(slot);
     });
   }
 
@@ -169,15 +168,15 @@
   }
 
   private _mayGrant(slot: number, entry: SlotEntry): boolean {
-    return this._settled.has(slot) && this._slot(slot).promised === entry.epoch;
+    return this._settled.has(slot) && this._slot(slot).promisedEpoch === entry.epoch;
   }
 
-  private async _claimKnown(known: HeldRecord, claim: Claim): Promise<ClaimReply> {
-    if (known.fingerprint !== claim.fingerprint) return { kind: 'conflict' };
-    if (known.state !== 'finished' && claim.waitMs > 0) await this._wait(known, claim.waitMs);
-    if (known.state !== 'finished') return { kind: 'unknown', reason: 'first-still-running' };
-    return known.answer
-      ? { kind: 'answered', answer: known.answer }
+  private async _claimExisting(existing: HeldRecord, claim: Claim): Promise<ClaimReply> {
+    if (existing.fingerprint !== claim.fingerprint) return { kind: 'conflict' };
+    if (existing.state !== 'finished' && claim.waitMs > 0) await this._wait(existing, claim.waitMs);
+    if (existing.state !== 'finished') return { kind: 'unknown', reason: 'first-still-running' };
+    return existing.answer
+      ? { kind: 'answered', answer: existing.answer }
       : { kind: 'unknown', reason: 'answer-not-kept' };
   }
 
@@ -188,10 +187,10 @@
       const message = { slot, epoch: entry.epoch, record: state.toRecord(record) };
       const reply = await this._options.peers.copyRecord(entry.copy, message);
       if (!reply?.accepted) {
-        // Nobody gets a grant for this attempt. That does not prove that the key never ran: a copy that is
-        // silent, or refuses, may already serve a successor that granted it to another arrival.
+        // No grant for this attempt. The key may have run nevertheless: a copy that does not answer or refuses
+        // may already serve a successor that granted the key to another arrival.
         state.remove(record);
-        this._wake(record);
+        this._wakeWaiters(record);
         if (reply) this._settled.delete(slot);
         return { kind: 'unknown', reason: 'key-unsettled' };
       }
@@ -200,13 +199,13 @@
     return { kind: 'granted' };
   }
 
-  private _change(slot: number, record: HeldRecord, finish: Finish): KeyRecord {
+  private _applyFinish(slot: number, record: HeldRecord, finish: Finish): KeyRecord {
     const state = this._slot(slot);
     if (finish.end === 'released') {
       state.remove(record);
       return { ...state.toRecord(record), state: 'released', change: state.nextChange() };
     }
-    const isSmall = finish.answer !== undefined && finish.answer.body.length <= MAX_KEPT_ANSWER_BYTES;
+    const isSmall = finish.answer !== undefined && finish.answer.body.length <= MAX_STORED_ANSWER_BYTES;
     state.finish(record, isSmall ? finish.answer : undefined);
     return state.toRecord(record);
   }
@@ -223,21 +222,21 @@
     });
   }
 
-  private _wake(record: HeldRecord): void {
+  private _wakeWaiters(record: HeldRecord): void {
     for (const waiter of this._waiters.get(record) ?? []) waiter();
     this._waiters.delete(record);
   }
 
-  private _learnEntry(slot: number, entry: SlotEntry): void {
+  private _updateEntry(slot: number, entry: SlotEntry): void {
     const state = this._slot(slot);
-    if (entry.epoch < state.promised) return;
-    const isNewEpoch = entry.epoch > state.promised;
-    state.promised = entry.epoch;
+    if (entry.epoch < state.promisedEpoch) return;
+    const isNewEpoch = entry.epoch > state.promisedEpoch;
+    state.promisedEpoch = entry.epoch;
     if (isNewEpoch) {
       this._settled.delete(slot);
       this._handedOver.delete(slot);
     }
-    // The new owner may have reached this host before the map did: then the epoch is not news, and the role is.
+    // The new owner's message may arrive before the map: then the epoch is known already, but the role changes.
     if (entry.owner !== this._options.self) {
       this._settled.delete(slot);
       return;
@@ -247,15 +246,15 @@
     void this._settle(slot, entry);
   }
 
-  /** Gathers the slot's records, brings the copy up to date, and begins to grant. */
+  /** Collects the slot's records and synchronizes the copy; grants are allowed afterwards. */
   private async _settle(slot: number, entry: SlotEntry): Promise<void> {
     const state = this._slot(slot);
     const isCurrent = (): boolean =>
-      this._map?.slots[slot]?.epoch === entry.epoch && state.promised === entry.epoch;
+      this._map?.slots[slot]?.epoch === entry.epoch && state.promisedEpoch === entry.epoch;
     while (isCurrent()) {
-      const isWhole = state.completeEpoch === entry.epoch || (await this._gather(slot, entry));
+      const isComplete = state.completeEpoch === entry.epoch || (await this._collectRecords(slot, entry));
       if (!isCurrent()) return;
-      if (isWhole) {
+      if (isComplete) {
         state.completeEpoch = entry.epoch;
         if (await this._syncCopy(slot, entry)) {
           if (isCurrent()) this._settled.add(slot);
@@ -269,19 +268,24 @@
   private async _syncCopy(slot: number, entry: SlotEntry): Promise<boolean> {
     if (entry.copy === '') return true;
     const state = this._slot(slot);
-    const message = { slot, epoch: entry.epoch, records: state.all(), lostForMs: state.lostForMs() };
+    const message = {
+      slot,
+      epoch: entry.epoch,
+      records: state.unexpiredRecords(),
+      lostForMs: state.lostForMs(),
+    };
     const reply = await this._options.peers.syncSlot(entry.copy, message);
     return reply?.accepted ?? false;
   }
 
-  /** Walks the earlier generations, newest first, until one shows what was granted. False: ask again later. */
-  private async _gather(slot: number, entry: SlotEntry): Promise<boolean> {
+  /** Queries earlier generations, newest first, until one has the granted records. Returns false to retry later. */
+  private async _collectRecords(slot: number, entry: SlotEntry): Promise<boolean> {
     for (const generation of entry.older) {
-      const found = await this._askGeneration(slot, entry.epoch, generation);
-      if (found === 'whole') return true;
-      if (found === 'silent') return false;
+      const found = await this._queryGeneration(slot, entry.epoch, generation);
+      if (found === 'complete') return true;
+      if (found === 'unresponsive') return false;
       if (found === 'lost') {
-        this._slot(slot).markLost(KEY_WINDOW_MS);
+        this._slot(slot).markRecordsLost(KEY_RETENTION_MS);
         return true;
       }
     }
@@ -289,32 +293,32 @@
   }
 
   /**
-   * `whole`: its records are here now. `nothing`: one of its holders never got them and promised never to,
-   * so that this generation granted nothing. `lost`: both processes ended. `silent`: nothing is proved.
+   * `complete`: the generation's records were loaded. `none`: one of its holders never received them and is fenced,
+   * so that the generation granted nothing. `lost`: both processes terminated. `unresponsive`: not known.
    */
-  private async _askGeneration(
+  private async _queryGeneration(
     slot: number,
     epoch: number,
     generation: Generation,
-  ): Promise<'whole' | 'nothing' | 'lost' | 'silent'> {
+  ): Promise<'complete' | 'none' | 'lost' | 'unresponsive'> {
     const state = this._slot(slot);
     const holders = generation.copy === '' ? [generation.owner] : [generation.owner, generation.copy];
     if (holders.includes(this._options.self))
-      return state.completeEpoch === generation.epoch ? 'whole' : 'nothing';
-    let gone = 0;
+      return state.completeEpoch === generation.epoch ? 'complete' : 'none';
+    let terminated = 0;
     for (const holder of holders) {
-      if (this._options.peers.isProvenGone(holder)) {
-        gone += 1;
+      if (this._options.peers.isProvenTerminated(holder)) {
+        terminated += 1;
         continue;
       }
       const reply = await this._options.peers.fenceSlot(holder, { slot, epoch, holder });
-      if (reply?.kind === 'gone') gone += 1;
+      if (reply?.kind === 'gone') terminated += 1;
       if (reply?.kind !== 'holds') continue;
       if (reply.completeEpoch > generation.epoch) continue;
-      if (reply.completeEpoch < generation.epoch) return 'nothing';
+      if (reply.completeEpoch < generation.epoch) return 'none';
       state.replace(reply.records, reply.lostForMs);
-      return 'whole';
+      return 'complete';
     }
-    return gone === holders.length ? 'lost' : 'silent';
+    return terminated === holders.length ? 'lost' : 'unresponsive';
   }
 }
--- a/packages/requests/src/requestQueue.ts
+++ b/packages/requests/src/requestQueue.ts
@@ -1,30 +1,32 @@
 /**
- * Requests of one pool that wait for room at an endpoint: bounded, customers first, each with its deadline.
+ * A bounded priority queue of requests that wait for capacity in one pool, each with its deadline.
  */
 import type { CancelTimer, Clock, Deadline } from '@fuchsiahitch/base';
 
-/** Classes of waiting requests; a lower one is served only when the higher ones are empty. */
-export const waitClasses = ['customer-high', 'customer', 'customer-low', 'rollout'] as const;
-export type WaitClass = (typeof waitClasses)[number];
+/** In descending order: a lower priority is served only when the higher ones are empty. */
+export const queuePriorities = ['customer-high', 'customer', 'customer-low', 'rollout'] as const;
+export type QueuePriority = (typeof queuePriorities)[number];
 
-/** Why a request left the queue without a turn. */
+/** Why a request left the queue without being served. */
 export type QueueRefusal = 'queue-full' | 'too-late';
 
-interface Waiting {
+interface WaitingRequest {
   readonly offer: () => boolean;
   readonly refuse: (reason: QueueRefusal) => void;
   readonly cancelTimer: CancelTimer;
 }
 
-/** A window over which turns are counted to tell how long a newcomer would wait. */
+/** The window over which served requests are counted to estimate the wait. */
 const RATE_WINDOW_MS = 2000;
 
 export class RequestQueue {
   private readonly _clock: Clock;
   private readonly _limit: number;
-  private readonly _classes = new Map<WaitClass, Set<Waiting>>(waitClasses.map(name => [name, new Set()]));
-  private _turns = 0;
-  private _lastTurns = 0;
+  private readonly _queues = new Map<QueuePriority, Set<WaitingRequest>>(
+    queuePriorities.map(name => [name, new Set()]),
+  );
+  private _served = 0;
+  private _servedInLastWindow = 0;
   private _windowStartMs: number;
 
   constructor(clock: Clock, limit: number) {
@@ -35,30 +37,30 @@
 
   size(): number {
     let total = 0;
-    for (const waiting of this._classes.values()) total += waiting.size;
+    for (const waiting of this._queues.values()) total += waiting.size;
     return total;
   }
 
-  /** How long a newcomer of the class would wait, from the rate of the last turns; 0 when nothing waits. */
-  expectedWaitMs(waitClass: WaitClass): number {
+  /** Estimates the wait of a new request from the recent service rate; 0 when the queue is empty. */
+  expectedWaitMs(waitClass: QueuePriority): number {
     let ahead = 0;
-    for (const name of waitClasses) {
-      ahead += this._classes.get(name)?.size ?? 0;
+    for (const name of queuePriorities) {
+      ahead += this._queues.get(name)?.size ?? 0;
       if (name === waitClass) break;
     }
-    this._roll();
-    const turns = Math.max(this._turns, this._lastTurns);
+    this._rotateWindow();
+    const turns = Math.max(this._served, this._servedInLastWindow);
     if (ahead === 0 || turns === 0) return 0;
     return (ahead / turns) * RATE_WINDOW_MS;
   }
 
   /**
-   * Waits for a turn. `offer` is called when there may be room, and says whether it used it; `refuse` is
-   * called at once when the queue is full or the wait would outlast the deadline, and else at the deadline.
-   * Returns a function that leaves the queue.
+   * Adds a request. `offer` is called when there may be room and returns true if the request was sent; `refuse` is
+   * called immediately when the queue is full or the expected wait exceeds the deadline, and otherwise at the deadline.
+   * Returns a function that removes the request from the queue.
    */
-  enter(
-    waitClass: WaitClass,
+  enqueue(
+    waitClass: QueuePriority,
     deadline: Deadline,
     offer: () => boolean,
     refuse: (r: QueueRefusal) => void,
@@ -71,37 +73,37 @@
       refuse('too-late');
       return () => undefined;
     }
-    const members = this._classes.get(waitClass);
+    const queue = this._queues.get(waitClass);
     const cancelTimer = this._clock.after(deadline.remainingMs(), () => {
-      if (members?.delete(waiting)) refuse('too-late');
+      if (queue?.delete(waiting)) refuse('too-late');
     });
-    const waiting: Waiting = { offer, refuse, cancelTimer };
-    members?.add(waiting);
+    const waiting: WaitingRequest = { offer, refuse, cancelTimer };
+    queue?.add(waiting);
     return () => {
-      members?.delete(waiting);
+      queue?.delete(waiting);
       cancelTimer();
     };
   }
 
-  /** Offers room to the waiting, the highest class and the longest wait first, until nobody takes it. */
-  serve(): void {
-    for (const name of waitClasses) {
-      for (const waiting of this._classes.get(name) ?? []) {
+  /** Offers room to waiting requests, by priority and then in order of arrival, until one declines. */
+  dispatch(): void {
+    for (const name of queuePriorities) {
+      for (const waiting of this._queues.get(name) ?? []) {
         if (!waiting.offer()) return;
         waiting.cancelTimer();
-        this._classes.get(name)?.delete(waiting);
-        this._roll();
-        this._turns += 1;
+        this._queues.get(name)?.delete(waiting);
+        this._rotateWindow();
+        this._served += 1;
       }
     }
   }
 
-  private _roll(): void {
+  private _rotateWindow(): void {
     const nowMs = this._clock.nowMs();
     const passedMs = nowMs - this._windowStartMs;
     if (passedMs < RATE_WINDOW_MS) return;
-    this._lastTurns = passedMs < 2 * RATE_WINDOW_MS ? this._turns : 0;
-    this._turns = 0;
+    this._servedInLastWindow = passedMs < 2 * RATE_WINDOW_MS ? this._served : 0;
+    this._served = 0;
     this._windowStartMs = nowMs;
   }
 }
