--- a/packages/accounts/src/accountIndex.ts
+++ b/packages/accounts/src/accountIndex.ts
@@ -5,7 +5,7 @@
 import type { Account, AccountsError } from './model.js';
 
 /** What a key proves. `removed`: an earlier version had it. */
-export type KeyFinding =
+export type KeyLookup =
   | { readonly kind: 'known'; readonly account: Account }
   | { readonly kind: 'removed'; readonly accountName: string }
   | { readonly kind: 'unknown' };
@@ -38,7 +38,7 @@
     return ok(index);
   }
 
-  find(key: string): KeyFinding {
+  find(key: string): KeyLookup {
     const known = this._accounts.get(key);
     if (known) return { kind: 'known', account: known };
     const removed = this._removed.get(key);
--- a/packages/capacity/src/orderBook.ts
+++ b/packages/capacity/src/orderTracker.ts
@@ -7,12 +7,12 @@
  */
 import type { Clock } from '@fuchsiahitch/base';
 
-export interface OrderBookOptions {
+export interface OrderTrackerOptions {
   /** Orders of all subjects within a minute. */
   readonly maxPerMinute: number;
   /** After a refusal a subject rests so long, twice as long after the next one, and so on. */
-  readonly firstRestMs: number;
-  readonly maxRestMs: number;
+  readonly initialBackoffMs: number;
+  readonly maxBackoffMs: number;
 }
 
 /** How an order ended. `none-left`: the platform has no more endpoints there now. `unsure`: it may have arrived, or may yet. */
@@ -30,13 +30,13 @@
 /** Endpoints that have not come after this many times their time to boot are ordered again. */
 const MISSING_FACTOR = 3;
 
-export class OrderBook {
+export class OrderTracker {
   private readonly _clock: Clock;
-  private readonly _options: OrderBookOptions;
+  private readonly _options: OrderTrackerOptions;
   private readonly _subjects = new Map<string, SubjectOrders>();
   private _orderedMs: number[] = [];
 
-  constructor(clock: Clock, options: OrderBookOptions) {
+  constructor(clock: Clock, options: OrderTrackerOptions) {
     this._clock = clock;
     this._options = options;
   }
@@ -51,10 +51,10 @@
     const sinceMs = nowMs - last.atMs;
     if (last.end !== 'accepted') return sinceMs >= this._restMs(last.failures);
     if (last.count !== wanted) return true;
-    return present < wanted && sinceMs >= Math.max(MISSING_FACTOR * bootMs, this._options.maxRestMs);
+    return present < wanted && sinceMs >= Math.max(MISSING_FACTOR * bootMs, this._options.maxBackoffMs);
   }
 
-  ordered(subject: string, count: number, end: CapacityOrderEnd): void {
+  recordOrder(subject: string, count: number, end: CapacityOrderEnd): void {
     const atMs = this._clock.nowMs();
     const before = this._subjects.get(subject)?.failures ?? 0;
     this._orderedMs.push(atMs);
@@ -62,7 +62,7 @@
   }
 
   private _restMs(failures: number): number {
-    const { firstRestMs, maxRestMs } = this._options;
-    return Math.min(maxRestMs, firstRestMs * 2 ** Math.max(0, failures - 1));
+    const { initialBackoffMs, maxBackoffMs } = this._options;
+    return Math.min(maxBackoffMs, initialBackoffMs * 2 ** Math.max(0, failures - 1));
   }
 }
--- a/packages/duties/src/dutyHandover.ts
+++ b/packages/duties/src/dutyHandover.ts
@@ -34,7 +34,7 @@
 }
 
 /** When this host acted on each subject last. */
-export class ActTimes {
+export class ActionTimes {
   private readonly _boundMs: number;
   private readonly _actedMs = new Map<string, number>();
 
@@ -43,7 +43,7 @@
     this._boundMs = boundMs;
   }
 
-  acted(subject: string, nowMs: number): void {
+  recordAction(subject: string, nowMs: number): void {
     this._actedMs.set(subject, nowMs);
   }
 
--- a/packages/duties/src/pauseDetector.ts
+++ b/packages/duties/src/pauseDetector.ts
@@ -18,7 +18,7 @@
   }
 
   /** Only pauses from now on count. */
-  begin(): void {
+  reset(): void {
     this._lastMs = this._clock.nowMs();
     this._lastWallMs = this._clock.wallMs();
   }
--- a/packages/gateway/src/batchService.ts
+++ b/packages/gateway/src/batchService.ts
@@ -394,7 +394,7 @@
   ): Promise<Result<A, unknown>> {
     let cancel = (): void => undefined;
     const gone = new Promise<Result<A, unknown>>(resolve => {
-      cancel = this._hosts.onGone(owner, () => resolve(err('gone')));
+      cancel = this._hosts.onTerminated(owner, () => resolve(err('gone')));
     });
     const reply = await Promise.race([gone, ask(owner.address)]);
     cancel();
--- a/packages/gateway/src/capacityOrders.ts
+++ b/packages/gateway/src/capacityOrders.ts
@@ -5,7 +5,7 @@
  * two hosts never order for it in turns, and an order says how many endpoints there are to be, never how many more.
  */
 import {
-  OrderBook,
+  OrderTracker,
   type CapacityOrderEnd,
   type CapacityPolicy,
   type PoolScaling,
@@ -20,10 +20,10 @@
 
 export const CAPACITY_KEY = `${LIVE_PREFIX}capacity`;
 export const LAST_CAPACITY_KEY = `${LIVE_PREFIX}last-capacity`;
-const LEASE = { ttlMs: 3000, renewMs: 1000, rightMs: 2500, marginMs: 600 };
+const LEASE = { ttlMs: 3000, renewMs: 1000, validityMs: 2500, marginMs: 600 };
 const TIMEOUTS = { connectMs: 500, answerMs: 1500 };
 const LOOK_MS = 1000;
-const ORDERS = { maxPerMinute: 20, firstRestMs: 5000, maxRestMs: 15_000 };
+const ORDERS = { maxPerMinute: 20, initialBackoffMs: 5000, maxBackoffMs: 15_000 };
 
 export interface CapacityOptions {
   readonly policy: CapacityPolicy;
@@ -45,7 +45,7 @@
   private readonly _ports: CapacityPorts;
   private readonly _options: CapacityOptions;
   private readonly _duty: DutyLease;
-  private _book: OrderBook;
+  private _book: OrderTracker;
   private _lookAtMs = -Infinity;
   private readonly _busy = new Set<string>();
 
@@ -53,7 +53,7 @@
     this._context = context;
     this._ports = ports;
     this._options = options;
-    this._book = new OrderBook(context.clock, ORDERS);
+    this._book = new OrderTracker(context.clock, ORDERS);
     const name = {
       label: 'capacity lease',
       key: CAPACITY_KEY,
@@ -73,7 +73,7 @@
 
   /** What an earlier holder ordered is not known: what is there tells. */
   taken(): void {
-    this._book = new OrderBook(this._context.clock, ORDERS);
+    this._book = new OrderTracker(this._context.clock, ORDERS);
   }
 
   tick(): void {
@@ -99,7 +99,7 @@
 
   private _orderIfDue(order: PoolOrder, { bootMs }: PoolScaling): void {
     const subject = `${order.pool}/${order.domain}`;
-    if (this._busy.has(subject) || !this._duty.mayActOn(subject)) return;
+    if (this._busy.has(subject) || !this._duty.canActOn(subject)) return;
     if (!this._book.isDue(subject, order.wanted, order.present, bootMs)) return;
     this._busy.add(subject);
     this._duty.track(this._order(subject, order).finally(() => this._busy.delete(subject)));
@@ -108,11 +108,11 @@
   private async _order(subject: string, { pool, domain, wanted, present }: PoolOrder): Promise<void> {
     const fencingToken = this._duty.token();
     if (fencingToken === undefined) return;
-    this._duty.acts(subject, this._context.clock.nowMs() + TIMEOUTS.connectMs);
+    this._duty.recordAct(subject, this._context.clock.nowMs() + TIMEOUTS.connectMs);
     const act = { holder: this._context.hostId, fencingToken };
     const order = { pool, domain, count: wanted };
     const answer = await this._options.duties.orderCapacity(act, order, TIMEOUTS);
-    this._book.ordered(subject, wanted, endOf(answer));
+    this._book.recordOrder(subject, wanted, endOf(answer));
     this._context.metrics.duties.inc({ duty: 'capacity', answer });
     const policy = this._options.policy.name;
     this._context.log.info('capacity order', { pool, of: domain, wanted, present, answer, policy });
--- a/packages/gateway/src/configurationService.ts
+++ b/packages/gateway/src/configurationService.ts
@@ -15,7 +15,7 @@
  * domain that is cut off meanwhile; it is given up and begun anew within that time. A longer wait saves a call a second
  * of each host, and would show as callers who get 404 for a new route, seconds after it was accepted.
  */
-const WATCH = { waitMs: 1000, answerMs: 600, spacingMs: 0 };
+const WATCH = { waitMs: 1000, responseGraceMs: 600, spacingMs: 0 };
 /**
  * A host in touch hears of a new configuration within two seconds or so. One that has heard nothing for longer refuses with the
  * promise that another host may know more, in place of a denial that a client account takes for the last word.
--- a/packages/gateway/src/dutyLease.ts
+++ b/packages/gateway/src/dutyLease.ts
@@ -9,7 +9,7 @@
 import { sleep } from '@fuchsiahitch/base';
 import type { RevisionedStore } from '@fuchsiahitch/clients';
 import {
-  ActTimes,
+  ActionTimes,
   encodeHandover,
   LeaseGuard,
   PauseDetector,
@@ -38,7 +38,7 @@
 
 export interface DutyTimes extends LeaseTimes {
   /** The holder counts on its lease for this long from a renewal: what a successor must wait out. */
-  readonly rightMs: number;
+  readonly validityMs: number;
   /** An act is on its way for at most this long before the right can end. */
   readonly marginMs: number;
   /** Acts of two holders on one subject must be further apart than this: the platform's bound. */
@@ -63,7 +63,7 @@
   tick(): void;
 }
 
-export type DutyHosts = Pick<Hosts, 'isSynced' | 'isHeld' | 'isOwnDomain' | 'onKey' | 'peers'>;
+export type DutyHosts = Pick<Hosts, 'isSynced' | 'isHeld' | 'isOwnDomain' | 'onKeyChange' | 'peers'>;
 
 export interface DutyPorts {
   readonly store: RevisionedStore;
@@ -81,7 +81,7 @@
   private readonly _lease: StoreLease;
   private readonly _guard: LeaseGuard;
   private readonly _pauses: PauseDetector;
-  private readonly _actTimes: ActTimes;
+  private readonly _actTimes: ActionTimes;
   private readonly _running = new Set<Promise<unknown>>();
   /** What the holder before this one left. */
   private _before: DutyHandover | undefined;
@@ -99,20 +99,20 @@
     this._name = name;
     this._times = times;
     this._duty = duty;
-    this._actTimes = new ActTimes(times.handoverMs);
-    this._guard = new LeaseGuard(context.clock, { leaseMs: times.rightMs, marginMs: times.marginMs });
+    this._actTimes = new ActionTimes(times.handoverMs);
+    this._guard = new LeaseGuard(context.clock, { leaseMs: times.validityMs, marginMs: times.marginMs });
     this._pauses = new PauseDetector(context.clock);
     this._lease = new StoreLease(context, ports.store, name.key, times, true, {
       value: () => context.hostId,
-      wantsInMs: () => this._wantsInMs(),
+      acquireDelayMs: () => this._wantsInMs(),
       held: (token, sentMs) => this._held(token, sentMs),
       lost: reason => this._lost(reason),
-      alsoWrites: () => [{ kind: 'put', key: name.lastKey, value: this._handover() }],
+      extraWrites: () => [{ kind: 'put', key: name.lastKey, value: this._handover() }],
     });
   }
 
   start(): void {
-    this._ports.hosts.onKey(this._name.key, () => this._lease.look());
+    this._ports.hosts.onKeyChange(this._name.key, () => this._lease.recheck());
     this._lease.start();
   }
 
@@ -130,14 +130,14 @@
   }
 
   /** False while the holder before this one may just have acted on the subject. */
-  mayActOn(subject: string): boolean {
+  canActOn(subject: string): boolean {
     const waitMs = waitForSubjectMs(this._before, subject, this._times.handoverMs);
     return this._context.clock.nowMs() >= this._heldMs + waitMs;
   }
 
   /** An act on the subject is sent, and arrives at `latestMs` at the latest. */
-  acts(subject: string, latestMs: number): void {
-    this._actTimes.acted(subject, latestMs);
+  recordAct(subject: string, latestMs: number): void {
+    this._actTimes.recordAction(subject, latestMs);
   }
 
   /** A successor counts from the end of what runs. */
@@ -153,10 +153,10 @@
   }
 
   /** Leaves the duty to other hosts for a while, as one does who can't reach what it has to call. */
-  async standAside(durationMs: number): Promise<void> {
+  async yieldFor(durationMs: number): Promise<void> {
     this._asideUntilMs = this._context.clock.nowMs() + durationMs;
     await this._endActs();
-    await this._lease.giveUp();
+    await this._lease.relinquish();
     this._isReleased = false;
   }
 
@@ -189,7 +189,7 @@
     if (nowMs < wantsAfterMs) return wantsAfterMs - nowMs;
     this._before = this._ports.lastHandover();
     // A pause while the store is asked counts as well.
-    this._pauses.begin();
+    this._pauses.reset();
     return 0;
   }
 
@@ -222,7 +222,7 @@
     // The former holder's lease may have been revoked rather than run out: it may act until its own end. Where it gave the right
     // up, or was this host, there is nobody to wait for but the subjects that it acted on last.
     const isKnown = this._before?.isReleased === true || this._before?.hostId === this._context.hostId;
-    const waitMs = isKnown ? 0 : this._times.handoverMs + this._times.rightMs;
+    const waitMs = isKnown ? 0 : this._times.handoverMs + this._times.validityMs;
     this._heldMs = this._context.clock.nowMs();
     this._mayBeginMs = this._heldMs + waitMs;
     this._duty.taken();
--- a/packages/gateway/src/forwarder.ts
+++ b/packages/gateway/src/forwarder.ts
@@ -13,7 +13,7 @@
   type PickRequest,
   type PoisonVerdict,
 } from '@fuchsiahitch/requests';
-import type { MeteredSend } from '@fuchsiahitch/metering';
+import type { MeteredRequest } from '@fuchsiahitch/metering';
 import type { Route } from '@fuchsiahitch/rules';
 import { reasonOf } from './attemptReason.js';
 import {
@@ -60,7 +60,7 @@
 
 /** Counts what endpoints begin, by account. */
 export interface RequestMeter {
-  sent(accountName: string): MeteredSend;
+  sent(accountName: string): MeteredRequest;
 }
 
 export class Forwarder {
@@ -348,7 +348,7 @@
   }
 
   /** What is billed: work of the product's own, such as scores, stands outside, and so do requests of nobody. */
-  private _metered({ accountName, isBackground = false }: CallerRequest): MeteredSend | undefined {
+  private _metered({ accountName, isBackground = false }: CallerRequest): MeteredRequest | undefined {
     return accountName === undefined || isBackground ? undefined : this._meter?.sent(accountName);
   }
 
--- a/packages/gateway/src/gateway.ts
+++ b/packages/gateway/src/gateway.ts
@@ -15,7 +15,7 @@
 import { Forwarder } from './forwarder.js';
 import type { GatewayContext } from './gatewayContext.js';
 import { HostDirectory, type CallRegistry, type HostDirectoryOptions } from './hostDirectory.js';
-import { ReachMonitor } from './reachMonitor.js';
+import { ReachabilityMonitor } from './reachabilityMonitor.js';
 import { OrphanedBatches } from './orphanedBatches.js';
 import { PoisonGuard } from './poisonGuard.js';
 import { RelayedStore } from './relayedStore.js';
@@ -60,7 +60,7 @@
   private readonly _store: RelayedStore;
   private readonly _watch: SharedWatch;
   private readonly _poison: PoisonGuard;
-  private readonly _reach: ReachMonitor;
+  private readonly _reach: ReachabilityMonitor;
   private readonly _sweeper: BatchSweeper;
   private readonly _orphans: OrphanedBatches;
   private readonly _usage: UsageService | undefined;
@@ -79,16 +79,16 @@
     this.hosts = new HostDirectory(context, storeOf('host-lease'), this._watch, options.hosts, () =>
       this._orphans.hostGone(),
     );
-    this._watch.useHosts(this.hosts);
+    this._watch.setHosts(this.hosts);
     this.endpoints = new EndpointDirectory(context, this._watch, keys, decoder, address =>
       client.restarted(address),
     );
     const { hosts: peers } = this;
-    store.usePeers({
+    store.setPeers({
       addresses: () => peers.peers().map(peer => peer.address),
       relay: (address, request, timeoutMs) => peers.call(address, storeRelayCall, request, timeoutMs),
     });
-    this._reach = new ReachMonitor(context, store, this.hosts);
+    this._reach = new ReachabilityMonitor(context, store, this.hosts);
     this._poison = new PoisonGuard(context, storeOf('poison'), this.hosts, client);
     const { usage } = options;
     this._usage = usage && new UsageService(context, storeOf, this.hosts, usage);
--- a/packages/gateway/src/hostChangeLog.ts
+++ b/packages/gateway/src/hostChangeLog.ts
@@ -20,12 +20,12 @@
   }
 
   /** `incarnation`: the process that is new at the host. */
-  came(hostId: string, incarnation: string): void {
+  added(hostId: string, incarnation: string): void {
     this._gather();
     this._new.push(`${hostId}@${incarnation}`);
   }
 
-  went(hostId: string): void {
+  removed(hostId: string): void {
     this._gather();
     this._gone.push(hostId);
   }
--- a/packages/gateway/src/hostDirectory.ts
+++ b/packages/gateway/src/hostDirectory.ts
@@ -53,15 +53,15 @@
    * Runs something once when the process is seen to be gone: its lease has ended, or another process stands at its
    * host. At once if that was seen before. The returned function cancels it.
    */
-  onGone(owner: Owner, run: () => void): CancelTimer;
+  onTerminated(owner: Owner, run: () => void): CancelTimer;
   /** True if the process was seen to be gone. */
-  isGone(owner: Owner): boolean;
+  isTerminated(owner: Owner): boolean;
   /** True for a host of this host's failure domain. */
   isOwnDomain(hostId: string): boolean;
   /** True if some host holds the key. */
   isHeld(key: string): boolean;
   /** Runs something whenever the key's holder may have changed, and once the hosts that live are known. */
-  onKey(key: string, run: () => void): void;
+  onKeyChange(key: string, run: () => void): void;
   /** What the last holder of a domain's orders left, also when nobody holds them now. */
   lastOrders(domain: string): DutyHandover | undefined;
   /** The other hosts that live. */
@@ -113,11 +113,11 @@
     this._mirror = new StoreMirror(context, source, MIRROR, {
       changed: item => this._changed(item.key, item.value),
       removed: key => this._removed(key),
-      readWhole: () => [...this._keyWatches.values()].flat().forEach(run => run()),
+      synced: () => [...this._keyWatches.values()].flat().forEach(run => run()),
     });
     this._lease = new StoreLease(context, store, `${HOST_PREFIX}${context.hostId}`, HOST_LEASE, false, {
       value: () => JSON.stringify({ ...this.self(), domain: context.domain }),
-      wantsInMs: () => 0,
+      acquireDelayMs: () => 0,
       held: () => undefined,
       lost: reason => context.log.warn('host lease lost', { reason }),
     });
@@ -151,11 +151,11 @@
     return known !== undefined && isSameOwner(known, owner);
   }
 
-  onGone(owner: Owner, run: () => void): CancelTimer {
+  onTerminated(owner: Owner, run: () => void): CancelTimer {
     return this._gone.on(owner, run);
   }
 
-  isGone(owner: Owner): boolean {
+  isTerminated(owner: Owner): boolean {
     return this._gone.has(owner);
   }
 
@@ -163,12 +163,12 @@
     return this._values.has(key);
   }
 
-  onKey(key: string, run: () => void): void {
+  onKeyChange(key: string, run: () => void): void {
     this._keyWatches.set(key, [...(this._keyWatches.get(key) ?? []), run]);
   }
 
   /** What stands under a key; undefined while nobody holds it. */
-  valueOf(key: string): string | undefined {
+  valueOfKey(key: string): string | undefined {
     return this._values.get(key);
   }
 
@@ -228,7 +228,7 @@
     if (known && isSameOwner(known, owner)) return;
     this._gone.delete(owner);
     if (known) this._ended(known);
-    this._changes.came(owner.hostId, owner.incarnation);
+    this._changes.added(owner.hostId, owner.incarnation);
   }
 
   private _tellWatches(key: string): void {
@@ -253,7 +253,7 @@
     const known = this._owners.get(hostId);
     this._owners.delete(hostId);
     if (known) this._ended(known);
-    this._changes.went(hostId);
+    this._changes.removed(hostId);
   }
 }
 
--- a/packages/gateway/src/orphanedBatches.ts
+++ b/packages/gateway/src/orphanedBatches.ts
@@ -74,7 +74,7 @@
         await sleep(clock, RETRY_MS, stopped);
         continue;
       }
-      const orphans = open.value.filter(({ claim }) => this._hosts.isGone(claim.owner));
+      const orphans = open.value.filter(({ claim }) => this._hosts.isTerminated(claim.owner));
       log.info('orphaned batches', { open: open.value.length, orphaned: orphans.length });
       await Promise.all(orphans.map(({ batchId, claim }) => this._findOwner(batchId, claim.owner)));
       return;
--- a/packages/gateway/src/reachMonitor.ts
+++ b/packages/gateway/src/reachabilityMonitor.ts
@@ -25,7 +25,7 @@
 /** Hosts that are asked in one round. */
 const ASKED = 3;
 
-export class ReachMonitor {
+export class ReachabilityMonitor {
   private readonly _context: GatewayContext;
   private readonly _store: RelayedStore;
   private readonly _hosts: Hosts;
--- a/packages/gateway/src/relayedStore.ts
+++ b/packages/gateway/src/relayedStore.ts
@@ -61,7 +61,7 @@
   }
 
   /** Peers are known only once the store has named them. */
-  usePeers(peers: RelayPeers): void {
+  setPeers(peers: RelayPeers): void {
     this._peers = peers;
   }
 
--- a/packages/gateway/src/retirement.ts
+++ b/packages/gateway/src/retirement.ts
@@ -18,7 +18,7 @@
 
 /** Where the operator's wish for a host is read, and where and with which value it is answered. */
 export interface RetirementRecord {
-  readonly wishKey: string;
+  readonly requestKey: string;
   readonly statusKey: string;
   readonly completedValue: string;
 }
@@ -47,13 +47,13 @@
 
   /** Reads the wish and waits for others, until a call fails. */
   private async _watch(signal: AbortSignal): Promise<void> {
-    const found = await this._store.snapshot(this._record.wishKey, this._deadline());
+    const found = await this._store.snapshot(this._record.requestKey, this._deadline());
     if (!found.ok) return;
     if (!(await this._answerAll(found.value.items))) return;
     let { revision } = found.value;
     while (!signal.aborted) {
       const deadline = Deadline.after(this._clock, WATCH_WAIT_MS + CALL_TIMEOUT_MS);
-      const changes = await this._store.changes(this._record.wishKey, revision, WATCH_WAIT_MS, deadline);
+      const changes = await this._store.changes(this._record.requestKey, revision, WATCH_WAIT_MS, deadline);
       if (!changes.ok) return;
       if (!(await this._answerAll(changes.value.events))) return;
       ({ revision } = changes.value);
@@ -63,7 +63,7 @@
   private async _answerAll(wishes: readonly WatchEvent[]): Promise<boolean> {
     for (const { key, value, version } of wishes) {
       // The prefix fits the keys of hosts with longer names too.
-      if (key !== this._record.wishKey || value === undefined || this._answered.has(version)) continue;
+      if (key !== this._record.requestKey || value === undefined || this._answered.has(version)) continue;
       if (!(await this._answer(version))) return false;
     }
     return true;
--- a/packages/gateway/src/sharedWatch.ts
+++ b/packages/gateway/src/sharedWatch.ts
@@ -23,13 +23,13 @@
 const OWN_WATCH_MS = 2000;
 
 /** What decides whom to follow. */
-export type Neighbours = Pick<Hosts, 'isSynced' | 'self' | 'peers' | 'isOwnDomain' | 'call'>;
+export type WatchHosts = Pick<Hosts, 'isSynced' | 'self' | 'peers' | 'isOwnDomain' | 'call'>;
 
 export class SharedWatch implements MirrorSource {
   private readonly _context: GatewayContext;
   private readonly _store: MirrorSource;
   private readonly _feeds: ReadonlyMap<string, WatchFeed>;
-  private _hosts: Neighbours | undefined;
+  private _hosts: WatchHosts | undefined;
   private _ownUntilMs = -Infinity;
   private _followed: string | undefined;
   /** The question to the watching host that is on its way, for all prefixes. */
@@ -43,7 +43,7 @@
   }
 
   /** Until then this host watches by itself: which hosts live is itself learnt by a watch. */
-  useHosts(hosts: Neighbours): void {
+  setHosts(hosts: WatchHosts): void {
     this._hosts = hosts;
   }
 
@@ -65,13 +65,13 @@
   ): Promise<Result<Changes, StoreError | 'compacted'>> {
     const feed = this._feed(prefix);
     const told =
-      feed.hasNewsAfter(afterRevision) || (await this._follow()) ? feed.after(afterRevision) : undefined;
+      feed.hasChangesAfter(afterRevision) || (await this._follow()) ? feed.after(afterRevision) : undefined;
     if (told) return { ok: true, value: told };
     await this._space(feed);
     const ownWaitMs = Math.min(waitMs, feed.waitMs(this._context.clock.nowMs()));
     const changes = await this._store.changes(prefix, afterRevision, ownWaitMs, deadline);
     if (!changes.ok) return changes;
-    if (feed.take(afterRevision, changes.value, this._context.clock.nowMs())) this._wakeFollowers();
+    if (feed.apply(afterRevision, changes.value, this._context.clock.nowMs())) this._wakeFollowers();
     return { ok: true, value: feed.after(afterRevision) ?? changes.value };
   }
 
@@ -122,7 +122,7 @@
     const nowMs = this._context.clock.nowMs();
     for (const [prefix, revision] of Object.entries(after)) {
       const changes = told[prefix];
-      if (changes) this._feeds.get(prefix)?.take(revision, changes, nowMs);
+      if (changes) this._feeds.get(prefix)?.apply(revision, changes, nowMs);
     }
   }
 
@@ -146,7 +146,7 @@
   /** Changes that come close together are read in one call. */
   private async _space(feed: WatchFeed): Promise<void> {
     const { clock, stopped } = this._context;
-    const leftMs = feed.spaceMs(clock.nowMs());
+    const leftMs = feed.spacingLeftMs(clock.nowMs());
     if (leftMs > 0) await sleep(clock, leftMs, stopped);
   }
 
@@ -170,7 +170,7 @@
 
   private _hasNews(after: Revisions): boolean {
     return Object.entries(after).some(([prefix, revision]) =>
-      this._feeds.get(prefix)?.hasNewsAfter(revision),
+      this._feeds.get(prefix)?.hasChangesAfter(revision),
     );
   }
 
--- a/packages/gateway/src/storeLease.ts
+++ b/packages/gateway/src/storeLease.ts
@@ -18,12 +18,12 @@
    * How long to wait before the key is taken: 0 to take it now, Infinity as things stand. Whoever knows that things have
    * changed calls `look`.
    */
-  wantsInMs(): number;
+  acquireDelayMs(): number;
   /** Taken or renewed: `sentMs` is when the store was asked, `token` grows with each holder. */
   held(token: number, sentMs: number): void;
   lost(reason: string): void;
   /** Written together with the key, and again when it is given up; kept when it ends. */
-  alsoWrites?(): readonly Write[];
+  extraWrites?(): readonly Write[];
 }
 
 const CALL_TIMEOUT_MS = 800;
@@ -64,7 +64,7 @@
   }
 
   /** Asks the holder again whether it wants the key. */
-  look(): void {
+  recheck(): void {
     this._wake();
   }
 
@@ -72,15 +72,15 @@
   async release(): Promise<void> {
     this._isReleased = true;
     this._wake();
-    await this.giveUp();
+    await this.relinquish();
   }
 
   /** As `release`, and takes the key again once the holder wants it. */
-  async giveUp(): Promise<void> {
+  async relinquish(): Promise<void> {
     const leaseId = this._leaseId;
     this._leaseId = undefined;
     if (leaseId === undefined) return;
-    const writes = this._holder.alsoWrites?.() ?? [];
+    const writes = this._holder.extraWrites?.() ?? [];
     // Only as long as the key is still this holder's: a late write must not replace what a successor wrote.
     const compares = [{ key: this._key, version: this._token }];
     if (writes.length > 0) await this._store.transact(compares, writes, this._deadline());
@@ -90,7 +90,7 @@
   private async _run(): Promise<void> {
     const { clock, stopped } = this._context;
     while (!stopped.aborted && !this._isReleased) {
-      const waitMs = this._leaseId === undefined ? this._holder.wantsInMs() : 0;
+      const waitMs = this._leaseId === undefined ? this._holder.acquireDelayMs() : 0;
       if (waitMs > 0) {
         await this._rest(waitMs);
         continue;
@@ -122,7 +122,7 @@
     if (!lease.ok || this._isReleased) return false;
     const compares = this._isExclusive ? [{ key: this._key, version: 0 }] : [];
     const put = { kind: 'put', key: this._key, value: this._holder.value(), leaseId: lease.value } as const;
-    const writes = [put, ...(this._holder.alsoWrites?.() ?? [])];
+    const writes = [put, ...(this._holder.extraWrites?.() ?? [])];
     const done = await this._store.transact(compares, writes, this._deadline());
     if (!done.ok || !done.value.succeeded) {
       // An answer that was lost may hide that the key was taken: the lease is ended so that it cannot stay.
--- a/packages/gateway/src/storeMirror.ts
+++ b/packages/gateway/src/storeMirror.ts
@@ -17,7 +17,7 @@
   /** The least pause between two watches: changes that come in it are read together, in one call. */
   readonly spacingMs: number;
   /** How long the answer of a watch may take beyond its wait; it has fallen silent after that. */
-  readonly answerMs?: number;
+  readonly responseGraceMs?: number;
 }
 
 /** Where a mirror reads. */
@@ -29,7 +29,7 @@
   /** A key is gone. */
   removed(key: string): void;
   /** The prefix was read whole, and is synced. */
-  readWhole?(): void;
+  synced?(): void;
 }
 
 /** Beyond the watch's own wait: a round trip to a slow store. */
@@ -97,14 +97,14 @@
     for (const item of snapshot.value.items) this._take(item);
     for (const key of [...this._known.keys()]) if (!present.has(key)) this._drop(key);
     this._revision = snapshot.value.revision;
-    this._listener.readWhole?.();
+    this._listener.synced?.();
     return true;
   }
 
   private async _watch(after: number): Promise<boolean> {
     const { prefix, waitMs } = this._options;
-    const answerMs = this._options.answerMs ?? ANSWER_MS;
-    const deadline = Deadline.after(this._context.clock, waitMs + answerMs);
+    const responseGraceMs = this._options.responseGraceMs ?? ANSWER_MS;
+    const deadline = Deadline.after(this._context.clock, waitMs + responseGraceMs);
     const changes = await this._store.changes(prefix, after, waitMs, deadline);
     if (!changes.ok) {
       if (changes.error !== 'compacted') return this._failed(changes.error);
--- a/packages/gateway/src/usageRecords.ts
+++ b/packages/gateway/src/usageRecords.ts
@@ -8,7 +8,12 @@
 import { Deadline, err, ok, type Result } from '@fuchsiahitch/base';
 import { ROOT } from '@fuchsiahitch/batches';
 import type { RevisionedStore } from '@fuchsiahitch/clients';
-import { readToldList, readUsageReport, type ToldWindows, type UsageReport } from '@fuchsiahitch/metering';
+import {
+  decodeProcessUsages,
+  decodeUsageReport,
+  type ProcessUsage,
+  type UsageReport,
+} from '@fuchsiahitch/metering';
 import type { GatewayContext } from './gatewayContext.js';
 
 const PREFIX = `${ROOT}usage/`;
@@ -26,7 +31,7 @@
   /** Contents that are decided and not settled. */
   readonly decided: readonly UsageReport[];
   /** What hosts had told the reporter before. */
-  readonly told: readonly ToldWindows[];
+  readonly told: readonly ProcessUsage[];
 }
 
 export class UsageRecords {
@@ -44,7 +49,7 @@
     const settled = records.value.find(record => record.key === SETTLED_KEY);
     const decided = records.value
       .filter(record => record.key.startsWith(DECIDED_PREFIX))
-      .map(record => readUsageReport(record.value))
+      .map(record => decodeUsageReport(record.value))
       .filter(report => report !== undefined);
     const settledUpTo = settled ? Number(settled.value) : undefined;
     const told = records.value.find(record => record.key === TOLD_KEY);
@@ -52,7 +57,7 @@
       settledUpTo,
       revision: settled?.version ?? 0,
       decided,
-      told: told ? readToldList(told.value) : [],
+      told: told ? decodeProcessUsages(told.value) : [],
     });
   }
 
@@ -75,7 +80,7 @@
     if (done.value.succeeded) return ok(report);
     const stored = await this._store.get(key, this._deadline());
     if (!stored.ok) return err('out-of-reach');
-    const first = stored.value ? readUsageReport(stored.value.value) : undefined;
+    const first = stored.value ? decodeUsageReport(stored.value.value) : undefined;
     return first ? ok(first) : err('progressed');
   }
 
@@ -83,7 +88,7 @@
    * Keeps what hosts have told and no report has yet, for a successor: what the reporter counted itself, and what hosts told
    * that ended since, nobody can tell again. False if it could not be written.
    */
-  async keepTold(text: string, revision: number): Promise<boolean> {
+  async storePending(text: string, revision: number): Promise<boolean> {
     const compares = [{ key: SETTLED_KEY, version: revision }];
     const put = { kind: 'put', key: TOLD_KEY, value: text } as const;
     const done = await this._store.transact(compares, [put], this._deadline());
--- a/packages/gateway/src/usageReports.ts
+++ b/packages/gateway/src/usageReporter.ts
@@ -14,24 +14,24 @@
   UsageLedger,
   windowAt,
   windowEndMs,
-  type ToldWindows,
+  type ProcessUsage,
   type UsageReport,
-  type UsageTold,
-  type UsageToldReply,
+  type UsageUpdate,
+  type UsageUpdateReply,
 } from '@fuchsiahitch/metering';
 import { DutyLease, type Duty, type DutyHosts, type DutyPorts } from './dutyLease.js';
 import type { GatewayContext } from './gatewayContext.js';
 import { LIVE_PREFIX } from './hostDirectory.js';
 import type { DutyAnswer, PlatformDuties } from './ports.js';
 import { UsageRecords } from './usageRecords.js';
-import { tellSpacingMs } from './usageTeller.js';
+import { sendIntervalMs } from './usageSender.js';
 
 export const USAGE_KEY = `${LIVE_PREFIX}usage`;
 export const LAST_USAGE_KEY = `${LIVE_PREFIX}last-usage`;
 /** All windows are one subject to the platform. */
 const SUBJECT = 'usage';
 /** Seconds matter less here than calls to the store: a report is due well after a successor has taken over. */
-const LEASE = { ttlMs: 3000, renewMs: 1000, rightMs: 2500, marginMs: 600 };
+const LEASE = { ttlMs: 3000, renewMs: 1000, validityMs: 2500, marginMs: 600 };
 /** A call that connects within this and is answered within that: the connection decides when it may still arrive. */
 const CALL_TIMEOUT_MS = 1500;
 const ARRIVAL_MS = 500;
@@ -49,7 +49,7 @@
 const MAX_FAILURES = 4;
 const ASIDE_MS = 6000;
 
-export interface UsageReportsOptions {
+export interface UsageReporterOptions {
   readonly windowMs: number;
   /** A report is due so long after its window's end. */
   readonly dueMs: number;
@@ -65,10 +65,10 @@
   readonly duties: PlatformDuties;
 }
 
-export class UsageReports implements Duty {
+export class UsageReporter implements Duty {
   private readonly _context: GatewayContext;
   private readonly _ports: UsagePorts;
-  private readonly _options: UsageReportsOptions;
+  private readonly _options: UsageReporterOptions;
   private readonly _duty: DutyLease;
   private readonly _records: UsageRecords;
   private readonly _pauses: PauseDetector;
@@ -84,7 +84,7 @@
   private _keepAtMs = -Infinity;
   private _failures = 0;
 
-  constructor(context: GatewayContext, ports: UsagePorts, options: UsageReportsOptions) {
+  constructor(context: GatewayContext, ports: UsagePorts, options: UsageReporterOptions) {
     this._context = context;
     this._ports = ports;
     this._options = options;
@@ -104,11 +104,11 @@
   }
 
   /** Takes in what a host tells. */
-  take(told: UsageTold): UsageToldReply {
+  receive(told: UsageUpdate): UsageUpdateReply {
     if (!this._duty.isHolder()) return { kind: 'not-reporter' };
     this._noticePause();
     const { clock } = this._context;
-    this._clocks.heard(told.hostId, told.wallMs, clock.nowMs());
+    this._clocks.observe(told.hostId, told.wallMs, clock.nowMs());
     this._logLate(told);
     this._ledger.told(told);
     return { kind: 'taken', trueMs: this._trueMs(), decidedUpTo: this._decidedUpTo() };
@@ -155,7 +155,7 @@
   }
 
   /** Reads how far the holder before came. Windows whose time has passed are given up. */
-  private async _read(): Promise<UsageReports['_progress']> {
+  private async _read(): Promise<UsageReporter['_progress']> {
     const read = await this._records.read();
     if (!read.ok) return undefined;
     const { settledUpTo, revision, decided, told } = read.value;
@@ -171,13 +171,13 @@
       });
     for (const report of decided) if (report.window > from) this._decided.set(report.window, report);
     for (const words of told) this._ledger.told(words);
-    this._ledger.forget(from);
+    this._ledger.dropThrough(from);
     this._progress = { settledUpTo: from, revision };
     return this._progress;
   }
 
   /** Nothing was ever reported. Noted at once: a successor that found no note would begin with its own first window. */
-  private async _beginAt(settledUpTo: number): Promise<UsageReports['_progress']> {
+  private async _beginAt(settledUpTo: number): Promise<UsageReporter['_progress']> {
     const settled = await this._records.settle(settledUpTo, 0);
     if (settled.ok) this._progress = { settledUpTo, revision: settled.value };
     return this._progress;
@@ -191,10 +191,10 @@
     const all = JSON.stringify(this._ledger.undecided());
     const text = all.length <= MAX_KEPT_CHARS ? all : JSON.stringify(this._ownWords());
     if (text === this._kept || text.length > MAX_KEPT_CHARS) return;
-    if (await this._records.keepTold(text, revision)) this._kept = text;
+    if (await this._records.storePending(text, revision)) this._kept = text;
   }
 
-  private _ownWords(): readonly ToldWindows[] {
+  private _ownWords(): readonly ProcessUsage[] {
     return this._ledger.undecided().filter(({ incarnation }) => incarnation === this._context.incarnation);
   }
 
@@ -203,7 +203,7 @@
     const { windowMs, dueMs } = this._options;
     const sinceEndMs = this._trueMs() - windowEndMs(window, windowMs);
     // A host that was not busy before may have counted something just now.
-    if (sinceEndMs < tellSpacingMs(this._ports.hosts.peers().length) + TELL_SLACK_MS) return false;
+    if (sinceEndMs < sendIntervalMs(this._ports.hosts.peers().length) + TELL_SLACK_MS) return false;
     if (this._decided.has(window) || sinceEndMs >= dueMs - SEND_RESERVE_MS) return true;
     if (this._context.clock.nowMs() < this._takenMs + RETELL_MS) return false;
     return this._missing(window).length === 0;
@@ -241,8 +241,8 @@
 
   private async _send(report: UsageReport): Promise<DutyAnswer | 'no-right'> {
     const fencingToken = this._duty.token();
-    if (fencingToken === undefined || !this._duty.mayActOn(SUBJECT)) return 'no-right';
-    this._duty.acts(SUBJECT, this._context.clock.nowMs() + ARRIVAL_MS);
+    if (fencingToken === undefined || !this._duty.canActOn(SUBJECT)) return 'no-right';
+    this._duty.recordAct(SUBJECT, this._context.clock.nowMs() + ARRIVAL_MS);
     const act = { holder: this._context.hostId, fencingToken };
     const timeouts = { connectMs: ARRIVAL_MS, answerMs: CALL_TIMEOUT_MS };
     return this._ports.duties.reportUsage(act, report, timeouts);
@@ -258,7 +258,7 @@
     }
     this._progress = { settledUpTo: window, revision: settled.value };
     this._decided.delete(window);
-    this._ledger.forget(window);
+    this._ledger.dropThrough(window);
     return true;
   }
 
@@ -268,7 +268,7 @@
     this._failures = 0;
     this._context.log.warn('usage lease', { change: 'left to another host', reason: answer });
     // Not awaited: it waits for this very step to end.
-    void this._duty.standAside(ASIDE_MS);
+    void this._duty.yieldFor(ASIDE_MS);
   }
 
   private _pause(): void {
@@ -282,7 +282,7 @@
     return this._decided.has(settledUpTo + 1) ? settledUpTo + 1 : settledUpTo;
   }
 
-  private _logLate({ hostId, windows }: UsageTold): void {
+  private _logLate({ hostId, windows }: UsageUpdate): void {
     for (const { window, counts } of windows) {
       if (window > this._decidedUpTo()) continue;
       if (totalOf(counts) > 0 && !this._decided.has(window))
@@ -306,11 +306,11 @@
   private _trueMs(): number {
     const { clock, hostId } = this._context;
     const nowMs = clock.nowMs();
-    this._clocks.heard(hostId, clock.wallMs(), nowMs);
+    this._clocks.observe(hostId, clock.wallMs(), nowMs);
     return nowMs + (this._clocks.offsetMs(nowMs) ?? clock.wallMs() - nowMs);
   }
 
   private _noticePause(): void {
-    if (this._pauses.wasPaused()) this._clocks.forget();
+    if (this._pauses.wasPaused()) this._clocks.reset();
   }
 }
--- a/packages/gateway/src/usageTeller.ts
+++ b/packages/gateway/src/usageSender.ts
@@ -10,18 +10,18 @@
 import { PauseDetector } from '@fuchsiahitch/duties';
 import {
   totalOf,
-  type MeteredSend,
+  type MeteredRequest,
   type UsageMeter,
-  type UsageTold,
-  type UsageToldReply,
-  usageToldReplySchema,
-  usageToldSchema,
+  type UsageUpdate,
+  type UsageUpdateReply,
+  usageUpdateReplySchema,
+  usageUpdateSchema,
 } from '@fuchsiahitch/metering';
 import { defineCall, type CallError } from '@fuchsiahitch/protocol';
 import type { GatewayContext } from './gatewayContext.js';
 import type { Hosts } from './hostDirectory.js';
 
-export const usageToldCall = defineCall('usageTold', usageToldSchema, usageToldReplySchema);
+export const usageUpdateCall = defineCall('usageTold', usageUpdateSchema, usageUpdateReplySchema);
 
 /** Counts are told so long after the first of them, together with those that came meanwhile. */
 const TELL_MS = 1000;
@@ -33,24 +33,24 @@
 const MS_A_SECOND = 1000;
 
 /** A host tells what it counted so long after it, at the latest. */
-export function tellSpacingMs(hosts: number): number {
+export function sendIntervalMs(hosts: number): number {
   return Math.max(TELL_MS, (hosts / MAX_TELLS_A_SECOND) * MS_A_SECOND);
 }
 
-export type UsageHosts = Pick<Hosts, 'self' | 'peers' | 'call' | 'onKey'> & {
+export type UsageHosts = Pick<Hosts, 'self' | 'peers' | 'call' | 'onKeyChange'> & {
   /** What the holder of a key wrote into it; undefined while nobody holds it. */
-  valueOf(key: string): string | undefined;
+  valueOfKey(key: string): string | undefined;
 };
 
 /** Takes what hosts tell, where this host itself is the reporter. */
-export type TakeUsage = (told: UsageTold) => UsageToldReply;
+export type ReceiveUsage = (told: UsageUpdate) => UsageUpdateReply;
 
-export class UsageTeller {
+export class UsageSender {
   private readonly _context: GatewayContext;
   private readonly _meter: UsageMeter;
   private readonly _hosts: UsageHosts;
   private readonly _reporterKey: string;
-  private readonly _take: TakeUsage;
+  private readonly _take: ReceiveUsage;
   private readonly _pauses: PauseDetector;
   /** When it is told next; Infinity while nothing is to tell. */
   private _dueMs = Infinity;
@@ -66,7 +66,7 @@
     meter: UsageMeter,
     hosts: UsageHosts,
     reporterKey: string,
-    take: TakeUsage,
+    take: ReceiveUsage,
   ) {
     this._context = context;
     this._meter = meter;
@@ -77,11 +77,11 @@
   }
 
   start(): void {
-    this._hosts.onKey(this._reporterKey, () => this._lookAtReporter());
+    this._hosts.onKeyChange(this._reporterKey, () => this._lookAtReporter());
   }
 
   /** A request of an account is sent to an endpoint. */
-  sent(accountName: string): MeteredSend {
+  sent(accountName: string): MeteredRequest {
     this._noticePause();
     const send = this._meter.sent(accountName, this._context.clock.nowMs());
     return {
@@ -93,12 +93,12 @@
   }
 
   private _spacingMs(): number {
-    return tellSpacingMs(this._hosts.peers().length);
+    return sendIntervalMs(this._hosts.peers().length);
   }
 
   private _lookAtReporter(): void {
     this._noticeReporter();
-    if (this._meter.hasNews()) this._tellIn(this._context.random.below(TELL_MS));
+    if (this._meter.hasUnreported()) this._tellIn(this._context.random.below(TELL_MS));
   }
 
   /** A process that did not report before knows nothing of what was told to others. */
@@ -110,7 +110,7 @@
   }
 
   private _reporterNow(): Owner | undefined {
-    const hostId = this._hosts.valueOf(this._reporterKey);
+    const hostId = this._hosts.valueOfKey(this._reporterKey);
     if (hostId === this._context.hostId) return this._hosts.self();
     return this._hosts.peers().find(peer => peer.hostId === hostId);
   }
@@ -144,19 +144,19 @@
       return;
     }
     const finalMs = this._meter.nextFinalMs(nowMs);
-    if (this._meter.hasNews()) this._tellIn(this._spacingMs());
+    if (this._meter.hasUnreported()) this._tellIn(this._spacingMs());
     else if (finalMs !== undefined) this._tellIn(Math.max(finalMs - nowMs, RETRY_MS / 2));
   }
 
   /** Learns what time it is first, where that is not known, and tells then: counts belong to windows of true time. */
   private async _tellOnce(): Promise<boolean> {
-    if (!this._meter.isDated() && !(await this._exchange([], () => undefined))) return false;
+    if (!this._meter.hasClockOffset() && !(await this._exchange([], () => undefined))) return false;
     this._noticeReporter();
-    const { windows, told } = this._meter.toTell(this._context.clock.nowMs());
+    const { windows, told } = this._meter.nextUpdate(this._context.clock.nowMs());
     return windows.length === 0 || this._exchange(windows, told);
   }
 
-  private async _exchange(windows: UsageTold['windows'], told: () => void): Promise<boolean> {
+  private async _exchange(windows: UsageUpdate['windows'], told: () => void): Promise<boolean> {
     const { clock, hostId, incarnation, log } = this._context;
     const sentMs = clock.nowMs();
     const reply = await this._send({ hostId, incarnation, wallMs: clock.wallMs(), windows });
@@ -169,20 +169,20 @@
     }
     this._lastFailure = undefined;
     told();
-    this._meter.dated(reply.value.trueMs - (sentMs + clock.nowMs()) / 2);
-    this._meter.decided(reply.value.decidedUpTo);
+    this._meter.setClockOffset(reply.value.trueMs - (sentMs + clock.nowMs()) / 2);
+    this._meter.markDecided(reply.value.decidedUpTo);
     return true;
   }
 
-  private async _send(request: UsageTold): Promise<Result<UsageToldReply, CallError>> {
+  private async _send(request: UsageUpdate): Promise<Result<UsageUpdateReply, CallError>> {
     const reporter = this._reporterNow();
     if (!reporter) return err({ kind: 'not-sent', text: 'nobody reports' });
     if (isSameOwner(reporter, this._hosts.self())) return ok(this._take(request));
-    return this._hosts.call(reporter.address, usageToldCall, request, TELL_TIMEOUT_MS);
+    return this._hosts.call(reporter.address, usageUpdateCall, request, TELL_TIMEOUT_MS);
   }
 
   private _dropExpired(): void {
-    for (const { window, counts } of this._meter.expired(this._context.clock.nowMs()))
+    for (const { window, counts } of this._meter.takeExpired(this._context.clock.nowMs()))
       this._context.log.warn('usage lost', {
         window,
         requests: totalOf(counts),
--- a/packages/gateway/src/usageService.ts
+++ b/packages/gateway/src/usageService.ts
@@ -1,7 +1,7 @@
 /**
  * Usage at one host: what it counts, tells, and reports where that is its duty.
  */
-import { UsageMeter, type MeteredSend } from '@fuchsiahitch/metering';
+import { UsageMeter, type MeteredRequest } from '@fuchsiahitch/metering';
 import type { RevisionedStore } from '@fuchsiahitch/clients';
 import type { StoreCaller } from './callerStore.js';
 import type { GatewayContext } from './gatewayContext.js';
@@ -10,19 +10,19 @@
 import {
   LAST_USAGE_KEY,
   USAGE_KEY,
-  UsageReports,
+  UsageReporter,
   type UsagePorts,
-  type UsageReportsOptions,
-} from './usageReports.js';
-import { UsageTeller, usageToldCall } from './usageTeller.js';
+  type UsageReporterOptions,
+} from './usageReporter.js';
+import { UsageSender, usageUpdateCall } from './usageSender.js';
 
-export interface UsageServiceOptions extends UsageReportsOptions {
+export interface UsageServiceOptions extends UsageReporterOptions {
   readonly duties: PlatformDuties;
 }
 
 export class UsageService {
-  private readonly _reports: UsageReports;
-  private readonly _teller: UsageTeller;
+  private readonly _reports: UsageReporter;
+  private readonly _teller: UsageSender;
 
   /** `storeOf`: the store, with its calls counted under a name. */
   constructor(
@@ -38,13 +38,13 @@
       duties: options.duties,
       lastHandover: () => hosts.handover(LAST_USAGE_KEY),
     };
-    this._reports = new UsageReports(context, ports, options);
+    this._reports = new UsageReporter(context, ports, options);
     const meter = new UsageMeter({ windowMs: options.windowMs, keepMs: options.dueMs });
-    this._teller = new UsageTeller(context, meter, hosts, USAGE_KEY, told => this._reports.take(told));
+    this._teller = new UsageSender(context, meter, hosts, USAGE_KEY, told => this._reports.receive(told));
   }
 
   serve(server: CallRegistry): void {
-    server.handle(usageToldCall, told => this._reports.take(told));
+    server.handle(usageUpdateCall, told => this._reports.receive(told));
   }
 
   start(): void {
@@ -57,7 +57,7 @@
   }
 
   /** A request of an account is sent to an endpoint. */
-  sent(accountName: string): MeteredSend {
+  sent(accountName: string): MeteredRequest {
     return this._teller.sent(accountName);
   }
 }
--- a/packages/gateway/src/watchFeed.ts
+++ b/packages/gateway/src/watchFeed.ts
@@ -18,7 +18,7 @@
   /** A host that has heard nothing of the store for longer tells its neighbours nothing. */
   readonly validMs: number;
   /** What of a value is news; the whole value where it is left out. A write that brings no news is not told. */
-  readonly newsOf?: (value: string) => string;
+  readonly significantPart?: (value: string) => string;
 }
 
 export class WatchFeed {
@@ -55,7 +55,7 @@
   }
 
   /** How long to wait before the store is asked again, so that changes which come together are read together. */
-  spaceMs(nowMs: number): number {
+  spacingLeftMs(nowMs: number): number {
     return this._changedMs + this.watched.spacingMs - nowMs;
   }
 
@@ -68,7 +68,7 @@
   }
 
   /** Takes changes in that came after a revision; true if there was news among them. */
-  take(afterRevision: number, changes: Changes, nowMs: number): boolean {
+  apply(afterRevision: number, changes: Changes, nowMs: number): boolean {
     // What came between is not known here: the feed begins anew.
     if (afterRevision > this._revision) this._goOnFrom(afterRevision);
     const known = this._revision;
@@ -91,7 +91,7 @@
     return { events, revision: Math.max(this._revision, revision) };
   }
 
-  hasNewsAfter(revision: number): boolean {
+  hasChangesAfter(revision: number): boolean {
     return (this._events.at(-1)?.version ?? 0) > revision;
   }
 
@@ -102,7 +102,7 @@
   }
 
   private _isNews(key: string, value: string | undefined): boolean {
-    const { newsOf } = this.watched;
+    const { significantPart: newsOf } = this.watched;
     if (!newsOf) return true;
     if (value === undefined) {
       this._news.delete(key);
--- a/packages/gateway/src/watchedPrefixes.ts
+++ b/packages/gateway/src/watchedPrefixes.ts
@@ -21,7 +21,7 @@
   const newsOf = (value: string): string => decoder.endpointNews(value);
   return [
     { prefix: keys.operatorPrefix, ...URGENT, spacingMs: 0 },
-    { prefix: keys.endpointPrefix, ...URGENT, spacingMs: ENDPOINT_SPACING_MS, newsOf },
+    { prefix: keys.endpointPrefix, ...URGENT, spacingMs: ENDPOINT_SPACING_MS, significantPart: newsOf },
     { prefix: LIVE_PREFIX, ...HOSTS },
   ];
 }
--- a/packages/gateway/src/weightOrders.ts
+++ b/packages/gateway/src/weightOrders.ts
@@ -25,7 +25,7 @@
 import type { EndpointClient, WeightReport } from './ports.js';
 
 /** An order is on its way for at most `marginMs`. */
-const LEASE = { ttlMs: 1500, renewMs: 300, rightMs: 1000, marginMs: 350 };
+const LEASE = { ttlMs: 1500, renewMs: 300, validityMs: 1000, marginMs: 350 };
 const ASK_AGAIN_MS = 250;
 const ORDER_TIMEOUT_MS = 300;
 const REPORT_TIMEOUT_MS = 300;
@@ -159,7 +159,7 @@
     if (endpoint.isLoading()) return false;
     const { domain } = endpoint;
     return domain === this._domain
-      ? this._duty.mayActOn(endpoint.id)
+      ? this._duty.canActOn(endpoint.id)
       : this._ports.hosts.isHeld(ordersKey(domain));
   }
 
@@ -228,7 +228,7 @@
     const token = this._duty.token();
     if (token !== order.token) return 'no-lease';
     // From when it could arrive at the latest: an order that takes its time counts until then.
-    this._duty.acts(endpoint.id, this._context.clock.nowMs() + ORDER_TIMEOUT_MS);
+    this._duty.recordAct(endpoint.id, this._context.clock.nowMs() + ORDER_TIMEOUT_MS);
     return this._ports.client.order(
       {
         endpoint: endpoint.info(),
--- a/packages/metering/src/clockVote.ts
+++ b/packages/metering/src/clockVote.ts
@@ -18,12 +18,12 @@
   private readonly _votes = new Map<string, Vote>();
 
   /** A host's wall clock showed `wallMs` at this process's monotonic time `nowMs`. */
-  heard(hostId: string, wallMs: number, nowMs: number): void {
+  observe(hostId: string, wallMs: number, nowMs: number): void {
     this._votes.set(hostId, { offsetMs: wallMs - nowMs, heardMs: nowMs });
   }
 
   /** This process stood still: what was heard before says nothing any more. */
-  forget(): void {
+  reset(): void {
     this._votes.clear();
   }
 
--- a/packages/metering/src/usageLedger.ts
+++ b/packages/metering/src/usageLedger.ts
@@ -1,20 +1,20 @@
 /**
  * What all hosts have told of their counts, at the host that reports usage.
  */
-import type { HostWindow, ToldWindows } from './usageMessages.js';
+import type { HostWindow, ProcessUsage } from './usageMessages.js';
 import { totalOf, type UsageCounts } from './usageWindow.js';
 
 /** A host that told something in one of so many windows before is waited for. */
 const ACTIVE_WINDOWS = 2;
 
 /** One process of a host. */
-export interface Teller {
+export interface UsageSource {
   readonly hostId: string;
   readonly incarnation: string;
 }
 
 interface TellerWindows {
-  readonly teller: Teller;
+  readonly teller: UsageSource;
   readonly windows: Map<number, HostWindow>;
   /** Windows in which it counted something, also some that are decided. */
   readonly busy: Set<number>;
@@ -24,7 +24,7 @@
   private readonly _tellers = new Map<string, TellerWindows>();
 
   /** Takes in what a host tells; what it told of a window before is replaced by what has grown since. */
-  told({ hostId, incarnation, windows }: ToldWindows): void {
+  told({ hostId, incarnation, windows }: ProcessUsage): void {
     const key = `${hostId}\n${incarnation}`;
     const entry: TellerWindows = this._tellers.get(key) ?? {
       teller: { hostId, incarnation },
@@ -49,7 +49,7 @@
   }
 
   /** The processes that were busy just before, and have not said that they counted the window to its end. */
-  missing(window: number): readonly Teller[] {
+  missing(window: number): readonly UsageSource[] {
     return [...this._tellers.values()]
       .filter(entry => isBusyNear(entry, window))
       .filter(entry => entry.windows.get(window)?.isFinal !== true)
@@ -57,14 +57,14 @@
   }
 
   /** What is not decided yet, as hosts told it. */
-  undecided(): readonly ToldWindows[] {
+  undecided(): readonly ProcessUsage[] {
     return [...this._tellers.values()]
       .filter(({ windows }) => windows.size > 0)
       .map(({ teller, windows }) => ({ ...teller, windows: [...windows.values()] }));
   }
 
   /** Windows up to this one are decided, and what was told of them is needed no more. */
-  forget(upTo: number): void {
+  dropThrough(upTo: number): void {
     for (const [key, entry] of this._tellers) {
       for (const window of entry.windows.keys()) if (window <= upTo) entry.windows.delete(window);
       for (const window of entry.busy) if (window < upTo - ACTIVE_WINDOWS) entry.busy.delete(window);
--- a/packages/metering/src/usageMessages.ts
+++ b/packages/metering/src/usageMessages.ts
@@ -25,19 +25,19 @@
 } as const;
 
 /** What one process of a host has counted. */
-export const toldWindowsSchema = z.strictObject(toldFields).readonly();
-export type ToldWindows = z.infer<typeof toldWindowsSchema>;
+export const processUsageSchema = z.strictObject(toldFields).readonly();
+export type ProcessUsage = z.infer<typeof processUsageSchema>;
 
-export const usageToldSchema = z
+export const usageUpdateSchema = z
   .strictObject({
     ...toldFields,
     /** The teller's wall clock as it sends: hosts agree on true time by the clocks of most of them. */
     wallMs: z.number(),
   })
   .readonly();
-export type UsageTold = z.infer<typeof usageToldSchema>;
+export type UsageUpdate = z.infer<typeof usageUpdateSchema>;
 
-export const usageToldReplySchema = z.discriminatedUnion('kind', [
+export const usageUpdateReplySchema = z.discriminatedUnion('kind', [
   z.strictObject({
     kind: z.literal('taken'),
     /** True time by the clocks of most hosts. */
@@ -47,7 +47,7 @@
   }),
   z.strictObject({ kind: z.literal('not-reporter') }),
 ]);
-export type UsageToldReply = z.infer<typeof usageToldReplySchema>;
+export type UsageUpdateReply = z.infer<typeof usageUpdateReplySchema>;
 
 /** What is reported of a window, decided once. */
 export const usageReportSchema = z
@@ -55,10 +55,10 @@
   .readonly();
 export type UsageReport = z.infer<typeof usageReportSchema>;
 
-const toldListSchema = z.array(toldWindowsSchema).readonly();
+const toldListSchema = z.array(processUsageSchema).readonly();
 
 /** Nothing for a damaged record, or one of another version. */
-export function readToldList(text: string): readonly ToldWindows[] {
+export function decodeProcessUsages(text: string): readonly ProcessUsage[] {
   try {
     const parsed = toldListSchema.safeParse(JSON.parse(text));
     return parsed.success ? parsed.data : [];
@@ -68,7 +68,7 @@
 }
 
 /** Undefined for a damaged record, or one of another version. */
-export function readUsageReport(text: string): UsageReport | undefined {
+export function decodeUsageReport(text: string): UsageReport | undefined {
   try {
     const parsed = usageReportSchema.safeParse(JSON.parse(text));
     return parsed.success ? parsed.data : undefined;
--- a/packages/metering/src/usageMeter.ts
+++ b/packages/metering/src/usageMeter.ts
@@ -11,7 +11,7 @@
 }
 
 /** A request on its way to an endpoint. */
-export interface MeteredSend {
+export interface MeteredRequest {
   /** `didBegin`: whether the endpoint ran it, as far as this host can tell. */
   ended(didBegin: boolean): void;
 }
@@ -48,7 +48,7 @@
   }
 
   /** A request of an account is sent at the monotonic time `nowMs`. */
-  sent(accountName: string, nowMs: number): MeteredSend {
+  sent(accountName: string, nowMs: number): MeteredRequest {
     const id = this._nextSend;
     this._nextSend += 1;
     this._openSinceMs.set(id, nowMs);
@@ -60,11 +60,11 @@
   }
 
   /** What time it truly is has become known: true time less monotonic time. */
-  dated(offsetMs: number): void {
+  setClockOffset(offsetMs: number): void {
     this._offsetMs = offsetMs;
-    const undated = this._undated;
+    const clearClockOffset = this._undated;
     this._undated = [];
-    for (const began of undated) this._count(began);
+    for (const began of clearClockOffset) this._count(began);
   }
 
   /** This process stood still, or its clock was set: what time it is must be learnt anew. */
@@ -72,17 +72,17 @@
     this._offsetMs = undefined;
   }
 
-  isDated(): boolean {
+  hasClockOffset(): boolean {
     return this._offsetMs !== undefined;
   }
 
   /** True if something was counted that nobody was told yet. */
-  hasNews(): boolean {
+  hasUnreported(): boolean {
     return this._undated.length > 0 || this._version > this._toldVersion;
   }
 
   /** What a reporter must know. `told` is called once it has taken that. */
-  toTell(nowMs: number): { readonly windows: readonly HostWindow[]; readonly told: () => void } {
+  nextUpdate(nowMs: number): { readonly windows: readonly HostWindow[]; readonly told: () => void } {
     const version = this._version;
     const windows: HostWindow[] = [];
     for (const window of this._due(nowMs)) {
@@ -115,14 +115,14 @@
   }
 
   /** Windows up to this one are decided. */
-  decided(upTo: number): void {
+  markDecided(upTo: number): void {
     this._decidedUpTo = Math.max(this._decidedUpTo, upTo);
     for (const window of this._windows.keys()) if (window <= upTo) this._windows.delete(window);
     for (const window of this._final) if (window <= upTo) this._final.delete(window);
   }
 
   /** Counts that are too old for any report; they are forgotten. */
-  expired(nowMs: number): readonly HostWindow[] {
+  takeExpired(nowMs: number): readonly HostWindow[] {
     if (this._offsetMs === undefined) return [];
     const lost: HostWindow[] = [];
     for (const [window, counts] of this._windows) {
--- a/tests/capacity.spec.ts
+++ b/tests/capacity.spec.ts
@@ -6,7 +6,7 @@
 import {
   CapacityByModel,
   KeepCapacity,
-  OrderBook,
+  OrderTracker,
   type CapacityPolicy,
   type PoolView,
 } from '@fuchsiahitch/capacity';
@@ -18,7 +18,7 @@
 const PRICES = { 'domain-0': 1, 'domain-1': 0.8, 'domain-2': 1.25 };
 const SCALING = { min: 1, max: 22, bootMs: 4000, prices: new Map(Object.entries(PRICES)) };
 const VIEW: PoolView = { scaling: SCALING, models: 4, present: new Map() };
-const BOOK = { maxPerMinute: 20, firstRestMs: 5000, maxRestMs: 15_000 };
+const BOOK = { maxPerMinute: 20, initialBackoffMs: 5000, maxBackoffMs: 15_000 };
 
 await tap.test('should keep what there is where nothing else is asked', t => {
   t.equal(new KeepCapacity().wanted().size, 0);
@@ -49,10 +49,10 @@
 
 await tap.test('should order once, and again only where endpoints don’t come', async t => {
   const clock = new VirtualClock();
-  const book = new OrderBook(clock, BOOK);
+  const book = new OrderTracker(clock, BOOK);
   t.notOk(book.isDue('s', 5, 5, 4000), 'nothing is missing');
   t.ok(book.isDue('s', 6, 5, 4000));
-  book.ordered('s', 6, 'accepted');
+  book.recordOrder('s', 6, 'accepted');
   t.notOk(book.isDue('s', 6, 5, 4000), 'they are on their way');
   await clock.advance(14_000);
   t.notOk(book.isDue('s', 6, 5, 4000), 'nor long enough overdue');
@@ -65,13 +65,13 @@
 await tap.test('should rest longer after each refusal, and give up at a bound a minute', async t => {
   // The platform has no more endpoints, and is asked at every look.
   const clock = new VirtualClock();
-  const book = new OrderBook(clock, BOOK);
+  const book = new OrderTracker(clock, BOOK);
   let orders = 0;
   for (let second = 0; second < 120; second++) {
     for (const subject of ['a', 'b', 'c', 'd'])
       if (book.isDue(subject, 9, 5, 4000)) {
         orders += 1;
-        book.ordered(subject, 9, 'none-left');
+        book.recordOrder(subject, 9, 'none-left');
       }
     await clock.advance(1000);
   }
--- a/tests/lateLoopPeers.spec.ts
+++ b/tests/eventLoopLagPeers.spec.ts
@@ -16,7 +16,7 @@
 import {
   EndpointDirectory,
   Forwarder,
-  ReachMonitor,
+  ReachabilityMonitor,
   RelayedStore,
   type EndpointReply,
   type ForwardOutcome,
@@ -217,7 +217,7 @@
 
 interface Watched {
   readonly clock: VirtualClock;
-  readonly monitor: ReachMonitor;
+  readonly monitor: ReachabilityMonitor;
   /** The store's answer to the question under way is read, and the next one asked. */
   readonly storeAnswers: () => void;
   readonly stop: AbortController;
@@ -242,7 +242,7 @@
     answerGet();
     ask();
   };
-  const monitor = new ReachMonitor(context, store, silentHosts(clock));
+  const monitor = new ReachabilityMonitor(context, store, silentHosts(clock));
   monitor.start();
   return { clock, monitor, storeAnswers, stop: context.stop };
 }
@@ -252,11 +252,11 @@
     self: () => ({ hostId: 'a', incarnation: '1', address: 'a' }),
     isSynced: () => true,
     isAlive: () => true,
-    onGone: () => () => undefined,
-    isGone: () => false,
+    onTerminated: () => () => undefined,
+    isTerminated: () => false,
     isOwnDomain: () => false,
     isHeld: () => false,
-    onKey: () => undefined,
+    onKeyChange: () => undefined,
     lastOrders: () => undefined,
     peers: () => [{ hostId: 'b', incarnation: '1', address: 'b' }],
     call: async (_address, _call, _request, timeoutMs) => {
--- a/tests/gateway.spec.ts
+++ b/tests/gateway.spec.ts
@@ -10,7 +10,7 @@
   EndpointDirectory,
   lastOrdersKey,
   ordersKey,
-  ReachMonitor,
+  ReachabilityMonitor,
   RelayedStore,
   StoreLease,
   StoreMirror,
@@ -162,7 +162,7 @@
   let losses = 0;
   const lease = new StoreLease(context, store.client(), 'k', { ttlMs: 2000, renewMs: 600 }, true, {
     value: () => 'me',
-    wantsInMs: () => 0,
+    acquireDelayMs: () => 0,
     held: () => undefined,
     lost: () => {
       losses += 1;
@@ -189,7 +189,7 @@
   store.loseAnswers = 1;
   const lease = new StoreLease(context, store.client(), 'k', { ttlMs: 2000, renewMs: 600 }, true, {
     value: () => 'me',
-    wantsInMs: () => 0,
+    acquireDelayMs: () => 0,
     held: () => undefined,
     lost: () => undefined,
   });
@@ -246,11 +246,11 @@
     self: () => ({ hostId, incarnation: '1', address: hostId }),
     isSynced: () => true,
     isAlive: () => true,
-    onGone: () => () => undefined,
-    isGone: () => false,
+    onTerminated: () => () => undefined,
+    isTerminated: () => false,
     isOwnDomain: () => true,
     isHeld: key => shared.value(key) !== undefined,
-    onKey: (_key, run) => every(clock, 10, context.stopped, run),
+    onKeyChange: (_key, run) => every(clock, 10, context.stopped, run),
     lastOrders: domain => decodeHandover(shared.value(lastOrdersKey(domain)) ?? ''),
     peers: () => [],
     call: () => Promise.resolve(err({ kind: 'timed-out' })),
@@ -460,7 +460,7 @@
     },
   };
   helper.serve(registry);
-  store.usePeers({
+  store.setPeers({
     addresses: () => ['peer'],
     relay: async (_address, request) =>
       ok((await handlers.get('storeRelay')?.(request as never)) as StoreReply),
@@ -517,17 +517,17 @@
     self: () => ({ hostId: 'a', incarnation: '1', address: 'a' }),
     isSynced: () => true,
     isAlive: () => true,
-    onGone: () => () => undefined,
-    isGone: () => false,
+    onTerminated: () => () => undefined,
+    isTerminated: () => false,
     isOwnDomain: () => false,
     isHeld: () => false,
-    onKey: () => undefined,
+    onKeyChange: () => undefined,
     lastOrders: () => undefined,
     peers: () => [{ hostId: 'b', incarnation: '1', address: 'b' }],
     call: () =>
       Promise.resolve(doesAnswer ? ok({ isStoreReachable: false } as never) : err({ kind: 'timed-out' })),
   };
-  const monitor = new ReachMonitor(context, store, hosts);
+  const monitor = new ReachabilityMonitor(context, store, hosts);
   monitor.start();
   own.mode = 'away';
   peer.mode = 'away';
--- a/tests/gatewayHosts.ts
+++ b/tests/gatewayHosts.ts
@@ -98,11 +98,11 @@
     return this._world.leases.some(lease => isSameOwner(lease, owner));
   }
 
-  onGone(owner: Owner, run: () => void): CancelTimer {
+  onTerminated(owner: Owner, run: () => void): CancelTimer {
     return this._world.onGone(owner, run);
   }
 
-  isGone(owner: Owner): boolean {
+  isTerminated(owner: Owner): boolean {
     return !this.isAlive(owner);
   }
 
@@ -110,7 +110,7 @@
     return true;
   }
 
-  onKey(): void {
+  onKeyChange(): void {
     // No host of these orders weights.
   }
 
--- a/tests/metering.spec.ts
+++ b/tests/metering.spec.ts
@@ -10,9 +10,9 @@
   const vote = new ClockVote();
   t.equal(vote.offsetMs(0), undefined);
   for (const [i, skewMs] of [0, 5, -5, 2000, 2000].entries())
-    vote.heard(`h${i}`, 1_000_000 + 100 + skewMs, 100);
+    vote.observe(`h${i}`, 1_000_000 + 100 + skewMs, 100);
   t.equal(vote.offsetMs(100), 1_000_005);
-  vote.heard('h3', 1_000_200, 200);
+  vote.observe('h3', 1_000_200, 200);
   t.equal(vote.offsetMs(200), 1_000_000);
   t.equal(vote.offsetMs(60_000), undefined, 'old words say nothing');
   t.end();
@@ -23,22 +23,22 @@
   const open = meter.sent('ann', 900);
   meter.sent('ann', 950).ended(true);
   meter.sent('bob', 960).ended(false);
-  t.same(meter.toTell(2000).windows, [], 'nothing before the time is known');
-  meter.dated(10_000);
+  t.same(meter.nextUpdate(2000).windows, [], 'nothing before the time is known');
+  meter.setClockOffset(10_000);
   t.same(
-    meter.toTell(1050).windows,
+    meter.nextUpdate(1050).windows,
     [{ window: 10, counts: { ann: 1 }, isFinal: false }],
     'not over for all',
   );
-  t.same(meter.toTell(1200).windows[0]?.isFinal, false, 'one is still on its way');
+  t.same(meter.nextUpdate(1200).windows[0]?.isFinal, false, 'one is still on its way');
   open.ended(true);
   open.ended(true);
-  t.same(meter.toTell(1200).windows[0], { window: 10, counts: { ann: 2 }, isFinal: true });
-  meter.toTell(1200).told();
-  t.notOk(meter.hasNews());
-  meter.decided(10);
+  t.same(meter.nextUpdate(1200).windows[0], { window: 10, counts: { ann: 2 }, isFinal: true });
+  meter.nextUpdate(1200).told();
+  t.notOk(meter.hasUnreported());
+  meter.markDecided(10);
   t.same(
-    meter.toTell(2200).windows,
+    meter.nextUpdate(2200).windows,
     [{ window: 11, counts: {}, isFinal: true }],
     'the next window, so that nobody waits for this host',
   );
@@ -47,12 +47,12 @@
 
 await tap.test('should keep what it could not tell, up to a bound, and then say so', t => {
   const meter = new UsageMeter({ windowMs: 1000, keepMs: 5000 });
-  meter.dated(0);
+  meter.setClockOffset(0);
   meter.sent('ann', 500).ended(true);
-  t.same(meter.expired(5900), []);
-  t.same(meter.expired(6100), [{ window: 0, counts: { ann: 1 }, isFinal: true }]);
+  t.same(meter.takeExpired(5900), []);
+  t.same(meter.takeExpired(6100), [{ window: 0, counts: { ann: 1 }, isFinal: true }]);
   t.same(
-    meter.toTell(6100).windows.filter(({ counts }) => Object.keys(counts).length > 0),
+    meter.nextUpdate(6100).windows.filter(({ counts }) => Object.keys(counts).length > 0),
     [],
   );
   t.end();
@@ -70,7 +70,7 @@
   t.same(ledger.missing(7), [{ hostId: 'a', incarnation: '2' }]);
   t.same(ledger.missing(8).length, 3, 'who was busy just before');
   t.same(ledger.missing(12), []);
-  ledger.forget(7);
+  ledger.dropThrough(7);
   t.same(ledger.countsOf(7), {});
   t.end();
 });
--- a/tests/sharedWatch.spec.ts
+++ b/tests/sharedWatch.spec.ts
@@ -40,11 +40,11 @@
       self: () => owner(id),
       isSynced: () => true,
       isAlive: () => true,
-      onGone: () => () => undefined,
-      isGone: () => false,
+      onTerminated: () => () => undefined,
+      isTerminated: () => false,
       isOwnDomain: () => true,
       isHeld: () => false,
-      onKey: () => undefined,
+      onKeyChange: () => undefined,
       lastOrders: () => undefined,
       peers: () => ids.filter(other => other !== id).map(owner),
       call: async (address, call, request, timeoutMs) => {
@@ -58,7 +58,7 @@
     const records = new PlainRecords();
     const prefixes = watchedPrefixes(keys, records).filter(({ prefix }) => prefix === keys.endpointPrefix);
     const watch = new SharedWatch(context, client, prefixes);
-    watch.useHosts(directory);
+    watch.setHosts(directory);
     watch.serve({ handle: (_call, handler) => void handlers.set(id, handler as never) });
     const endpoints = new EndpointDirectory(context, watch, keys, records, () => undefined);
     endpoints.start();
