--- a/packages/accounts/src/access.ts
+++ b/packages/accounts/src/access.ts
@@ -30,11 +30,11 @@
   isPublic: boolean,
 ): Access {
   if (!accounts) return { kind: 'unmanaged' };
-  const access = ofCredential(accounts, credential);
+  const access = accessByCredential(accounts, credential);
   return access.kind === 'denied' && isPublic ? { kind: 'public' } : access;
 }
 
-function ofCredential(accounts: AccountIndex, credential: Credential): Access {
+function accessByCredential(accounts: AccountIndex, credential: Credential): Access {
   if (credential.kind === 'none') return { kind: 'denied', reason: 'no-key' };
   if (credential.kind === 'unreadable') return { kind: 'denied', reason: 'unreadable-key' };
   const found = accounts.find(credential.key);
--- a/packages/accounts/src/accountIndex.ts
+++ b/packages/accounts/src/accountIndex.ts
@@ -34,7 +34,7 @@
       const problem = index._add(account);
       if (problem) return err(problem);
     }
-    if (before) index._rememberRemoved(before);
+    if (before) index._retainRemoved(before);
     return ok(index);
   }
 
@@ -56,7 +56,7 @@
     return undefined;
   }
 
-  private _rememberRemoved(before: AccountIndex): void {
+  private _retainRemoved(before: AccountIndex): void {
     for (const table of [before._removed, before._accounts])
       for (const [key, account] of table) if (!this._accounts.has(key)) this._removed.set(key, account);
     const surplus = this._removed.size - MAX_REMOVED;
--- a/packages/capacity/src/capacityPolicy.ts
+++ b/packages/capacity/src/capacityPolicy.ts
@@ -44,11 +44,11 @@
     }));
     const sum = weights.reduce((all, { weight }) => all + weight, 0);
     return new Map(
-      weights.map(({ domain, weight }) => [domain, within(scaling, Math.round((total * weight) / sum))]),
+      weights.map(({ domain, weight }) => [domain, clamp(scaling, Math.round((total * weight) / sum))]),
     );
   }
 }
 
-function within({ min, max }: { readonly min: number; readonly max: number }, count: number): number {
+function clamp({ min, max }: { readonly min: number; readonly max: number }, count: number): number {
   return Math.min(max, Math.max(min, count));
 }
--- a/packages/capacity/src/orderTracker.ts
+++ b/packages/capacity/src/orderTracker.ts
@@ -28,7 +28,7 @@
 
 const MINUTE_MS = 60_000;
 /** Endpoints that have not come after this many times their time to boot are ordered again. */
-const MISSING_FACTOR = 3;
+const OVERDUE_FACTOR = 3;
 
 export class OrderTracker {
   private readonly _clock: Clock;
@@ -49,9 +49,9 @@
     const last = this._subjects.get(subject);
     if (!last) return wanted !== present;
     const sinceMs = nowMs - last.atMs;
-    if (last.end !== 'accepted') return sinceMs >= this._restMs(last.failures);
+    if (last.end !== 'accepted') return sinceMs >= this._backoffMs(last.failures);
     if (last.count !== wanted) return true;
-    return present < wanted && sinceMs >= Math.max(MISSING_FACTOR * bootMs, this._options.maxBackoffMs);
+    return present < wanted && sinceMs >= Math.max(OVERDUE_FACTOR * bootMs, this._options.maxBackoffMs);
   }
 
   recordOrder(subject: string, count: number, end: CapacityOrderEnd): void {
@@ -61,7 +61,7 @@
     this._subjects.set(subject, { count, end, atMs, failures: end === 'accepted' ? 0 : before + 1 });
   }
 
-  private _restMs(failures: number): number {
+  private _backoffMs(failures: number): number {
     const { initialBackoffMs, maxBackoffMs } = this._options;
     return Math.min(maxBackoffMs, initialBackoffMs * 2 ** Math.max(0, failures - 1));
   }
--- a/packages/duties/src/dutyHandover.ts
+++ b/packages/duties/src/dutyHandover.ts
@@ -36,7 +36,7 @@
 /** When this host acted on each subject last. */
 export class ActionTimes {
   private readonly _boundMs: number;
-  private readonly _actedMs = new Map<string, number>();
+  private readonly _lastActionMs = new Map<string, number>();
 
   /** `boundMs`: acts of two holders on one subject must be further apart than this. */
   constructor(boundMs: number) {
@@ -44,12 +44,12 @@
   }
 
   recordAction(subject: string, nowMs: number): void {
-    this._actedMs.set(subject, nowMs);
+    this._lastActionMs.set(subject, nowMs);
   }
 
   /** Milliseconds since the last act on each subject that was acted on within the bound. */
   quietMs(nowMs: number): Readonly<Record<string, number>> {
-    const recent = [...this._actedMs].filter(([, actedMs]) => nowMs - actedMs < this._boundMs);
+    const recent = [...this._lastActionMs].filter(([, actedMs]) => nowMs - actedMs < this._boundMs);
     return Object.fromEntries(recent.map(([id, actedMs]) => [id, Math.max(0, nowMs - actedMs)]));
   }
 }
--- a/packages/gateway/src/capacityOrders.ts
+++ b/packages/gateway/src/capacityOrders.ts
@@ -22,7 +22,7 @@
 export const LAST_CAPACITY_KEY = `${LIVE_PREFIX}last-capacity`;
 const LEASE = { ttlMs: 3000, renewMs: 1000, validityMs: 2500, marginMs: 600 };
 const TIMEOUTS = { connectMs: 500, answerMs: 1500 };
-const LOOK_MS = 1000;
+const CHECK_INTERVAL_MS = 1000;
 const ORDERS = { maxPerMinute: 20, initialBackoffMs: 5000, maxBackoffMs: 15_000 };
 
 export interface CapacityOptions {
@@ -45,15 +45,15 @@
   private readonly _ports: CapacityPorts;
   private readonly _options: CapacityOptions;
   private readonly _duty: DutyLease;
-  private _book: OrderTracker;
-  private _lookAtMs = -Infinity;
+  private _tracker: OrderTracker;
+  private _checkAtMs = -Infinity;
   private readonly _busy = new Set<string>();
 
   constructor(context: GatewayContext, ports: CapacityPorts, options: CapacityOptions) {
     this._context = context;
     this._ports = ports;
     this._options = options;
-    this._book = new OrderTracker(context.clock, ORDERS);
+    this._tracker = new OrderTracker(context.clock, ORDERS);
     const name = {
       label: 'capacity lease',
       key: CAPACITY_KEY,
@@ -73,17 +73,17 @@
 
   /** What an earlier holder ordered is not known: what is there tells. */
   taken(): void {
-    this._book = new OrderTracker(this._context.clock, ORDERS);
+    this._tracker = new OrderTracker(this._context.clock, ORDERS);
   }
 
   tick(): void {
     const nowMs = this._context.clock.nowMs();
-    if (nowMs < this._lookAtMs || !this._ports.endpoints.isSynced()) return;
-    this._lookAtMs = nowMs + LOOK_MS;
-    for (const [pool, scaling] of this._ports.configuration.scalings()) this._lookAt(pool, scaling);
+    if (nowMs < this._checkAtMs || !this._ports.endpoints.isSynced()) return;
+    this._checkAtMs = nowMs + CHECK_INTERVAL_MS;
+    for (const [pool, scaling] of this._ports.configuration.scalings()) this._checkPool(pool, scaling);
   }
 
-  private _lookAt(pool: string, scaling: PoolScaling): void {
+  private _checkPool(pool: string, scaling: PoolScaling): void {
     const present = this._presentOf(pool, scaling);
     const models = this._ports.configuration.models().get(pool)?.length ?? 1;
     for (const [domain, wanted] of this._options.policy.wanted({ scaling, models, present }))
@@ -100,7 +100,7 @@
   private _orderIfDue(order: PoolOrder, { bootMs }: PoolScaling): void {
     const subject = `${order.pool}/${order.domain}`;
     if (this._busy.has(subject) || !this._duty.canActOn(subject)) return;
-    if (!this._book.isDue(subject, order.wanted, order.present, bootMs)) return;
+    if (!this._tracker.isDue(subject, order.wanted, order.present, bootMs)) return;
     this._busy.add(subject);
     this._duty.track(this._order(subject, order).finally(() => this._busy.delete(subject)));
   }
@@ -112,7 +112,7 @@
     const act = { holder: this._context.hostId, fencingToken };
     const order = { pool, domain, count: wanted };
     const answer = await this._options.duties.orderCapacity(act, order, TIMEOUTS);
-    this._book.recordOrder(subject, wanted, endOf(answer));
+    this._tracker.recordOrder(subject, wanted, toOrderEnd(answer));
     this._context.metrics.duties.inc({ duty: 'capacity', answer });
     const policy = this._options.policy.name;
     this._context.log.info('capacity order', { pool, of: domain, wanted, present, answer, policy });
@@ -127,7 +127,7 @@
   readonly present: number;
 }
 
-function endOf(answer: DutyAnswer): CapacityOrderEnd {
+function toOrderEnd(answer: DutyAnswer): CapacityOrderEnd {
   switch (answer) {
     case 'accepted':
       return 'accepted';
--- a/packages/gateway/src/dutyLease.ts
+++ b/packages/gateway/src/dutyLease.ts
@@ -22,19 +22,19 @@
 
 const TICK_MS = 100;
 /** The last holder's host may be back within a second after a restart, and then needs no wait. */
-const LAST_HOLDER_MS = 700;
+const LAST_HOLDER_GRACE_MS = 700;
 /**
  * Of the hosts that want the lease each leaves it so long to the one before it: longer than until it knows that the key is
  * held, as hosts hear of that within 0.25 s and the time of two calls. Where all of them asked the store at once, one key that
  * became free would cost it three calls of each host.
  */
-const TAKE_STEP_MS = 400;
+const ACQUIRE_STEP_MS = 400;
 /** Hosts further behind than this all wait alike: so many before them are hardly lost at once. */
-const MAX_TAKE_STEPS = 8;
+const MAX_ACQUIRE_STEPS = 8;
 /** Hosts that know of different hosts, as while all of them start, may each take themselves for the first. */
-const TAKE_SPREAD_MS = 150;
+const ACQUIRE_JITTER_MS = 150;
 /** A domain without a living host of its own: hosts of other domains wait this much longer for its lease. */
-const FOREIGN_WAIT_MS = 3000;
+const FOREIGN_DOMAIN_DELAY_MS = 3000;
 
 export interface DutyTimes extends LeaseTimes {
   /** The holder counts on its lease for this long from a renewal: what a successor must wait out. */
@@ -81,17 +81,17 @@
   private readonly _lease: StoreLease;
   private readonly _guard: LeaseGuard;
   private readonly _pauses: PauseDetector;
-  private readonly _actTimes: ActionTimes;
-  private readonly _running = new Set<Promise<unknown>>();
+  private readonly _actionTimes: ActionTimes;
+  private readonly _pendingActions = new Set<Promise<unknown>>();
   /** What the holder before this one left. */
-  private _before: DutyHandover | undefined;
-  private _heldMs = -Infinity;
+  private _previousHandover: DutyHandover | undefined;
+  private _acquiredMs = -Infinity;
   private _isReleased = false;
   private _isTicking = false;
   private _token: number | undefined;
-  private _mayBeginMs = Infinity;
-  private _wantsAfterMs: number | undefined;
-  private _asideUntilMs = -Infinity;
+  private _actAfterMs = Infinity;
+  private _acquireAfterMs: number | undefined;
+  private _yieldUntilMs = -Infinity;
 
   constructor(context: GatewayContext, ports: DutyPorts, name: DutyName, times: DutyTimes, duty: Duty) {
     this._context = context;
@@ -99,14 +99,14 @@
     this._name = name;
     this._times = times;
     this._duty = duty;
-    this._actTimes = new ActionTimes(times.handoverMs);
+    this._actionTimes = new ActionTimes(times.handoverMs);
     this._guard = new LeaseGuard(context.clock, { leaseMs: times.validityMs, marginMs: times.marginMs });
     this._pauses = new PauseDetector(context.clock);
     this._lease = new StoreLease(context, ports.store, name.key, times, true, {
       value: () => context.hostId,
-      acquireDelayMs: () => this._wantsInMs(),
-      held: (token, sentMs) => this._held(token, sentMs),
-      lost: reason => this._lost(reason),
+      acquireDelayMs: () => this._acquireDelayMs(),
+      held: (token, sentMs) => this._onHeld(token, sentMs),
+      lost: reason => this._onLost(reason),
       extraWrites: () => [{ kind: 'put', key: name.lastKey, value: this._handover() }],
     });
   }
@@ -126,82 +126,82 @@
    * new one, while the holder between the two may still act.
    */
   token(): number | undefined {
-    return this._context.clock.nowMs() < this._mayBeginMs ? undefined : this._guard.token();
+    return this._context.clock.nowMs() < this._actAfterMs ? undefined : this._guard.token();
   }
 
   /** False while the holder before this one may just have acted on the subject. */
   canActOn(subject: string): boolean {
-    const waitMs = waitForSubjectMs(this._before, subject, this._times.handoverMs);
-    return this._context.clock.nowMs() >= this._heldMs + waitMs;
+    const waitMs = waitForSubjectMs(this._previousHandover, subject, this._times.handoverMs);
+    return this._context.clock.nowMs() >= this._acquiredMs + waitMs;
   }
 
   /** An act on the subject is sent, and arrives at `latestMs` at the latest. */
   recordAct(subject: string, latestMs: number): void {
-    this._actTimes.recordAction(subject, latestMs);
+    this._actionTimes.recordAction(subject, latestMs);
   }
 
   /** A successor counts from the end of what runs. */
   track(running: Promise<unknown>): void {
-    this._running.add(running);
-    void running.then(() => this._running.delete(running));
+    this._pendingActions.add(running);
+    void running.then(() => this._pendingActions.delete(running));
   }
 
   /** Gives the duty up. What is on its way ends first: the successor counts from it. */
   async stop(): Promise<void> {
-    await this._endActs();
+    await this._endActions();
     await this._lease.release();
   }
 
   /** Leaves the duty to other hosts for a while, as one does who can't reach what it has to call. */
   async yieldFor(durationMs: number): Promise<void> {
-    this._asideUntilMs = this._context.clock.nowMs() + durationMs;
-    await this._endActs();
+    this._yieldUntilMs = this._context.clock.nowMs() + durationMs;
+    await this._endActions();
     await this._lease.relinquish();
     this._isReleased = false;
   }
 
-  private async _endActs(): Promise<void> {
+  private async _endActions(): Promise<void> {
     this._guard.lost();
     this._token = undefined;
     this._isReleased = true;
-    await Promise.all(this._running);
+    await Promise.all(this._pendingActions);
   }
 
   /** What a successor must know of this holder's acts, and of those before it. */
   private _handover(): string {
     const { clock, hostId } = this._context;
     // A holder that gives the right up soon after taking it passes on what it was told: ages only grow meanwhile.
-    const before = this._before?.quietMs ?? {};
-    const quietMs = { ...before, ...this._actTimes.quietMs(clock.nowMs()) };
+    const before = this._previousHandover?.quietMs ?? {};
+    const quietMs = { ...before, ...this._actionTimes.quietMs(clock.nowMs()) };
     return encodeHandover({ hostId, isReleased: this._isReleased, quietMs });
   }
 
   /** Hosts that see the key gone at the same time don't all ask the store at once. */
-  private _wantsInMs(): number {
+  private _acquireDelayMs(): number {
     const { hosts } = this._ports;
     if (!hosts.isSynced() || hosts.isHeld(this._name.key)) {
-      this._wantsAfterMs = undefined;
+      this._acquireAfterMs = undefined;
       return Infinity;
     }
     const nowMs = this._context.clock.nowMs();
-    this._wantsAfterMs ??= nowMs + this._takeAfterMs();
-    const wantsAfterMs = Math.max(this._wantsAfterMs, this._asideUntilMs);
+    this._acquireAfterMs ??= nowMs + this._ownAcquireDelayMs();
+    const wantsAfterMs = Math.max(this._acquireAfterMs, this._yieldUntilMs);
     if (nowMs < wantsAfterMs) return wantsAfterMs - nowMs;
-    this._before = this._ports.lastHandover();
+    this._previousHandover = this._ports.lastHandover();
     // A pause while the store is asked counts as well.
     this._pauses.reset();
     return 0;
   }
 
   /** How long this host leaves a free key to others: the last holder need not wait for its own acts. */
-  private _takeAfterMs(): number {
+  private _ownAcquireDelayMs(): number {
     const last = this._ports.lastHandover();
     if (last?.hostId === this._context.hostId) return 0;
     const { domain } = this._name;
-    const waitMs = domain === undefined || domain === this._context.domain ? 0 : FOREIGN_WAIT_MS;
-    const forLastMs = last === undefined || last.isReleased ? 0 : LAST_HOLDER_MS;
-    const turnMs = Math.min(this._rank(), MAX_TAKE_STEPS) * TAKE_STEP_MS;
-    return waitMs + forLastMs + turnMs + this._context.random.below(TAKE_SPREAD_MS);
+    const waitMs = domain === undefined || domain === this._context.domain ? 0 : FOREIGN_DOMAIN_DELAY_MS;
+    const lastHolderMs = last === undefined || last.isReleased ? 0 : LAST_HOLDER_GRACE_MS;
+    const rankDelayMs = Math.min(this._rank(), MAX_ACQUIRE_STEPS) * ACQUIRE_STEP_MS;
+    return waitMs + lastHolderMs + rankDelayMs + this._context.random.below(ACQUIRE_JITTER_MS);
   }
 
   /** The hosts that take the key before this one: those of the own domain for its duty, and any for another domain's. */
@@ -213,7 +213,7 @@
     return hosts.peers().filter(peer => peer.hostId < hostId && isCandidate(peer.hostId)).length;
   }
 
-  private _held(token: number, sentMs: number): void {
+  private _onHeld(token: number, sentMs: number): void {
     // A renewal that was on its way when this host gave the right up: its successor may act by now.
     if (this._isReleased) return;
     this._guard.renewed(token, sentMs);
@@ -221,16 +221,17 @@
     this._token = token;
     // The former holder's lease may have been revoked rather than run out: it may act until its own end. Where it gave the right
     // up, or was this host, there is nobody to wait for but the subjects that it acted on last.
-    const isKnown = this._before?.isReleased === true || this._before?.hostId === this._context.hostId;
+    const isKnown =
+      this._previousHandover?.isReleased === true || this._previousHandover?.hostId === this._context.hostId;
     const waitMs = isKnown ? 0 : this._times.handoverMs + this._times.validityMs;
-    this._heldMs = this._context.clock.nowMs();
-    this._mayBeginMs = this._heldMs + waitMs;
+    this._acquiredMs = this._context.clock.nowMs();
+    this._actAfterMs = this._acquiredMs + waitMs;
     this._duty.taken();
     if (!this._isTicking) void this._tickWhileHeld();
     this._log({ change: 'held', fencingToken: token, waitMs });
   }
 
-  private _lost(reason: string): void {
+  private _onLost(reason: string): void {
     this._guard.lost();
     this._token = undefined;
     this._log({ change: 'lost', reason });
@@ -252,7 +253,7 @@
       this._guard.lost();
       this._log({ change: 'paused', reason: 'this process stood still: nothing until the lease is renewed' });
     }
-    if (this._context.clock.nowMs() >= this._mayBeginMs) this._duty.tick();
+    if (this._context.clock.nowMs() >= this._actAfterMs) this._duty.tick();
   }
 
   private _log(details: Readonly<Record<string, string | number>>): void {
--- a/packages/gateway/src/hostChangeLog.ts
+++ b/packages/gateway/src/hostChangeLog.ts
@@ -8,12 +8,12 @@
 import type { GatewayContext } from './gatewayContext.js';
 
 /** Hosts of a failure domain come and go within some hundred milliseconds of each other. */
-const GATHER_MS = 250;
+const AGGREGATION_MS = 250;
 
 export class HostChangeLog {
   private readonly _context: GatewayContext;
-  private _new: string[] = [];
-  private _gone: string[] = [];
+  private _added: string[] = [];
+  private _removed: string[] = [];
 
   constructor(context: GatewayContext) {
     this._context = context;
@@ -21,23 +21,23 @@
 
   /** `incarnation`: the process that is new at the host. */
   added(hostId: string, incarnation: string): void {
-    this._gather();
-    this._new.push(`${hostId}@${incarnation}`);
+    this._scheduleWrite();
+    this._added.push(`${hostId}@${incarnation}`);
   }
 
   removed(hostId: string): void {
-    this._gather();
-    this._gone.push(hostId);
+    this._scheduleWrite();
+    this._removed.push(hostId);
   }
 
-  private _gather(): void {
-    const isGathering = this._new.length + this._gone.length > 0;
-    if (!isGathering) this._context.clock.after(GATHER_MS, () => this._write());
+  private _scheduleWrite(): void {
+    const isScheduled = this._added.length + this._removed.length > 0;
+    if (!isScheduled) this._context.clock.after(AGGREGATION_MS, () => this._write());
   }
 
   private _write(): void {
-    this._context.log.info('hosts', { new: this._new.join(' '), gone: this._gone.join(' ') });
-    this._new = [];
-    this._gone = [];
+    this._context.log.info('hosts', { new: this._added.join(' '), gone: this._removed.join(' ') });
+    this._added = [];
+    this._removed = [];
   }
 }
--- a/packages/gateway/src/hostDirectory.ts
+++ b/packages/gateway/src/hostDirectory.ts
@@ -33,7 +33,7 @@
  */
 const HOST_LEASE = { ttlMs: 2000, renewMs: 600 };
 /** Ended processes that are remembered: a fleet of 330 hosts restarts 610 a day. */
-const MAX_GONE = 1000;
+const MAX_TERMINATED = 1000;
 const MIRROR = { prefix: LIVE_PREFIX, waitMs: 4000, spacingMs: 0 };
 
 export interface HostDirectoryOptions {
@@ -92,11 +92,11 @@
   private readonly _owners = new Map<string, Owner>();
   private readonly _domains = new Map<string, string>();
   private readonly _values = new Map<string, string>();
-  private readonly _keyWatches = new Map<string, (() => void)[]>();
+  private readonly _keyCallbacks = new Map<string, (() => void)[]>();
   private readonly _listeners = new Map<string, KeyListener>();
-  private readonly _gone = new GoneProcesses();
+  private readonly _terminated = new TerminatedProcesses();
   private readonly _changes: HostChangeLog;
-  private readonly _hostGone: () => void;
+  private readonly _onHostTerminated: () => void;
 
   /** `source`: where the living hosts are read. `hostGone`: told whenever a process is seen to be gone. */
   constructor(
@@ -104,16 +104,16 @@
     store: RevisionedStore,
     source: MirrorSource,
     options: HostDirectoryOptions,
-    hostGone: () => void,
+    onHostTerminated: () => void,
   ) {
-    this._hostGone = hostGone;
+    this._onHostTerminated = onHostTerminated;
     this._context = context;
     this._options = options;
     this._changes = new HostChangeLog(context);
     this._mirror = new StoreMirror(context, source, MIRROR, {
       changed: item => this._changed(item.key, item.value),
       removed: key => this._removed(key),
-      synced: () => [...this._keyWatches.values()].flat().forEach(run => run()),
+      synced: () => [...this._keyCallbacks.values()].flat().forEach(run => run()),
     });
     this._lease = new StoreLease(context, store, `${HOST_PREFIX}${context.hostId}`, HOST_LEASE, false, {
       value: () => JSON.stringify({ ...this.self(), domain: context.domain }),
@@ -152,11 +152,11 @@
   }
 
   onTerminated(owner: Owner, run: () => void): CancelTimer {
-    return this._gone.on(owner, run);
+    return this._terminated.on(owner, run);
   }
 
   isTerminated(owner: Owner): boolean {
-    return this._gone.has(owner);
+    return this._terminated.has(owner);
   }
 
   isHeld(key: string): boolean {
@@ -164,7 +164,7 @@
   }
 
   onKeyChange(key: string, run: () => void): void {
-    this._keyWatches.set(key, [...(this._keyWatches.get(key) ?? []), run]);
+    this._keyCallbacks.set(key, [...(this._keyCallbacks.get(key) ?? []), run]);
   }
 
   /** What stands under a key; undefined while nobody holds it. */
@@ -215,9 +215,9 @@
       return;
     }
     this._values.set(key, value);
-    this._tellWatches(key);
+    this._notifyKeyCallbacks(key);
     if (!key.startsWith(HOST_PREFIX)) return;
-    const owner = readOwner(value);
+    const owner = decodeHostRecord(value);
     if (!owner) {
       this._context.log.warn('unreadable host record', { key });
       return;
@@ -226,18 +226,18 @@
     this._owners.set(owner.hostId, toOwner(owner));
     this._domains.set(owner.hostId, owner.domain);
     if (known && isSameOwner(known, owner)) return;
-    this._gone.delete(owner);
-    if (known) this._ended(known);
+    this._terminated.delete(owner);
+    if (known) this._onProcessTerminated(known);
     this._changes.added(owner.hostId, owner.incarnation);
   }
 
-  private _tellWatches(key: string): void {
-    for (const run of this._keyWatches.get(key) ?? []) run();
+  private _notifyKeyCallbacks(key: string): void {
+    for (const run of this._keyCallbacks.get(key) ?? []) run();
   }
 
-  private _ended(process: Owner): void {
-    this._gone.add(process);
-    this._hostGone();
+  private _onProcessTerminated(process: Owner): void {
+    this._terminated.add(process);
+    this._onHostTerminated();
   }
 
   private _removed(key: string): void {
@@ -247,27 +247,27 @@
       return;
     }
     this._values.delete(key);
-    this._tellWatches(key);
+    this._notifyKeyCallbacks(key);
     if (!key.startsWith(HOST_PREFIX)) return;
     const hostId = key.slice(HOST_PREFIX.length);
     const known = this._owners.get(hostId);
     this._owners.delete(hostId);
-    if (known) this._ended(known);
+    if (known) this._onProcessTerminated(known);
     this._changes.removed(hostId);
   }
 }
 
 /** Processes that were seen to end, and who waits for an end. */
-class GoneProcesses {
+class TerminatedProcesses {
   private readonly _incarnations = new Set<string>();
-  private readonly _waiting = new Map<string, Set<() => void>>();
+  private readonly _callbacks = new Map<string, Set<() => void>>();
 
   add({ incarnation }: Owner): void {
     this._incarnations.add(incarnation);
     const [oldest] = this._incarnations;
-    if (this._incarnations.size > MAX_GONE && oldest !== undefined) this._incarnations.delete(oldest);
-    const waiting = this._waiting.get(incarnation) ?? [];
-    this._waiting.delete(incarnation);
+    if (this._incarnations.size > MAX_TERMINATED && oldest !== undefined) this._incarnations.delete(oldest);
+    const waiting = this._callbacks.get(incarnation) ?? [];
+    this._callbacks.delete(incarnation);
     for (const run of waiting) run();
   }
 
@@ -285,12 +285,12 @@
       run();
       return () => undefined;
     }
-    const waiting = this._waiting.get(incarnation) ?? new Set();
+    const waiting = this._callbacks.get(incarnation) ?? new Set();
     waiting.add(run);
-    this._waiting.set(incarnation, waiting);
+    this._callbacks.set(incarnation, waiting);
     return () => {
       waiting.delete(run);
-      if (waiting.size === 0) this._waiting.delete(incarnation);
+      if (waiting.size === 0) this._callbacks.delete(incarnation);
     };
   }
 }
@@ -303,7 +303,7 @@
   return { hostId, incarnation, address };
 }
 
-function readOwner(value: string): HostRecord | undefined {
+function decodeHostRecord(value: string): HostRecord | undefined {
   try {
     const parsed = hostRecordSchema.safeParse(JSON.parse(value));
     return parsed.success ? parsed.data : undefined;
--- a/packages/gateway/src/reachabilityMonitor.ts
+++ b/packages/gateway/src/reachabilityMonitor.ts
@@ -18,18 +18,18 @@
 
 const CHECK_INTERVAL_MS = 200;
 /** Hosts of other domains are asked once the store was silent for so long. */
-const SUSPECT_MS = 750;
-const ASK_TIMEOUT_MS = 300;
+const STORE_SILENCE_MS = 750;
+const PROBE_TIMEOUT_MS = 300;
 /** Rounds without any answer until the host takes itself for cut off. */
-const ROUNDS = 2;
+const MAX_FAILED_ROUNDS = 2;
 /** Hosts that are asked in one round. */
-const ASKED = 3;
+const PROBED_HOSTS = 3;
 
 export class ReachabilityMonitor {
   private readonly _context: GatewayContext;
   private readonly _store: RelayedStore;
   private readonly _hosts: Hosts;
-  private _silentRounds = 0;
+  private _failedRounds = 0;
 
   constructor(context: GatewayContext, store: RelayedStore, hosts: Hosts) {
     this._context = context;
@@ -42,33 +42,33 @@
   }
 
   isCutOff(): boolean {
-    return this._silentRounds >= ROUNDS;
+    return this._failedRounds >= MAX_FAILED_ROUNDS;
   }
 
   private async _check(): Promise<void> {
     const isReached =
-      (await this._isStoreReached()) || (await this._someoneAnswers()) || (await this._isStoreReached());
+      (await this._isStoreReached()) || (await this._anyHostResponds()) || (await this._isStoreReached());
     const wasCutOff = this.isCutOff();
-    this._silentRounds = isReached ? 0 : this._silentRounds + 1;
+    this._failedRounds = isReached ? 0 : this._failedRounds + 1;
     if (this.isCutOff() === wasCutOff) return;
     const change = this.isCutOff() ? 'cut off' : 'connected';
     this._context.log.warn('reach', { change, sinceStoreMs: Math.round(this._store.sinceReachedMs()) });
   }
 
   private async _isStoreReached(): Promise<boolean> {
-    if (this._store.sinceReachedMs() < SUSPECT_MS) return true;
+    if (this._store.sinceReachedMs() < STORE_SILENCE_MS) return true;
     await haveRead();
-    return this._store.sinceReachedMs() < SUSPECT_MS;
+    return this._store.sinceReachedMs() < STORE_SILENCE_MS;
   }
 
   /** True if a host of another domain answers, or there is none to ask. */
-  private async _someoneAnswers(): Promise<boolean> {
+  private async _anyHostResponds(): Promise<boolean> {
     const others = this._hosts.peers().filter(peer => !this._hosts.isOwnDomain(peer.hostId));
     if (others.length === 0) return true;
     const start = this._context.random.below(others.length);
-    const asked = [...others.slice(start), ...others.slice(0, start)].slice(0, ASKED);
+    const probed = [...others.slice(start), ...others.slice(0, start)].slice(0, PROBED_HOSTS);
     const replies = await Promise.all(
-      asked.map(peer => this._hosts.call(peer.address, reachCall, {}, ASK_TIMEOUT_MS)),
+      probed.map(peer => this._hosts.call(peer.address, reachCall, {}, PROBE_TIMEOUT_MS)),
     );
     return replies.some(reply => reply.ok);
   }
--- a/packages/gateway/src/relayedStore.ts
+++ b/packages/gateway/src/relayedStore.ts
@@ -33,7 +33,7 @@
 /** Of a call's time the direct way gets at most this much before it counts as failing. */
 const DIRECT_TIMEOUT_MS = 900;
 /** A call that had less time than this and got no answer says nothing of the direct way: a slow store takes 0.3 s. */
-const FAIR_TIMEOUT_MS = 600;
+const CONCLUSIVE_TIMEOUT_MS = 600;
 /** A peer that could not help is not asked again for a while. */
 const PEER_PAUSE_MS = 2000;
 
@@ -160,8 +160,8 @@
     }
     // A caller that waits for a moment only learns nothing of the direct way: a store that is merely slow would be given up
     // for all calls of the host.
-    const isFair = result.error !== 'unknown' || limitMs >= FAIR_TIMEOUT_MS;
-    if (isFair) this._startFailing(result.error);
+    const isConclusive = result.error !== 'unknown' || limitMs >= CONCLUSIVE_TIMEOUT_MS;
+    if (isConclusive) this._startFailing(result.error);
     // Only a call that was certainly not done may go another way at once; for any other the caller decides.
     if (result.error === 'unknown') return result;
     return this._relay<T>(toRequest, deadline, waitMs);
@@ -191,10 +191,10 @@
 
   private _choosePeer(): string | undefined {
     const nowMs = this._context.clock.nowMs();
-    const open = (this._peers?.addresses() ?? []).filter(
+    const available = (this._peers?.addresses() ?? []).filter(
       address => (this._pausedUntilMs.get(address) ?? -Infinity) <= nowMs,
     );
-    return open[this._context.random.below(Math.max(1, open.length))];
+    return available[this._context.random.below(Math.max(1, available.length))];
   }
 
   private _pause(address: string): void {
--- a/packages/gateway/src/retirement.ts
+++ b/packages/gateway/src/retirement.ts
@@ -28,7 +28,7 @@
   private readonly _store: RevisionedStore;
   private readonly _clock: Clock;
   private readonly _log: Logger;
-  private readonly _answered = new Set<number>();
+  private readonly _acknowledged = new Set<number>();
 
   constructor(record: RetirementRecord, store: RevisionedStore, clock: Clock, log: Logger) {
     this._record = record;
@@ -49,32 +49,32 @@
   private async _watch(signal: AbortSignal): Promise<void> {
     const found = await this._store.snapshot(this._record.requestKey, this._deadline());
     if (!found.ok) return;
-    if (!(await this._answerAll(found.value.items))) return;
+    if (!(await this._acknowledgeAll(found.value.items))) return;
     let { revision } = found.value;
     while (!signal.aborted) {
       const deadline = Deadline.after(this._clock, WATCH_WAIT_MS + CALL_TIMEOUT_MS);
       const changes = await this._store.changes(this._record.requestKey, revision, WATCH_WAIT_MS, deadline);
       if (!changes.ok) return;
-      if (!(await this._answerAll(changes.value.events))) return;
+      if (!(await this._acknowledgeAll(changes.value.events))) return;
       ({ revision } = changes.value);
     }
   }
 
-  private async _answerAll(wishes: readonly WatchEvent[]): Promise<boolean> {
-    for (const { key, value, version } of wishes) {
+  private async _acknowledgeAll(requests: readonly WatchEvent[]): Promise<boolean> {
+    for (const { key, value, version } of requests) {
       // The prefix fits the keys of hosts with longer names too.
-      if (key !== this._record.requestKey || value === undefined || this._answered.has(version)) continue;
-      if (!(await this._answer(version))) return false;
+      if (key !== this._record.requestKey || value === undefined || this._acknowledged.has(version)) continue;
+      if (!(await this._acknowledge(version))) return false;
     }
     return true;
   }
 
-  private async _answer(version: number): Promise<boolean> {
+  private async _acknowledge(version: number): Promise<boolean> {
     const { statusKey, completedValue } = this._record;
     const put = { kind: 'put', key: statusKey, value: completedValue } as const;
     const done = await this._store.transact([], [put], this._deadline());
     this._log.info('retirement', { outcome: done.ok ? 'completed' : done.error, wishRevision: version });
-    if (done.ok) this._answered.add(version);
+    if (done.ok) this._acknowledged.add(version);
     return done.ok;
   }
 
--- a/packages/gateway/src/sharedWatch.ts
+++ b/packages/gateway/src/sharedWatch.ts
@@ -20,7 +20,7 @@
 const FOLLOW_WAIT_MS = 600;
 const FOLLOW_SLACK_MS = 300;
 /** After a question that failed, a follower watches by itself for this long. */
-const OWN_WATCH_MS = 2000;
+const DIRECT_WATCH_MS = 2000;
 
 /** What decides whom to follow. */
 export type WatchHosts = Pick<Hosts, 'isSynced' | 'self' | 'peers' | 'isOwnDomain' | 'call'>;
@@ -30,11 +30,11 @@
   private readonly _store: MirrorSource;
   private readonly _feeds: ReadonlyMap<string, WatchFeed>;
   private _hosts: WatchHosts | undefined;
-  private _ownUntilMs = -Infinity;
-  private _followed: string | undefined;
+  private _directUntilMs = -Infinity;
+  private _followedHostId: string | undefined;
   /** The question to the watching host that is on its way, for all prefixes. */
-  private _question: Promise<boolean> | undefined;
-  private _wake: (() => void)[] = [];
+  private _pendingFollow: Promise<boolean> | undefined;
+  private _waiters: (() => void)[] = [];
 
   constructor(context: GatewayContext, store: MirrorSource, prefixes: readonly WatchedPrefix[]) {
     this._context = context;
@@ -67,7 +67,7 @@
     const told =
       feed.hasChangesAfter(afterRevision) || (await this._follow()) ? feed.after(afterRevision) : undefined;
     if (told) return { ok: true, value: told };
-    await this._space(feed);
+    await this._awaitSpacing(feed);
     const ownWaitMs = Math.min(waitMs, feed.waitMs(this._context.clock.nowMs()));
     const changes = await this._store.changes(prefix, afterRevision, ownWaitMs, deadline);
     if (!changes.ok) return changes;
@@ -83,29 +83,32 @@
 
   /** Hears what the watching host tells, of all prefixes; false when this host watches by itself. */
   private async _follow(): Promise<boolean> {
-    const watcher = this._watcher();
-    if (!watcher) {
-      this._noteSource(undefined, 'this host watches');
+    const watchingHost = this._watchingHost();
+    if (!watchingHost) {
+      this._setSource(undefined, 'this host watches');
       return false;
     }
-    this._question ??= this._ask(watcher).finally(() => {
-      this._question = undefined;
+    this._pendingFollow ??= this._requestChanges(watchingHost).finally(() => {
+      this._pendingFollow = undefined;
     });
-    return this._question;
+    return this._pendingFollow;
   }
 
-  private async _ask(watcher: { readonly hostId: string; readonly address: string }): Promise<boolean> {
+  private async _requestChanges(watcher: {
+    readonly hostId: string;
+    readonly address: string;
+  }): Promise<boolean> {
     const after = this._revisions();
     const request: FollowRequest = { after, waitMs: FOLLOW_WAIT_MS };
     const timeoutMs = FOLLOW_WAIT_MS + FOLLOW_SLACK_MS;
     const reply = await this._hosts?.call(watcher.address, followCall, request, timeoutMs);
     if (reply?.ok && reply.value.kind === 'changes') {
-      this._noteSource(watcher.hostId, 'it watches');
-      this._take(after, reply.value.changes);
+      this._setSource(watcher.hostId, 'it watches');
+      this._applyChanges(after, reply.value.changes);
       return true;
     }
-    this._ownUntilMs = this._context.clock.nowMs() + OWN_WATCH_MS;
-    this._noteSource(
+    this._directUntilMs = this._context.clock.nowMs() + DIRECT_WATCH_MS;
+    this._setSource(
       undefined,
       reply?.ok === false ? reply.error.kind : 'the watching host has no fresh view',
     );
@@ -118,7 +121,7 @@
     return Object.fromEntries(feeds.map(([prefix, feed]) => [prefix, feed.revision]));
   }
 
-  private _take(after: Revisions, told: Readonly<Record<string, Changes>>): void {
+  private _applyChanges(after: Revisions, told: Readonly<Record<string, Changes>>): void {
     const nowMs = this._context.clock.nowMs();
     for (const [prefix, revision] of Object.entries(after)) {
       const changes = told[prefix];
@@ -127,9 +130,9 @@
   }
 
   /** The host to follow: the one of the own domain with the lowest identifier, unless that is this host. */
-  private _watcher(): { readonly hostId: string; readonly address: string } | undefined {
+  private _watchingHost(): { readonly hostId: string; readonly address: string } | undefined {
     const hosts = this._hosts;
-    if (!hosts?.isSynced() || this._context.clock.nowMs() < this._ownUntilMs) return undefined;
+    if (!hosts?.isSynced() || this._context.clock.nowMs() < this._directUntilMs) return undefined;
     const self = hosts.self();
     let lowest = self;
     for (const peer of hosts.peers())
@@ -137,14 +140,14 @@
     return lowest.hostId === self.hostId ? undefined : lowest;
   }
 
-  private _noteSource(hostId: string | undefined, reason: string): void {
-    if (hostId === this._followed) return;
-    this._followed = hostId;
+  private _setSource(hostId: string | undefined, reason: string): void {
+    if (hostId === this._followedHostId) return;
+    this._followedHostId = hostId;
     this._context.log.info('watch', { follows: hostId ?? 'the store', reason });
   }
 
   /** Changes that come close together are read in one call. */
-  private async _space(feed: WatchFeed): Promise<void> {
+  private async _awaitSpacing(feed: WatchFeed): Promise<void> {
     const { clock, stopped } = this._context;
     const leftMs = feed.spacingLeftMs(clock.nowMs());
     if (leftMs > 0) await sleep(clock, leftMs, stopped);
@@ -153,8 +156,8 @@
   private async _serveFollower({ after, waitMs }: FollowRequest): Promise<FollowReply> {
     const { clock } = this._context;
     const endMs = clock.nowMs() + waitMs;
-    while (this._freshForMs(after) > 0 && !this._hasNews(after) && clock.nowMs() < endMs)
-      await this._change(Math.min(this._freshForMs(after), endMs - clock.nowMs()));
+    while (this._freshForMs(after) > 0 && !this._hasChanges(after) && clock.nowMs() < endMs)
+      await this._nextChange(Math.min(this._freshForMs(after), endMs - clock.nowMs()));
     return this._freshForMs(after) > 0 ? this._replyOf(after) : { kind: 'not-watching' };
   }
 
@@ -168,7 +171,7 @@
     return { kind: 'changes', changes };
   }
 
-  private _hasNews(after: Revisions): boolean {
+  private _hasChanges(after: Revisions): boolean {
     return Object.entries(after).some(([prefix, revision]) =>
       this._feeds.get(prefix)?.hasChangesAfter(revision),
     );
@@ -176,23 +179,23 @@
 
   /** How long this host's view of all these prefixes is still good; 0 if it does not watch the store itself. */
   private _freshForMs(after: Revisions): number {
-    if (this._followed !== undefined) return 0;
+    if (this._followedHostId !== undefined) return 0;
     const nowMs = this._context.clock.nowMs();
     const fresh = Object.keys(after).map(prefix => this._feeds.get(prefix)?.freshForMs(nowMs) ?? 0);
     return Math.max(0, Math.min(...fresh));
   }
 
   private _wakeFollowers(): void {
-    const wake = this._wake;
-    this._wake = [];
-    for (const run of wake) run();
+    const waiters = this._waiters;
+    this._waiters = [];
+    for (const run of waiters) run();
   }
 
   /** Resolves at the next news, or after the time. */
-  private async _change(waitMs: number): Promise<void> {
+  private async _nextChange(waitMs: number): Promise<void> {
     await new Promise<void>(resolve => {
       const cancel = this._context.clock.after(waitMs, resolve);
-      this._wake.push(() => {
+      this._waiters.push(() => {
         cancel();
         resolve();
       });
--- a/packages/gateway/src/storeLease.ts
+++ b/packages/gateway/src/storeLease.ts
@@ -92,16 +92,16 @@
     while (!stopped.aborted && !this._isReleased) {
       const waitMs = this._leaseId === undefined ? this._holder.acquireDelayMs() : 0;
       if (waitMs > 0) {
-        await this._rest(waitMs);
+        await this._idle(waitMs);
         continue;
       }
-      const isHeld = this._leaseId === undefined ? await this._take() : await this._renew(this._leaseId);
+      const isHeld = this._leaseId === undefined ? await this._acquire() : await this._renew(this._leaseId);
       await sleep(clock, isHeld ? this._times.renewMs : RETRY_MS, stopped);
     }
   }
 
   /** Ends after the time, when somebody asks to look, or when the process stops. */
-  private async _rest(waitMs: number): Promise<void> {
+  private async _idle(waitMs: number): Promise<void> {
     const { clock, stopped } = this._context;
     await new Promise<void>(resolve => {
       const end = (): void => {
@@ -116,7 +116,7 @@
     });
   }
 
-  private async _take(): Promise<boolean> {
+  private async _acquire(): Promise<boolean> {
     const sentMs = this._context.clock.nowMs();
     const lease = await this._store.grantLease(this._times.ttlMs, this._deadline());
     if (!lease.ok || this._isReleased) return false;
@@ -137,15 +137,15 @@
 
   private async _renew(leaseId: string): Promise<boolean> {
     const sentMs = this._context.clock.nowMs();
-    const kept = await this._store.keepLease(leaseId, this._deadline());
+    const renewed = await this._store.keepLease(leaseId, this._deadline());
     // Given up meanwhile: the key may be another host's by now.
     if (this._leaseId !== leaseId) return false;
-    if (kept.ok && kept.value) {
+    if (renewed.ok && renewed.value) {
       this._holder.held(this._token, sentMs);
       return true;
     }
     // No answer says nothing: the lease may still stand, and its own end guards what depends on it.
-    if (!kept.ok) return false;
+    if (!renewed.ok) return false;
     this._leaseId = undefined;
     this._holder.lost('the store no longer knows the lease');
     return false;
--- a/packages/gateway/src/storeMirror.ts
+++ b/packages/gateway/src/storeMirror.ts
@@ -33,7 +33,7 @@
 }
 
 /** Beyond the watch's own wait: a round trip to a slow store. */
-const ANSWER_MS = 1500;
+const RESPONSE_GRACE_MS = 1500;
 const SNAPSHOT_TIMEOUT_MS = 1500;
 /** Pause after a call that failed: short against the seconds in which changes must be known. */
 const RETRY_MS = 250;
@@ -43,11 +43,11 @@
   private readonly _store: MirrorSource;
   private readonly _options: MirrorOptions;
   private readonly _listener: MirrorListener;
-  private readonly _known = new Map<string, StoredValue>();
+  private readonly _items = new Map<string, StoredValue>();
   private _revision: number | undefined;
-  private _heardMs = -Infinity;
-  private _failedMs = -Infinity;
-  private _isLost = false;
+  private _lastReplyMs = -Infinity;
+  private _lastFailureMs = -Infinity;
+  private _isDisconnected = false;
 
   constructor(
     context: GatewayContext,
@@ -72,30 +72,30 @@
 
   /** Milliseconds since the store last answered. */
   ageMs(): number {
-    return this._context.clock.nowMs() - this._heardMs;
+    return this._context.clock.nowMs() - this._lastReplyMs;
   }
 
   /** Milliseconds since the store last failed to answer. */
   sinceFailureMs(): number {
-    return this._context.clock.nowMs() - this._failedMs;
+    return this._context.clock.nowMs() - this._lastFailureMs;
   }
 
   private async _run(): Promise<void> {
     const { stopped, clock } = this._context;
     while (!stopped.aborted) {
-      const isGood = this._revision === undefined ? await this._read() : await this._watch(this._revision);
-      await sleep(clock, isGood ? this._options.spacingMs : RETRY_MS, stopped);
+      const isSuccess = this._revision === undefined ? await this._read() : await this._watch(this._revision);
+      await sleep(clock, isSuccess ? this._options.spacingMs : RETRY_MS, stopped);
     }
   }
 
   private async _read(): Promise<boolean> {
     const deadline = Deadline.after(this._context.clock, SNAPSHOT_TIMEOUT_MS);
     const snapshot = await this._store.snapshot(this._options.prefix, deadline);
-    if (!snapshot.ok) return this._failed(snapshot.error);
-    this._heard();
+    if (!snapshot.ok) return this._onFailure(snapshot.error);
+    this._onReply();
     const present = new Set(snapshot.value.items.map(item => item.key));
-    for (const item of snapshot.value.items) this._take(item);
-    for (const key of [...this._known.keys()]) if (!present.has(key)) this._drop(key);
+    for (const item of snapshot.value.items) this._apply(item);
+    for (const key of [...this._items.keys()]) if (!present.has(key)) this._remove(key);
     this._revision = snapshot.value.revision;
     this._listener.synced?.();
     return true;
@@ -103,46 +103,46 @@
 
   private async _watch(after: number): Promise<boolean> {
     const { prefix, waitMs } = this._options;
-    const responseGraceMs = this._options.responseGraceMs ?? ANSWER_MS;
+    const responseGraceMs = this._options.responseGraceMs ?? RESPONSE_GRACE_MS;
     const deadline = Deadline.after(this._context.clock, waitMs + responseGraceMs);
     const changes = await this._store.changes(prefix, after, waitMs, deadline);
     if (!changes.ok) {
-      if (changes.error !== 'compacted') return this._failed(changes.error);
+      if (changes.error !== 'compacted') return this._onFailure(changes.error);
       this._context.log.info('store history is gone, reading anew', { prefix, afterRevision: after });
       this._revision = undefined;
       return true;
     }
-    this._heard();
+    this._onReply();
     for (const { key, value, version } of changes.value.events) {
-      if (value === undefined) this._drop(key);
-      else this._take({ key, value, version });
+      if (value === undefined) this._remove(key);
+      else this._apply({ key, value, version });
     }
     this._revision = Math.max(after, changes.value.revision);
     return true;
   }
 
-  private _take(value: StoredValue): void {
-    const known = this._known.get(value.key);
+  private _apply(value: StoredValue): void {
+    const known = this._items.get(value.key);
     if (known && known.version >= value.version) return;
-    this._known.set(value.key, value);
+    this._items.set(value.key, value);
     this._listener.changed(value);
   }
 
-  private _drop(key: string): void {
-    if (this._known.delete(key)) this._listener.removed(key);
+  private _remove(key: string): void {
+    if (this._items.delete(key)) this._listener.removed(key);
   }
 
-  private _heard(): void {
-    this._heardMs = this._context.clock.nowMs();
-    if (!this._isLost) return;
-    this._isLost = false;
+  private _onReply(): void {
+    this._lastReplyMs = this._context.clock.nowMs();
+    if (!this._isDisconnected) return;
+    this._isDisconnected = false;
     this._context.log.info('dependency regained', { dependency: 'store', prefix: this._options.prefix });
   }
 
-  private _failed(error: string): false {
-    this._failedMs = this._context.clock.nowMs();
-    if (!this._isLost) {
-      this._isLost = true;
+  private _onFailure(error: string): false {
+    this._lastFailureMs = this._context.clock.nowMs();
+    if (!this._isDisconnected) {
+      this._isDisconnected = true;
       const { prefix } = this._options;
       this._context.log.warn('dependency lost', { dependency: 'store', prefix, error });
     }
--- a/packages/gateway/src/usageReporter.ts
+++ b/packages/gateway/src/usageReporter.ts
@@ -33,21 +33,21 @@
 /** Seconds matter less here than calls to the store: a report is due well after a successor has taken over. */
 const LEASE = { ttlMs: 3000, renewMs: 1000, validityMs: 2500, marginMs: 600 };
 /** A call that connects within this and is answered within that: the connection decides when it may still arrive. */
-const CALL_TIMEOUT_MS = 1500;
-const ARRIVAL_MS = 500;
+const ANSWER_TIMEOUT_MS = 1500;
+const CONNECT_TIMEOUT_MS = 500;
 /** What a host tells in time may be on its way for so long. */
-const TELL_SLACK_MS = 400;
+const DELIVERY_SLACK_MS = 400;
 /** Hosts tell a new reporter everything anew within this. */
-const RETELL_MS = 2500;
+const RESEND_MS = 2500;
 /** Before a report is due, so much time is kept for sending it again. */
 const SEND_RESERVE_MS = 4000;
 const RETRY_MS = 300;
 /** What hosts told is kept for a successor this often, if it fits. */
-const KEEP_MS = 1000;
-const MAX_KEPT_CHARS = 16_384;
+const STORE_INTERVAL_MS = 1000;
+const MAX_STORED_CHARS = 16_384;
 /** Failures in a row after which another host may have a way to the platform that this one lacks. */
 const MAX_FAILURES = 4;
-const ASIDE_MS = 6000;
+const YIELD_MS = 6000;
 
 export interface UsageReporterOptions {
   readonly windowMs: number;
@@ -72,16 +72,16 @@
   private readonly _duty: DutyLease;
   private readonly _records: UsageRecords;
   private readonly _pauses: PauseDetector;
-  private readonly _clocks = new ClockVote();
+  private readonly _clockVote = new ClockVote();
   private readonly _ledger = new UsageLedger();
   /** What this holder knows of the windows before; undefined until it has read them. */
   private _progress: { readonly settledUpTo: number; readonly revision: number } | undefined;
   private _decided = new Map<number, UsageReport>();
-  private _takenMs = -Infinity;
+  private _acquiredMs = -Infinity;
   private _pausedUntilMs = -Infinity;
   private _isBusy = false;
-  private _kept = '';
-  private _keepAtMs = -Infinity;
+  private _storedText = '';
+  private _storeAtMs = -Infinity;
   private _failures = 0;
 
   constructor(context: GatewayContext, ports: UsagePorts, options: UsageReporterOptions) {
@@ -106,9 +106,9 @@
   /** Takes in what a host tells. */
   receive(told: UsageUpdate): UsageUpdateReply {
     if (!this._duty.isHolder()) return { kind: 'not-reporter' };
-    this._noticePause();
+    this._checkPause();
     const { clock } = this._context;
-    this._clocks.observe(told.hostId, told.wallMs, clock.nowMs());
+    this._clockVote.observe(told.hostId, told.wallMs, clock.nowMs());
     this._logLate(told);
     this._ledger.told(told);
     return { kind: 'taken', trueMs: this._trueMs(), decidedUpTo: this._decidedUpTo() };
@@ -116,32 +116,32 @@
 
   /** What this process was told before still holds: hosts tell it again only to a process that does not know it. */
   taken(): void {
-    this._takenMs = this._context.clock.nowMs();
+    this._acquiredMs = this._context.clock.nowMs();
     this._progress = undefined;
     this._decided = new Map();
     this._failures = 0;
   }
 
   tick(): void {
-    this._noticePause();
+    this._checkPause();
     if (this._isBusy || this._context.clock.nowMs() < this._pausedUntilMs) return;
     this._isBusy = true;
     this._duty.track(this._step());
   }
 
   private async _step(): Promise<void> {
-    if (await this._work()) this._pausedUntilMs = -Infinity;
+    if (await this._processNext()) this._pausedUntilMs = -Infinity;
     else this._pause();
     this._isBusy = false;
   }
 
   /** The next thing to do; false if it failed and is to be tried again after a pause. */
-  private async _work(): Promise<boolean> {
-    const progress = this._progress ?? (await this._read());
+  private async _processNext(): Promise<boolean> {
+    const progress = this._progress ?? (await this._readProgress());
     if (!progress) return false;
     const window = progress.settledUpTo + 1;
     if (!this._isDue(window)) {
-      await this._keepTold(progress.revision);
+      await this._storePending(progress.revision);
       return true;
     }
     const report = this._decided.get(window) ?? (await this._decide(window, progress.revision));
@@ -155,12 +155,12 @@
   }
 
   /** Reads how far the holder before came. Windows whose time has passed are given up. */
-  private async _read(): Promise<UsageReporter['_progress']> {
+  private async _readProgress(): Promise<UsageReporter['_progress']> {
     const read = await this._records.read();
     if (!read.ok) return undefined;
     const { settledUpTo, revision, decided, told } = read.value;
     const { windowMs, dueMs } = this._options;
-    if (settledUpTo === undefined) return this._beginAt(windowAt(this._trueMs(), windowMs) - 1);
+    if (settledUpTo === undefined) return this._initializeAt(windowAt(this._trueMs(), windowMs) - 1);
     const firstInTime = windowAt(this._trueMs() - dueMs, windowMs);
     const from = Math.max(settledUpTo, firstInTime - 1);
     if (from > settledUpTo)
@@ -170,31 +170,31 @@
         reason: 'nobody could report in time',
       });
     for (const report of decided) if (report.window > from) this._decided.set(report.window, report);
-    for (const words of told) this._ledger.told(words);
+    for (const usage of told) this._ledger.told(usage);
     this._ledger.dropThrough(from);
     this._progress = { settledUpTo: from, revision };
     return this._progress;
   }
 
   /** Nothing was ever reported. Noted at once: a successor that found no note would begin with its own first window. */
-  private async _beginAt(settledUpTo: number): Promise<UsageReporter['_progress']> {
+  private async _initializeAt(settledUpTo: number): Promise<UsageReporter['_progress']> {
     const settled = await this._records.settle(settledUpTo, 0);
     if (settled.ok) this._progress = { settledUpTo, revision: settled.value };
     return this._progress;
   }
 
   /** Keeps what was told since the last time; small on purpose, and left out where it grows large. */
-  private async _keepTold(revision: number): Promise<void> {
+  private async _storePending(revision: number): Promise<void> {
     const nowMs = this._context.clock.nowMs();
-    if (nowMs < this._keepAtMs) return;
-    this._keepAtMs = nowMs + KEEP_MS;
+    if (nowMs < this._storeAtMs) return;
+    this._storeAtMs = nowMs + STORE_INTERVAL_MS;
     const all = JSON.stringify(this._ledger.undecided());
-    const text = all.length <= MAX_KEPT_CHARS ? all : JSON.stringify(this._ownWords());
-    if (text === this._kept || text.length > MAX_KEPT_CHARS) return;
-    if (await this._records.storePending(text, revision)) this._kept = text;
+    const text = all.length <= MAX_STORED_CHARS ? all : JSON.stringify(this._ownUsage());
+    if (text === this._storedText || text.length > MAX_STORED_CHARS) return;
+    if (await this._records.storePending(text, revision)) this._storedText = text;
   }
 
-  private _ownWords(): readonly ProcessUsage[] {
+  private _ownUsage(): readonly ProcessUsage[] {
     return this._ledger.undecided().filter(({ incarnation }) => incarnation === this._context.incarnation);
   }
 
@@ -203,9 +203,9 @@
     const { windowMs, dueMs } = this._options;
     const sinceEndMs = this._trueMs() - windowEndMs(window, windowMs);
     // A host that was not busy before may have counted something just now.
-    if (sinceEndMs < sendIntervalMs(this._ports.hosts.peers().length) + TELL_SLACK_MS) return false;
+    if (sinceEndMs < sendIntervalMs(this._ports.hosts.peers().length) + DELIVERY_SLACK_MS) return false;
     if (this._decided.has(window) || sinceEndMs >= dueMs - SEND_RESERVE_MS) return true;
-    if (this._context.clock.nowMs() < this._takenMs + RETELL_MS) return false;
+    if (this._context.clock.nowMs() < this._acquiredMs + RESEND_MS) return false;
     return this._missing(window).length === 0;
   }
 
@@ -242,9 +242,9 @@
   private async _send(report: UsageReport): Promise<DutyAnswer | 'no-right'> {
     const fencingToken = this._duty.token();
     if (fencingToken === undefined || !this._duty.canActOn(SUBJECT)) return 'no-right';
-    this._duty.recordAct(SUBJECT, this._context.clock.nowMs() + ARRIVAL_MS);
+    this._duty.recordAct(SUBJECT, this._context.clock.nowMs() + CONNECT_TIMEOUT_MS);
     const act = { holder: this._context.hostId, fencingToken };
-    const timeouts = { connectMs: ARRIVAL_MS, answerMs: CALL_TIMEOUT_MS };
+    const timeouts = { connectMs: CONNECT_TIMEOUT_MS, answerMs: ANSWER_TIMEOUT_MS };
     return this._ports.duties.reportUsage(act, report, timeouts);
   }
 
@@ -268,7 +268,7 @@
     this._failures = 0;
     this._context.log.warn('usage lease', { change: 'left to another host', reason: answer });
     // Not awaited: it waits for this very step to end.
-    void this._duty.yieldFor(ASIDE_MS);
+    void this._duty.yieldFor(YIELD_MS);
   }
 
   private _pause(): void {
@@ -306,11 +306,11 @@
   private _trueMs(): number {
     const { clock, hostId } = this._context;
     const nowMs = clock.nowMs();
-    this._clocks.observe(hostId, clock.wallMs(), nowMs);
-    return nowMs + (this._clocks.offsetMs(nowMs) ?? clock.wallMs() - nowMs);
+    this._clockVote.observe(hostId, clock.wallMs(), nowMs);
+    return nowMs + (this._clockVote.offsetMs(nowMs) ?? clock.wallMs() - nowMs);
   }
 
-  private _noticePause(): void {
-    if (this._pauses.wasPaused()) this._clocks.reset();
+  private _checkPause(): void {
+    if (this._pauses.wasPaused()) this._clockVote.reset();
   }
 }
--- a/packages/gateway/src/usageSender.ts
+++ b/packages/gateway/src/usageSender.ts
@@ -24,17 +24,17 @@
 export const usageUpdateCall = defineCall('usageTold', usageUpdateSchema, usageUpdateReplySchema);
 
 /** Counts are told so long after the first of them, together with those that came meanwhile. */
-const TELL_MS = 1000;
+const SEND_DELAY_MS = 1000;
 /** In a large fleet the reporter hears no more than so many messages a second. */
-const MAX_TELLS_A_SECOND = 100;
-const TELL_TIMEOUT_MS = 1000;
+const MAX_MESSAGES_PER_SECOND = 100;
+const SEND_TIMEOUT_MS = 1000;
 /** A reporter that did not answer, or does not exist yet, is looked for again after this. */
 const RETRY_MS = 500;
-const MS_A_SECOND = 1000;
+const MS_PER_SECOND = 1000;
 
 /** A host tells what it counted so long after it, at the latest. */
 export function sendIntervalMs(hosts: number): number {
-  return Math.max(TELL_MS, (hosts / MAX_TELLS_A_SECOND) * MS_A_SECOND);
+  return Math.max(SEND_DELAY_MS, (hosts / MAX_MESSAGES_PER_SECOND) * MS_PER_SECOND);
 }
 
 export type UsageHosts = Pick<Hosts, 'self' | 'peers' | 'call' | 'onKeyChange'> & {
@@ -50,7 +50,7 @@
   private readonly _meter: UsageMeter;
   private readonly _hosts: UsageHosts;
   private readonly _reporterKey: string;
-  private readonly _take: ReceiveUsage;
+  private readonly _receiveLocally: ReceiveUsage;
   private readonly _pauses: PauseDetector;
   /** When it is told next; Infinity while nothing is to tell. */
   private _dueMs = Infinity;
@@ -58,7 +58,7 @@
   private _reporter: Owner | undefined;
   /** How the last try failed: each of a row of failures would fill the log. */
   private _lastFailure: string | undefined;
-  private _isTelling = false;
+  private _isSending = false;
 
   /** `reporterKey`: its value names the host that reports. */
   constructor(
@@ -66,92 +66,92 @@
     meter: UsageMeter,
     hosts: UsageHosts,
     reporterKey: string,
-    take: ReceiveUsage,
+    receiveLocally: ReceiveUsage,
   ) {
     this._context = context;
     this._meter = meter;
     this._hosts = hosts;
     this._reporterKey = reporterKey;
-    this._take = take;
+    this._receiveLocally = receiveLocally;
     this._pauses = new PauseDetector(context.clock);
   }
 
   start(): void {
-    this._hosts.onKeyChange(this._reporterKey, () => this._lookAtReporter());
+    this._hosts.onKeyChange(this._reporterKey, () => this._onReporterKeyChange());
   }
 
   /** A request of an account is sent to an endpoint. */
   sent(accountName: string): MeteredRequest {
-    this._noticePause();
+    this._checkPause();
     const send = this._meter.sent(accountName, this._context.clock.nowMs());
     return {
       ended: didBegin => {
         send.ended(didBegin);
-        if (didBegin) this._tellIn(this._spacingMs());
+        if (didBegin) this._scheduleSend(this._sendIntervalMs());
       },
     };
   }
 
-  private _spacingMs(): number {
+  private _sendIntervalMs(): number {
     return sendIntervalMs(this._hosts.peers().length);
   }
 
-  private _lookAtReporter(): void {
-    this._noticeReporter();
-    if (this._meter.hasUnreported()) this._tellIn(this._context.random.below(TELL_MS));
+  private _onReporterKeyChange(): void {
+    this._updateReporter();
+    if (this._meter.hasUnreported()) this._scheduleSend(this._context.random.below(SEND_DELAY_MS));
   }
 
   /** A process that did not report before knows nothing of what was told to others. */
-  private _noticeReporter(): void {
-    const reporter = this._reporterNow();
+  private _updateReporter(): void {
+    const reporter = this._currentReporter();
     if (!reporter || (this._reporter && isSameOwner(reporter, this._reporter))) return;
     this._reporter = reporter;
     this._meter.reporterChanged();
   }
 
-  private _reporterNow(): Owner | undefined {
+  private _currentReporter(): Owner | undefined {
     const hostId = this._hosts.valueOfKey(this._reporterKey);
     if (hostId === this._context.hostId) return this._hosts.self();
     return this._hosts.peers().find(peer => peer.hostId === hostId);
   }
 
   /** A time that was learnt before a pause, or before the clock was set, says nothing of what comes after. */
-  private _noticePause(): void {
+  private _checkPause(): void {
     if (this._pauses.wasPaused()) this._meter.undated();
   }
 
-  private _tellIn(delayMs: number): void {
+  private _scheduleSend(delayMs: number): void {
     const { clock, stopped } = this._context;
     const dueMs = clock.nowMs() + Math.max(0, delayMs);
-    if (dueMs >= this._dueMs || this._isTelling || stopped.aborted) return;
+    if (dueMs >= this._dueMs || this._isSending || stopped.aborted) return;
     this._cancel();
     this._dueMs = dueMs;
     this._cancel = clock.after(Math.max(0, delayMs), () => {
       this._dueMs = Infinity;
-      void this._tell();
+      void this._runSend();
     });
   }
 
-  private async _tell(): Promise<void> {
-    this._isTelling = true;
-    this._noticePause();
-    const isTold = await this._tellOnce();
-    this._isTelling = false;
+  private async _runSend(): Promise<void> {
+    this._isSending = true;
+    this._checkPause();
+    const isSent = await this._sendUsage();
+    this._isSending = false;
     this._dropExpired();
     const nowMs = this._context.clock.nowMs();
-    if (!isTold) {
-      this._tellIn(RETRY_MS);
+    if (!isSent) {
+      this._scheduleSend(RETRY_MS);
       return;
     }
     const finalMs = this._meter.nextFinalMs(nowMs);
-    if (this._meter.hasUnreported()) this._tellIn(this._spacingMs());
-    else if (finalMs !== undefined) this._tellIn(Math.max(finalMs - nowMs, RETRY_MS / 2));
+    if (this._meter.hasUnreported()) this._scheduleSend(this._sendIntervalMs());
+    else if (finalMs !== undefined) this._scheduleSend(Math.max(finalMs - nowMs, RETRY_MS / 2));
   }
 
   /** Learns what time it is first, where that is not known, and tells then: counts belong to windows of true time. */
-  private async _tellOnce(): Promise<boolean> {
+  private async _sendUsage(): Promise<boolean> {
     if (!this._meter.hasClockOffset() && !(await this._exchange([], () => undefined))) return false;
-    this._noticeReporter();
+    this._updateReporter();
     const { windows, told } = this._meter.nextUpdate(this._context.clock.nowMs());
     return windows.length === 0 || this._exchange(windows, told);
   }
@@ -175,10 +175,10 @@
   }
 
   private async _send(request: UsageUpdate): Promise<Result<UsageUpdateReply, CallError>> {
-    const reporter = this._reporterNow();
+    const reporter = this._currentReporter();
     if (!reporter) return err({ kind: 'not-sent', text: 'nobody reports' });
-    if (isSameOwner(reporter, this._hosts.self())) return ok(this._take(request));
-    return this._hosts.call(reporter.address, usageUpdateCall, request, TELL_TIMEOUT_MS);
+    if (isSameOwner(reporter, this._hosts.self())) return ok(this._receiveLocally(request));
+    return this._hosts.call(reporter.address, usageUpdateCall, request, SEND_TIMEOUT_MS);
   }
 
   private _dropExpired(): void {
--- a/packages/gateway/src/usageService.ts
+++ b/packages/gateway/src/usageService.ts
@@ -21,8 +21,8 @@
 }
 
 export class UsageService {
-  private readonly _reports: UsageReporter;
-  private readonly _teller: UsageSender;
+  private readonly _reporter: UsageReporter;
+  private readonly _sender: UsageSender;
 
   /** `storeOf`: the store, with its calls counted under a name. */
   constructor(
@@ -38,26 +38,26 @@
       duties: options.duties,
       lastHandover: () => hosts.handover(LAST_USAGE_KEY),
     };
-    this._reports = new UsageReporter(context, ports, options);
+    this._reporter = new UsageReporter(context, ports, options);
     const meter = new UsageMeter({ windowMs: options.windowMs, keepMs: options.dueMs });
-    this._teller = new UsageSender(context, meter, hosts, USAGE_KEY, told => this._reports.receive(told));
+    this._sender = new UsageSender(context, meter, hosts, USAGE_KEY, told => this._reporter.receive(told));
   }
 
   serve(server: CallRegistry): void {
-    server.handle(usageUpdateCall, told => this._reports.receive(told));
+    server.handle(usageUpdateCall, told => this._reporter.receive(told));
   }
 
   start(): void {
-    this._reports.start();
-    this._teller.start();
+    this._reporter.start();
+    this._sender.start();
   }
 
   async stop(): Promise<void> {
-    await this._reports.stop();
+    await this._reporter.stop();
   }
 
   /** A request of an account is sent to an endpoint. */
   sent(accountName: string): MeteredRequest {
-    return this._teller.sent(accountName);
+    return this._sender.sent(accountName);
   }
 }
--- a/packages/gateway/src/watchFeed.ts
+++ b/packages/gateway/src/watchFeed.ts
@@ -6,7 +6,7 @@
 /** Changes that are kept: several seconds of a pool of hundreds of endpoints. */
 const MAX_EVENTS = 2000;
 /** A shorter watch only asks whether the store is there. */
-const LEAST_WAIT_MS = 100;
+const MIN_WAIT_MS = 100;
 
 /** One prefix that is watched. */
 export interface WatchedPrefix {
@@ -24,12 +24,12 @@
 export class WatchFeed {
   readonly watched: WatchedPrefix;
   /** The news of each key, to tell a write without any. */
-  private readonly _news = new Map<string, string>();
+  private readonly _significantParts = new Map<string, string>();
   private _events: WatchEvent[] = [];
   /** The events are all news after `_fromRevision`, up to `_revision`. */
   private _fromRevision = Infinity;
   private _revision = 0;
-  private _heardMs = -Infinity;
+  private _updatedMs = -Infinity;
   private _changedMs = -Infinity;
 
   constructor(watched: WatchedPrefix) {
@@ -43,7 +43,7 @@
 
   /** How long what is known here may still be told; 0 or less if it is too old. */
   freshForMs(nowMs: number): number {
-    return this._heardMs + this.watched.validMs - nowMs;
+    return this._updatedMs + this.watched.validMs - nowMs;
   }
 
   /**
@@ -51,7 +51,7 @@
    * endpoints change now and then is silent for both, and its neighbours take its view for too old.
    */
   waitMs(nowMs: number): number {
-    return Math.max(LEAST_WAIT_MS, this.watched.waitMs - Math.max(0, nowMs - this._heardMs));
+    return Math.max(MIN_WAIT_MS, this.watched.waitMs - Math.max(0, nowMs - this._updatedMs));
   }
 
   /** How long to wait before the store is asked again, so that changes which come together are read together. */
@@ -61,25 +61,25 @@
 
   /** The prefix was read whole. */
   restart({ items, revision }: Snapshot, nowMs: number): void {
-    this._news.clear();
-    for (const { key, value } of items) this._isNews(key, value);
-    this._goOnFrom(revision);
-    this._heardMs = nowMs;
+    this._significantParts.clear();
+    for (const { key, value } of items) this._isSignificant(key, value);
+    this._resetTo(revision);
+    this._updatedMs = nowMs;
   }
 
   /** Takes changes in that came after a revision; true if there was news among them. */
   apply(afterRevision: number, changes: Changes, nowMs: number): boolean {
     // What came between is not known here: the feed begins anew.
-    if (afterRevision > this._revision) this._goOnFrom(afterRevision);
+    if (afterRevision > this._revision) this._resetTo(afterRevision);
     const known = this._revision;
     const news = changes.events.filter(
-      event => event.version > known && this._isNews(event.key, event.value),
+      event => event.version > known && this._isSignificant(event.key, event.value),
     );
     this._events.push(...news);
     const surplus = this._events.splice(0, Math.max(0, this._events.length - MAX_EVENTS));
     this._fromRevision = surplus.at(-1)?.version ?? this._fromRevision;
     this._revision = Math.max(known, changes.revision);
-    this._heardMs = nowMs;
+    this._updatedMs = nowMs;
     if (changes.events.length > 0) this._changedMs = nowMs;
     return news.length > 0;
   }
@@ -95,22 +95,22 @@
     return (this._events.at(-1)?.version ?? 0) > revision;
   }
 
-  private _goOnFrom(revision: number): void {
+  private _resetTo(revision: number): void {
     this._events = [];
     this._fromRevision = revision;
     this._revision = revision;
   }
 
-  private _isNews(key: string, value: string | undefined): boolean {
+  private _isSignificant(key: string, value: string | undefined): boolean {
     const { significantPart: newsOf } = this.watched;
     if (!newsOf) return true;
     if (value === undefined) {
-      this._news.delete(key);
+      this._significantParts.delete(key);
       return true;
     }
     const news = newsOf(value);
-    if (this._news.get(key) === news) return false;
-    this._news.set(key, news);
+    if (this._significantParts.get(key) === news) return false;
+    this._significantParts.set(key, news);
     return true;
   }
 }
--- a/packages/gateway/src/weightOrders.ts
+++ b/packages/gateway/src/weightOrders.ts
@@ -26,7 +26,7 @@
 
 /** An order is on its way for at most `marginMs`. */
 const LEASE = { ttlMs: 1500, renewMs: 300, validityMs: 1000, marginMs: 350 };
-const ASK_AGAIN_MS = 250;
+const ORDER_PAUSE_MS = 250;
 const ORDER_TIMEOUT_MS = 300;
 const REPORT_TIMEOUT_MS = 300;
 /** News for a peer that takes longer is old by then: its next heartbeat tells it too. */
@@ -41,7 +41,7 @@
   readBackAfterMs: 250,
 };
 /** A load takes about a second, and two when many load. */
-const WINDOW_PATIENCE_MS = 2500;
+const WINDOW_TIMEOUT_MS = 2500;
 /** Trainers accept tokens of the version before the one that they named last. */
 const ALLOWED_LAG = 1;
 
@@ -134,7 +134,8 @@
   private _loadsOf(pool: string, model: string, named: number, share: readonly Endpoint[]): ModelLoads {
     const planner = this._planner(pool, model);
     planner.setTarget({ pool, version: named, sequence: named, share: 1 });
-    for (const endpoint of share) if (endpoint.domain === this._domain) this._tell(planner, endpoint, model);
+    for (const endpoint of share)
+      if (endpoint.domain === this._domain) this._updatePlanner(planner, endpoint, model);
     for (const id of planner.toReadBack()) void this._readBack(id, model);
     const candidates = share.map(endpoint => ({
       id: endpoint.id,
@@ -151,7 +152,7 @@
     const planner = this._planner(pool, load.model);
     const isUsable = !this._busy.has(endpoint.id);
     for (const order of planner.next([{ id: endpoint.id, isUsable }], token))
-      this._duty.track(this._give(order, load.model, planner));
+      this._duty.track(this._sendOrder(order, load.model, planner));
   }
 
   /** False for an endpoint that loads, and for one that nobody orders now: others are loaded in its place. */
@@ -166,13 +167,13 @@
   private _windowOf(pool: string): LoadWindow {
     const known = this._windows.get(pool);
     if (known) return known;
-    const window = new LoadWindow(this._context.clock, WINDOW_PATIENCE_MS);
+    const window = new LoadWindow(this._context.clock, WINDOW_TIMEOUT_MS);
     this._windows.set(pool, window);
     return window;
   }
 
   /** Tells the planner a version that is news: each word counts as a reading, and puts the next one off. */
-  private _tell(planner: SwapPlanner, endpoint: Endpoint, model: string): void {
+  private _updatePlanner(planner: SwapPlanner, endpoint: Endpoint, model: string): void {
     const version = endpoint.versionOf(model);
     const startId = endpoint.startId();
     const known = planner.lastReadBack(endpoint.id);
@@ -190,38 +191,38 @@
   }
 
   /** Gives one order. The endpoint's own word is asked first: it may have the version already. */
-  private async _give(order: WeightOrder, model: string, planner: SwapPlanner): Promise<void> {
+  private async _sendOrder(order: WeightOrder, model: string, planner: SwapPlanner): Promise<void> {
     const endpoint = this._ports.endpoints.get(order.endpointId);
     if (!endpoint || this._busy.has(endpoint.id)) return;
     this._busy.add(endpoint.id);
-    const answer = await this._ask(endpoint, order, model);
+    const answer = await this._tryOrder(endpoint, order, model);
     this._busy.delete(endpoint.id);
-    const isGiven = answer === 'accepted' || answer === 'unknown' || answer === 'refused';
-    if (!isGiven) this._pauseOrders(endpoint.id);
+    const isSent = answer === 'accepted' || answer === 'unknown' || answer === 'refused';
+    if (!isSent) this._pauseOrders(endpoint.id);
     this._context.metrics.orders.inc({ answer });
     const { endpointId, version, token } = order;
     this._context.log.info('weight order', { endpointId, model, version, fencingToken: token, answer });
     // An order without an answer may be carried out: until that is known the endpoint counts as loading.
-    if (answer === 'accepted' || answer === 'unknown') this._loadBegan(endpoint, model, version);
-    if (!isGiven) planner.postponed(endpointId);
+    if (answer === 'accepted' || answer === 'unknown') this._onLoadBegan(endpoint, model, version);
+    if (!isSent) planner.postponed(endpointId);
     else planner.ended(endpointId, answer === 'refused' ? 'failed' : answer);
   }
 
   /** An endpoint that loads, or does not answer, is asked again after a moment and not at every turn. */
   private _pauseOrders(endpointId: string): void {
     this._busy.add(endpointId);
-    this._context.clock.after(ASK_AGAIN_MS, () => this._busy.delete(endpointId));
+    this._context.clock.after(ORDER_PAUSE_MS, () => this._busy.delete(endpointId));
   }
 
-  private async _ask(
+  private async _tryOrder(
     endpoint: Endpoint,
     order: WeightOrder,
     model: string,
   ): Promise<'accepted' | 'busy' | 'refused' | 'unknown' | 'no-report' | 'other-start' | 'no-lease'> {
     const report = await this._ports.client.report(endpoint.info(), REPORT_TIMEOUT_MS);
     if (!report) return 'no-report';
-    if (!this._isOfStart(endpoint, report)) return 'other-start';
-    for (const [name, version] of report.versions) this._saw(endpoint, name, version);
+    if (!this._isSameStart(endpoint, report)) return 'other-start';
+    for (const [name, version] of report.versions) this._onVersionSeen(endpoint, name, version);
     if ((report.versions.get(model) ?? 0) >= order.version) return 'accepted';
     if (report.isBusy) return 'busy';
     // The report took its time: the right to order is checked again at the very moment of the order.
@@ -248,16 +249,16 @@
     this._busy.add(endpointId);
     const report = await this._ports.client.report(endpoint.info(), REPORT_TIMEOUT_MS);
     this._busy.delete(endpointId);
-    if (!report || !this._isOfStart(endpoint, report)) return;
+    if (!report || !this._isSameStart(endpoint, report)) return;
     const version = report.versions.get(model);
-    if (version !== undefined) this._saw(endpoint, model, version);
+    if (version !== undefined) this._onVersionSeen(endpoint, model, version);
   }
 
   /**
    * False for a report of another start of the endpoint: its count of orders and its versions say nothing about this one.
    * A later start takes this one's place at once.
    */
-  private _isOfStart(endpoint: Endpoint, report: WeightReport): boolean {
+  private _isSameStart(endpoint: Endpoint, report: WeightReport): boolean {
     const { startWallMs, versions } = report;
     if (startWallMs === undefined || startWallMs === endpoint.info().startWallMs) return true;
     this._ports.endpoints.restarted(endpoint.id, startWallMs, versions);
@@ -265,20 +266,20 @@
   }
 
   /** Owners of batches must know a new version at once: until then the endpoint stays empty. */
-  private _saw(endpoint: Endpoint, model: string, version: number): void {
+  private _onVersionSeen(endpoint: Endpoint, model: string, version: number): void {
     if (version <= endpoint.versionOf(model)) return;
     endpoint.heardVersion(model, version);
-    this._tellPeers(calls.versionSeen, newsOf(endpoint, model, version));
+    this._notifyPeers(calls.versionSeen, toEndpointVersion(endpoint, model, version));
   }
 
   /** Holders of other domains count the loads that run, or too many endpoints would load at once. */
-  private _loadBegan(endpoint: Endpoint, model: string, version: number): void {
+  private _onLoadBegan(endpoint: Endpoint, model: string, version: number): void {
     if (version <= endpoint.versionOf(model)) return;
     endpoint.loadBegan(model, version);
-    this._tellPeers(calls.loadBegan, newsOf(endpoint, model, version));
+    this._notifyPeers(calls.loadBegan, toEndpointVersion(endpoint, model, version));
   }
 
-  private _tellPeers(call: typeof calls.versionSeen, news: EndpointVersion): void {
+  private _notifyPeers(call: typeof calls.versionSeen, news: EndpointVersion): void {
     for (const peer of this._ports.hosts.peers())
       void this._ports.hosts.call(peer.address, call, news, PEER_TIMEOUT_MS);
   }
@@ -287,22 +288,22 @@
 /** Takes in what the hosts that give orders tell. */
 export function serveVersions(server: CallRegistry, endpoints: EndpointDirectory): void {
   server.handle(calls.versionSeen, news => {
-    startOf(endpoints, news)?.heardVersion(news.model, news.version);
+    endpointOfStart(endpoints, news)?.heardVersion(news.model, news.version);
     return {};
   });
   server.handle(calls.loadBegan, news => {
-    startOf(endpoints, news)?.loadBegan(news.model, news.version);
+    endpointOfStart(endpoints, news)?.loadBegan(news.model, news.version);
     return {};
   });
 }
 
-function newsOf(endpoint: Endpoint, model: string, version: number): EndpointVersion {
+function toEndpointVersion(endpoint: Endpoint, model: string, version: number): EndpointVersion {
   const { startWallMs } = endpoint.info();
   return { endpointId: endpoint.id, startWallMs, model, version };
 }
 
 /** The endpoint, if the news are of the start that this host knows. */
-function startOf(
+function endpointOfStart(
   endpoints: EndpointDirectory,
   { endpointId, startWallMs }: EndpointVersion,
 ): Endpoint | undefined {
--- a/packages/metering/src/clockVote.ts
+++ b/packages/metering/src/clockVote.ts
@@ -11,7 +11,7 @@
 interface Vote {
   /** Wall time of a host less this process's monotonic time. */
   readonly offsetMs: number;
-  readonly heardMs: number;
+  readonly observedMs: number;
 }
 
 export class ClockVote {
@@ -19,7 +19,7 @@
 
   /** A host's wall clock showed `wallMs` at this process's monotonic time `nowMs`. */
   observe(hostId: string, wallMs: number, nowMs: number): void {
-    this._votes.set(hostId, { offsetMs: wallMs - nowMs, heardMs: nowMs });
+    this._votes.set(hostId, { offsetMs: wallMs - nowMs, observedMs: nowMs });
   }
 
   /** This process stood still: what was heard before says nothing any more. */
@@ -29,7 +29,8 @@
 
   /** True wall time less this process's monotonic time: the median of the votes. Undefined without any. */
   offsetMs(nowMs: number): number | undefined {
-    for (const [hostId, vote] of this._votes) if (nowMs - vote.heardMs > VALID_MS) this._votes.delete(hostId);
+    for (const [hostId, vote] of this._votes)
+      if (nowMs - vote.observedMs > VALID_MS) this._votes.delete(hostId);
     const offsets = [...this._votes.values()].map(vote => vote.offsetMs).sort((a, b) => a - b);
     const middle = Math.floor((offsets.length - 1) / 2);
     const [low, high] = [offsets[middle], offsets[offsets.length - 1 - middle]];
--- a/packages/metering/src/usageLedger.ts
+++ b/packages/metering/src/usageLedger.ts
@@ -13,25 +13,25 @@
   readonly incarnation: string;
 }
 
-interface TellerWindows {
-  readonly teller: UsageSource;
+interface SourceWindows {
+  readonly source: UsageSource;
   readonly windows: Map<number, HostWindow>;
   /** Windows in which it counted something, also some that are decided. */
   readonly busy: Set<number>;
 }
 
 export class UsageLedger {
-  private readonly _tellers = new Map<string, TellerWindows>();
+  private readonly _sources = new Map<string, SourceWindows>();
 
   /** Takes in what a host tells; what it told of a window before is replaced by what has grown since. */
   told({ hostId, incarnation, windows }: ProcessUsage): void {
     const key = `${hostId}\n${incarnation}`;
-    const entry: TellerWindows = this._tellers.get(key) ?? {
-      teller: { hostId, incarnation },
+    const entry: SourceWindows = this._sources.get(key) ?? {
+      source: { hostId, incarnation },
       windows: new Map(),
       busy: new Set(),
     };
-    this._tellers.set(key, entry);
+    this._sources.set(key, entry);
     for (const told of windows) {
       if (isOlder(told, entry.windows.get(told.window))) continue;
       entry.windows.set(told.window, told);
@@ -42,7 +42,7 @@
   /** The counts of all hosts together, their accounts in order. */
   countsOf(window: number): UsageCounts {
     const sums = new Map<string, number>();
-    for (const { windows } of this._tellers.values())
+    for (const { windows } of this._sources.values())
       for (const [name, count] of Object.entries(windows.get(window)?.counts ?? {}))
         sums.set(name, (sums.get(name) ?? 0) + count);
     return Object.fromEntries([...sums].sort(([a], [b]) => (a < b ? -1 : 1)));
@@ -50,25 +50,25 @@
 
   /** The processes that were busy just before, and have not said that they counted the window to its end. */
   missing(window: number): readonly UsageSource[] {
-    return [...this._tellers.values()]
-      .filter(entry => isBusyNear(entry, window))
+    return [...this._sources.values()]
+      .filter(entry => wasRecentlyBusy(entry, window))
       .filter(entry => entry.windows.get(window)?.isFinal !== true)
-      .map(entry => entry.teller);
+      .map(entry => entry.source);
   }
 
   /** What is not decided yet, as hosts told it. */
   undecided(): readonly ProcessUsage[] {
-    return [...this._tellers.values()]
+    return [...this._sources.values()]
       .filter(({ windows }) => windows.size > 0)
-      .map(({ teller, windows }) => ({ ...teller, windows: [...windows.values()] }));
+      .map(({ source: teller, windows }) => ({ ...teller, windows: [...windows.values()] }));
   }
 
   /** Windows up to this one are decided, and what was told of them is needed no more. */
   dropThrough(upTo: number): void {
-    for (const [key, entry] of this._tellers) {
+    for (const [key, entry] of this._sources) {
       for (const window of entry.windows.keys()) if (window <= upTo) entry.windows.delete(window);
       for (const window of entry.busy) if (window < upTo - ACTIVE_WINDOWS) entry.busy.delete(window);
-      if (entry.busy.size === 0) this._tellers.delete(key);
+      if (entry.busy.size === 0) this._sources.delete(key);
     }
   }
 }
@@ -78,6 +78,6 @@
   return known !== undefined && totalOf(told.counts) < totalOf(known.counts);
 }
 
-function isBusyNear({ busy }: TellerWindows, window: number): boolean {
+function wasRecentlyBusy({ busy }: SourceWindows, window: number): boolean {
   return [...busy].some(known => known <= window && known >= window - ACTIVE_WINDOWS);
 }
--- a/packages/metering/src/usageMessages.ts
+++ b/packages/metering/src/usageMessages.ts
@@ -18,19 +18,19 @@
   .readonly();
 export type HostWindow = z.infer<typeof hostWindowSchema>;
 
-const toldFields = {
+const processUsageFields = {
   hostId: z.string(),
   incarnation: z.string(),
   windows: z.array(hostWindowSchema).max(64).readonly(),
 } as const;
 
 /** What one process of a host has counted. */
-export const processUsageSchema = z.strictObject(toldFields).readonly();
+export const processUsageSchema = z.strictObject(processUsageFields).readonly();
 export type ProcessUsage = z.infer<typeof processUsageSchema>;
 
 export const usageUpdateSchema = z
   .strictObject({
-    ...toldFields,
+    ...processUsageFields,
     /** The teller's wall clock as it sends: hosts agree on true time by the clocks of most of them. */
     wallMs: z.number(),
   })
@@ -55,12 +55,12 @@
   .readonly();
 export type UsageReport = z.infer<typeof usageReportSchema>;
 
-const toldListSchema = z.array(processUsageSchema).readonly();
+const processUsageListSchema = z.array(processUsageSchema).readonly();
 
 /** Nothing for a damaged record, or one of another version. */
 export function decodeProcessUsages(text: string): readonly ProcessUsage[] {
   try {
-    const parsed = toldListSchema.safeParse(JSON.parse(text));
+    const parsed = processUsageListSchema.safeParse(JSON.parse(text));
     return parsed.success ? parsed.data : [];
   } catch {
     return [];
--- a/packages/metering/src/usageMeter.ts
+++ b/packages/metering/src/usageMeter.ts
@@ -17,7 +17,7 @@
 }
 
 /** A request that began before this host knew what time it was. */
-interface Undated {
+interface UndatedRequest {
   readonly accountName: string;
   /** Monotonic time. */
   readonly atMs: number;
@@ -33,15 +33,15 @@
   private readonly _options: UsageMeterOptions;
   private readonly _windows = new Map<number, Map<string, number>>();
   private readonly _final = new Set<number>();
-  private _undated: Undated[] = [];
+  private _undatedRequests: UndatedRequest[] = [];
   /** True time less monotonic time; undefined while it is not known. */
   private _offsetMs: number | undefined;
   private _lastWindow = -Infinity;
   private _decidedUpTo = -Infinity;
-  private _nextSend = 0;
-  private readonly _openSinceMs = new Map<number, number>();
+  private _nextRequestId = 0;
+  private readonly _inFlightSinceMs = new Map<number, number>();
   private _version = 0;
-  private _toldVersion = 0;
+  private _reportedVersion = 0;
 
   constructor(options: UsageMeterOptions) {
     this._options = options;
@@ -49,12 +49,12 @@
 
   /** A request of an account is sent at the monotonic time `nowMs`. */
   sent(accountName: string, nowMs: number): MeteredRequest {
-    const id = this._nextSend;
-    this._nextSend += 1;
-    this._openSinceMs.set(id, nowMs);
+    const id = this._nextRequestId;
+    this._nextRequestId += 1;
+    this._inFlightSinceMs.set(id, nowMs);
     return {
       ended: didBegin => {
-        if (this._openSinceMs.delete(id) && didBegin) this._count({ accountName, atMs: nowMs });
+        if (this._inFlightSinceMs.delete(id) && didBegin) this._count({ accountName, atMs: nowMs });
       },
     };
   }
@@ -62,8 +62,8 @@
   /** What time it truly is has become known: true time less monotonic time. */
   setClockOffset(offsetMs: number): void {
     this._offsetMs = offsetMs;
-    const clearClockOffset = this._undated;
-    this._undated = [];
+    const clearClockOffset = this._undatedRequests;
+    this._undatedRequests = [];
     for (const began of clearClockOffset) this._count(began);
   }
 
@@ -78,7 +78,7 @@
 
   /** True if something was counted that nobody was told yet. */
   hasUnreported(): boolean {
-    return this._undated.length > 0 || this._version > this._toldVersion;
+    return this._undatedRequests.length > 0 || this._version > this._reportedVersion;
   }
 
   /** What a reporter must know. `told` is called once it has taken that. */
@@ -94,7 +94,7 @@
     return {
       windows,
       told: () => {
-        this._toldVersion = Math.max(this._toldVersion, version);
+        this._reportedVersion = Math.max(this._reportedVersion, version);
         for (const { window, isFinal } of windows) if (isFinal) this._final.add(window);
       },
     };
@@ -149,12 +149,12 @@
     if (this._offsetMs === undefined) return false;
     const endMs = windowEndMs(window, this._options.windowMs) - this._offsetMs;
     if (nowMs < endMs + CLOCK_ERROR_MS) return false;
-    return ![...this._openSinceMs.values()].some(startedMs => startedMs < endMs);
+    return ![...this._inFlightSinceMs.values()].some(startedMs => startedMs < endMs);
   }
 
-  private _count(began: Undated): void {
+  private _count(began: UndatedRequest): void {
     if (this._offsetMs === undefined) {
-      if (this._undated.length < MAX_UNDATED) this._undated.push(began);
+      if (this._undatedRequests.length < MAX_UNDATED) this._undatedRequests.push(began);
       return;
     }
     const window = windowAt(began.atMs + this._offsetMs, this._options.windowMs);
--- a/tests/accountFlood.spec.ts
+++ b/tests/accountFlood.spec.ts
@@ -11,20 +11,20 @@
 
 const ACCOUNTS = 76;
 const SERVERS = 3;
-const PLACES = 6;
+const SLOTS = 6;
 const WORK_MS = 40;
 /** Of an account's requests at least this share of what all get is served: less is starving it. */
-const STARVED_SHARE = 0.25;
+const MIN_RELATIVE_SHARE = 0.25;
 
 /** Requests that were asked for and served, by account. */
 class Served {
-  readonly asked = new Map<string, number>();
+  readonly requested = new Map<string, number>();
   readonly served = new Map<string, number>();
 
   share(name?: string): number {
     const sum = (counts: ReadonlyMap<string, number>): number =>
       name === undefined ? [...counts.values()].reduce((a, b) => a + b, 0) : (counts.get(name) ?? 0);
-    return sum(this.served) / sum(this.asked);
+    return sum(this.served) / sum(this.requested);
   }
 }
 
@@ -34,7 +34,7 @@
   fleet.client.reply = async ({ endpoint }): Promise<EndpointReply> => {
     const count = running.get(endpoint.id) ?? 0;
     const load = { running: count, waiting: 0 };
-    if (count >= PLACES) return { kind: 'not-run', reason: 'refused', load };
+    if (count >= SLOTS) return { kind: 'not-run', reason: 'refused', load };
     running.set(endpoint.id, count + 1);
     await sleep(fleet.clock, WORK_MS);
     running.set(endpoint.id, (running.get(endpoint.id) ?? 1) - 1);
@@ -42,12 +42,12 @@
   };
 }
 
-async function play(seed: number): Promise<Served> {
+async function runFlood(seed: number): Promise<Served> {
   const fleet = new GatewayFleet({ hosts: 9, domains: 3, endpoints: 3, isQuiet: true });
   for (let i = 0; i < SERVERS; i++)
     fleet.store.put(
       `${keys.endpointPrefix}s${i}`,
-      endpointRecord({ address: `10.1.0.1:${i}`, pool: 'storefront', slots: PLACES, domain: `domain-${i}` }),
+      endpointRecord({ address: `10.1.0.1:${i}`, pool: 'storefront', slots: SLOTS, domain: `domain-${i}` }),
     );
   refuseWhenFull(fleet);
   await fleet.start();
@@ -62,7 +62,7 @@
     const accountName = isFlood ? 'account-0' : `account-${1 + random.below(ACCOUNTS - 1)}`;
     const host = fleet.hosts[random.below(fleet.hosts.length)];
     if (!host) continue;
-    add(result.asked, accountName);
+    add(result.requested, accountName);
     const request = lookup(random.id(), '/a/x', { accountName });
     void host.gateway.forwarder.forward(request, LOOKUP, NOBODY_LEFT).then(outcome => {
       if (outcome.kind === 'answered') add(result.served, accountName);
@@ -76,12 +76,12 @@
 
 await tap.test('should starve no account while one floods', async t => {
   for (const seed of [1, 2]) {
-    const result = await play(seed);
+    const result = await runFlood(seed);
     const all = result.share();
     t.ok(all < 0.9, `endpoints are full: ${all.toFixed(2)} of all served`);
-    const shares = [...result.asked.keys()].map(name => result.share(name));
+    const shares = [...result.requested.keys()].map(name => result.share(name));
     const least = Math.min(...shares);
-    t.ok(least >= all * STARVED_SHARE, `seed ${seed}: ${least.toFixed(2)} of the worst-served account`);
+    t.ok(least >= all * MIN_RELATIVE_SHARE, `seed ${seed}: ${least.toFixed(2)} of the worst-served account`);
   }
 });
 
--- a/tests/capacity.spec.ts
+++ b/tests/capacity.spec.ts
@@ -17,8 +17,8 @@
 
 const PRICES = { 'domain-0': 1, 'domain-1': 0.8, 'domain-2': 1.25 };
 const SCALING = { min: 1, max: 22, bootMs: 4000, prices: new Map(Object.entries(PRICES)) };
-const VIEW: PoolView = { scaling: SCALING, models: 4, present: new Map() };
-const BOOK = { maxPerMinute: 20, initialBackoffMs: 5000, maxBackoffMs: 15_000 };
+const POOL_VIEW: PoolView = { scaling: SCALING, models: 4, present: new Map() };
+const ORDER_LIMITS = { maxPerMinute: 20, initialBackoffMs: 5000, maxBackoffMs: 15_000 };
 
 await tap.test('should keep what there is where nothing else is asked', t => {
   t.equal(new KeepCapacity().wanted().size, 0);
@@ -27,7 +27,7 @@
 
 await tap.test('should want more endpoints where they are cheaper, and some everywhere', t => {
   t.same(
-    [...new CapacityByModel(12).wanted(VIEW)],
+    [...new CapacityByModel(12).wanted(POOL_VIEW)],
     [
       ['domain-0', 16],
       ['domain-1', 20],
@@ -39,7 +39,7 @@
   fc.assert(
     fc.property(share, fc.array(price, { minLength: 1, maxLength: 10 }), (perModel, prices) => {
       const scaling = { ...SCALING, prices: new Map(prices.map((each, i) => [`d${i}`, each])) };
-      const counts = [...new CapacityByModel(perModel).wanted({ ...VIEW, scaling }).values()];
+      const counts = [...new CapacityByModel(perModel).wanted({ ...POOL_VIEW, scaling }).values()];
       return counts.every(count => Number.isInteger(count) && count >= SCALING.min && count <= SCALING.max);
     }),
     { seed: 34 },
@@ -49,7 +49,7 @@
 
 await tap.test('should order once, and again only where endpoints don’t come', async t => {
   const clock = new VirtualClock();
-  const book = new OrderTracker(clock, BOOK);
+  const book = new OrderTracker(clock, ORDER_LIMITS);
   t.notOk(book.isDue('s', 5, 5, 4000), 'nothing is missing');
   t.ok(book.isDue('s', 6, 5, 4000));
   book.recordOrder('s', 6, 'accepted');
@@ -65,7 +65,7 @@
 await tap.test('should rest longer after each refusal, and give up at a bound a minute', async t => {
   // The platform has no more endpoints, and is asked at every look.
   const clock = new VirtualClock();
-  const book = new OrderTracker(clock, BOOK);
+  const book = new OrderTracker(clock, ORDER_LIMITS);
   let orders = 0;
   for (let second = 0; second < 120; second++) {
     for (const subject of ['a', 'b', 'c', 'd'])
--- a/tests/dutyStandIn.ts
+++ b/tests/dutyStandIn.ts
@@ -19,7 +19,7 @@
 export class DutyStandIn {
   mode: DutyMode = 'well';
   /** Machines that can't reach it. */
-  readonly cut = new Set<string>();
+  readonly unreachableFrom = new Set<string>();
   readonly reports = new Map<number, UsageReport>();
   readonly orders: CapacityOrder[] = [];
   readonly arrivals: Arrival[] = [];
@@ -39,7 +39,7 @@
   /** Calls from one machine. */
   from(machine: string): PlatformDuties {
     return {
-      reportUsage: (act, report) => this._call(machine, act, () => this._take(report)),
+      reportUsage: (act, report) => this._call(machine, act, () => this._recordReport(report)),
       orderCapacity: (act, order) => this._call(machine, act, () => this.orders.push(order)),
     };
   }
@@ -48,27 +48,27 @@
     return [...this.reports.values()].reduce((sum, report) => sum + totalOf(report.counts), 0);
   }
 
-  private async _call(machine: string, act: DutyAct, carryOut: () => void): Promise<DutyAnswer> {
+  private async _call(machine: string, act: DutyAct, execute: () => void): Promise<DutyAnswer> {
     await sleep(this._clock, ANSWER_MS);
-    const mode = this.cut.has(machine) ? 'away' : this.mode;
+    const mode = this.unreachableFrom.has(machine) ? 'away' : this.mode;
     if (mode === 'away') return 'unreached';
-    if (mode === 'late') return this._carryOutLate(carryOut);
-    this._judge({ ...act, machine, atMs: this._clock.nowMs() });
+    if (mode === 'late') return this._executeLate(execute);
+    this._checkRules({ ...act, machine, atMs: this._clock.nowMs() });
     if (mode === 'busy') return 'busy';
     if (this.isSoldOut) return 'refused';
-    if (mode !== 'silent') carryOut();
+    if (mode !== 'silent') execute();
     if (mode === 'well') return 'accepted';
     await sleep(this._clock, SILENT_MS);
     return 'unknown';
   }
 
-  private async _carryOutLate(carryOut: () => void): Promise<DutyAnswer> {
+  private async _executeLate(carryOut: () => void): Promise<DutyAnswer> {
     this._clock.after(this.lateMs, carryOut);
     await sleep(this._clock, SILENT_MS);
     return 'unknown';
   }
 
-  private _take(report: UsageReport): void {
+  private _recordReport(report: UsageReport): void {
     const before = this.reports.get(report.window);
     if (before && JSON.stringify(before) !== JSON.stringify(report))
       this.broken.push(`two reports of window ${report.window}`);
@@ -76,7 +76,7 @@
   }
 
   /** Tokens never fall, belong to one machine, and machines don't take turns within the bound. */
-  private _judge(arrival: Arrival): void {
+  private _checkRules(arrival: Arrival): void {
     const { machine, fencingToken, atMs } = arrival;
     const highest = Math.max(0, ...this.arrivals.map(other => other.fencingToken));
     if (fencingToken < highest) this.broken.push(`token ${fencingToken} after ${highest}`);
--- a/tests/eventLoopLag.spec.ts
+++ b/tests/eventLoopLag.spec.ts
@@ -181,7 +181,7 @@
 const LATE_MS = 800;
 
 /** The process gets no processor time: nothing in it runs. */
-function holdUp(durationMs: number): void {
+function blockLoop(durationMs: number): void {
   const endMs = performance.now() + durationMs;
   while (performance.now() < endMs);
 }
@@ -196,7 +196,7 @@
     const isReport = request.target === '/v1/report';
     const answer = isReport ? { models: [], busy: false, seq: 4 } : { key: 'k', value: 'djE=', revision: 3 };
     socket.write(genuine(request, JSON.stringify(answer)));
-    holdUp(LATE_MS);
+    blockLoop(LATE_MS);
   };
   const store = new StoreClient(address, () => undefined);
   const got = await store.get('k', Deadline.after(new SystemClock(), ANSWER_MS));
--- a/tests/eventLoopLagPeers.spec.ts
+++ b/tests/eventLoopLagPeers.spec.ts
@@ -101,7 +101,7 @@
   }
 
   /** Resolves when the peer has a call of `asked`. */
-  async hasBeenAsked(): Promise<void> {
+  async hasReceivedCall(): Promise<void> {
     await new Promise<void>(resolve => {
       this.onAsked = resolve;
     });
@@ -114,7 +114,7 @@
 }
 
 /** The process gets no processor time: nothing in it runs. */
-function holdUp(durationMs: number): void {
+function blockLoop(durationMs: number): void {
   const endMs = performance.now() + durationMs;
   while (performance.now() < endMs);
 }
@@ -129,7 +129,7 @@
   peer.onAsked = () => {
     // The reply is written when this handler has returned, before the next round of the loop begins.
     peer.answer();
-    setImmediate(() => holdUp(800));
+    setImmediate(() => blockLoop(800));
   };
   const reply = link.call(asked, {}, Deadline.after(clock, 600));
   t.same(await reply, { ok: true, value: {} });
@@ -145,7 +145,7 @@
   const link = await peer.open();
   await link.call(echo, {}, Deadline.after(clock, 5000));
   await clock.advance(10);
-  const isAsked = peer.hasBeenAsked();
+  const isAsked = peer.hasReceivedCall();
   const short: Reply = link.call(asked, {}, Deadline.after(clock, 300));
   let isLongOver = false;
   const long = link.call(never, {}, Deadline.after(clock, 30_000)).finally(() => {
@@ -168,7 +168,7 @@
   const link = await peer.open();
   await link.call(echo, {}, Deadline.after(clock, 5000));
   await clock.advance(10);
-  const isAsked = peer.hasBeenAsked();
+  const isAsked = peer.hasReceivedCall();
   const first: Reply = link.call(asked, {}, Deadline.after(clock, 300));
   await isAsked;
   await clock.hold(2000, () => undefined);
--- a/tests/metering.spec.ts
+++ b/tests/metering.spec.ts
@@ -4,7 +4,7 @@
 import tap from 'tap';
 import { SeededRandom } from '@fuchsiahitch/base';
 import { ClockVote, UsageLedger, UsageMeter } from '@fuchsiahitch/metering';
-import { reporterOf, SMALL, startedFleet, WINDOW_MS } from './usageFleet.js';
+import { reporterOf, SMALL_FLEET, startedFleet, WINDOW_MS } from './usageFleet.js';
 
 await tap.test('should take true time from most clocks, whichever jump', t => {
   const vote = new ClockVote();
@@ -80,7 +80,7 @@
   const random = new SeededRandom(1);
   await truth.load(random, 20, 30_000);
   await fleet.clock.advance(8000);
-  t.same(truth.wrong(2, 7), []);
+  t.same(truth.mismatches(2, 7), []);
   t.same(fleet.duties.broken, []);
   t.ok(fleet.duties.arrivals.length <= fleet.duties.reports.size, 'each sent once');
   const lateMs = fleet.duties.arrivals.map(({ atMs }) => atMs % WINDOW_MS);
@@ -90,11 +90,11 @@
 
 await tap.test('should wait for no host of a large fleet that has few requests', async t => {
   // Hosts that count something now and then are waited for until the time is nearly up.
-  const { fleet, truth } = await startedFleet({ ...SMALL, hosts: 69 });
+  const { fleet, truth } = await startedFleet({ ...SMALL_FLEET, hosts: 69 });
   const random = new SeededRandom(6);
   await truth.load(random, 7, 40_000);
   await fleet.clock.advance(8000);
-  t.same(truth.wrong(2, 9), []);
+  t.same(truth.mismatches(2, 9), []);
   const lateMs = fleet.duties.arrivals.map(({ atMs }) => atMs % WINDOW_MS);
   t.ok(Math.max(...lateMs) < 2500, `${Math.max(...lateMs)} ms after the end`);
   t.notOk(fleet.hosts.some(host => host.context.log.has('usage told late')));
@@ -111,7 +111,7 @@
   for (const host of fleet.hosts.slice(0, 4)) host.skewMs -= 2000;
   await truth.load(random, 20, 13_000);
   await fleet.clock.advance(8000);
-  t.same(truth.wrong(2, 7), []);
+  t.same(truth.mismatches(2, 7), []);
   fleet.stop();
 });
 
@@ -127,7 +127,7 @@
       fleet.restart(reporter, 'again');
       await truth.load(random, 20, 25_000);
       await fleet.clock.advance(12_000);
-      t.same(truth.wrong(3, 7), [], `seed ${seed}`);
+      t.same(truth.mismatches(3, 7), [], `seed ${seed}`);
       t.same(fleet.duties.broken, [], `seed ${seed}`);
       fleet.stop();
     }
@@ -149,11 +149,11 @@
         const kind = random.below(4);
         if (kind === 0) fleet.duties.mode = mode;
         if (kind === 1 && reporter) fleet.restart(reporter, `again-${fault}`);
-        if (kind === 2 && reporter) fleet.duties.cut.add(reporter.context.hostId);
+        if (kind === 2 && reporter) fleet.duties.unreachableFrom.add(reporter.context.hostId);
         if (kind === 3 && reporter) reporter.storeClient.mode = 'silent';
         await truth.load(random, 10, 2000 + random.below(4000));
         fleet.duties.mode = 'well';
-        fleet.duties.cut.clear();
+        fleet.duties.unreachableFrom.clear();
         if (reporter) reporter.storeClient.mode = 'well';
       }
       await fleet.clock.advance(15_000);
@@ -169,11 +169,11 @@
   const random = new SeededRandom(30);
   await truth.load(random, 20, 7000);
   const reporter = reporterOf(fleet);
-  fleet.duties.cut.add(reporter.context.hostId);
+  fleet.duties.unreachableFrom.add(reporter.context.hostId);
   await truth.load(random, 20, 25_000);
   await fleet.clock.advance(10_000);
   t.not(reporterOf(fleet).context.hostId, reporter.context.hostId);
-  t.same(truth.wrong(3, 7), []);
+  t.same(truth.mismatches(3, 7), []);
   t.same(fleet.duties.broken, []);
   fleet.stop();
 });
@@ -187,7 +187,7 @@
   for (const host of fleet.hosts) host.storeClient.mode = 'well';
   await truth.load(random, 20, 15_000);
   await fleet.clock.advance(10_000);
-  t.same(truth.wrong(2, 6), []);
+  t.same(truth.mismatches(2, 6), []);
   t.same(fleet.duties.broken, []);
   fleet.stop();
 });
--- a/tests/meteringCost.spec.ts
+++ b/tests/meteringCost.spec.ts
@@ -4,7 +4,7 @@
 import tap from 'tap';
 import { SeededRandom } from '@fuchsiahitch/base';
 import type { FleetHost } from './gatewayFleet.js';
-import { SMALL, startedFleet } from './usageFleet.js';
+import { SMALL_FLEET, startedFleet } from './usageFleet.js';
 
 const SIZES = [12, 69, 195];
 
@@ -32,7 +32,7 @@
   'should cost a fleet that is asked nothing one report a window, whatever its size',
   async t => {
     for (const hosts of SIZES) {
-      const { fleet } = await startedFleet({ ...SMALL, hosts });
+      const { fleet } = await startedFleet({ ...SMALL_FLEET, hosts });
       const before = await storeCallsOf(fleet.hosts);
       await fleet.clock.advance(20_000);
       t.equal(callsOf(fleet.hosts, 'usageTold'), 0, 'idle hosts tell nothing');
@@ -50,7 +50,7 @@
 
 await tap.test('should tell counts in a few small messages', async t => {
   for (const hosts of SIZES) {
-    const { fleet, truth } = await startedFleet({ ...SMALL, hosts });
+    const { fleet, truth } = await startedFleet({ ...SMALL_FLEET, hosts });
     const { hosts: all } = fleet;
     const [told, calls, bytes] = [callsOf(all, 'usageTold'), callsOf(all), bytesOf(all)];
     await truth.load(new SeededRandom(9), 20, 10_000);
@@ -58,7 +58,7 @@
     // Each request may make a message of its own, and each busy host ends the window and the two after it with one.
     t.ok(tells <= 200 + 3 * 2 * hosts, `${hosts} hosts: ${tells} messages for 200 requests`);
     t.ok((bytesOf(all) - bytes) / (callsOf(all) - calls) < 600, 'bytes a message');
-    t.same(truth.wrong(2, 2), []);
+    t.same(truth.mismatches(2, 2), []);
     fleet.stop();
   }
 });
--- a/tests/sharedWatch.spec.ts
+++ b/tests/sharedWatch.spec.ts
@@ -8,19 +8,19 @@
 import { FakeStore, type FakeStoreClient } from './fakeStore.js';
 import { endpointRecord, keys, PlainRecords, testContext } from './gatewayWorld.js';
 
-interface Neighbour {
+interface WatchingHost {
   readonly client: FakeStoreClient;
   readonly endpoints: EndpointDirectory;
 }
 
 /** Hosts of one domain that share the watch of endpoints. */
-async function neighbours(
+async function startedHosts(
   ids: readonly string[],
   changeEveryMs = 300,
 ): Promise<{
   readonly clock: VirtualClock;
   readonly store: FakeStore;
-  readonly hosts: readonly Neighbour[];
+  readonly hosts: readonly WatchingHost[];
   readonly silent: Set<string>;
   readonly end: () => void;
 }> {
@@ -75,7 +75,7 @@
 
 await tap.test('should ask the store once for a domain', async t => {
   // Symptom: calls of the store grow with every host. Sequence: a quiet day. Cause: each host watches by itself.
-  const { clock, store, hosts, end } = await neighbours(['a', 'b', 'c']);
+  const { clock, store, hosts, end } = await startedHosts(['a', 'b', 'c']);
   const before = hosts.map(host => host.client.calls);
   await clock.advance(9000);
   const calls = hosts.map((host, i) => host.client.calls - (before[i] ?? 0));
@@ -94,7 +94,7 @@
     // domain falls silent, or the store falls silent to it alone, and the endpoint says that it leaves right then. Cause:
     // hosts that could ask the store wait for a neighbour.
     for (const fault of ['gone', 'blind'] as const) {
-      const { clock, store, hosts, silent, end } = await neighbours(['a', 'b', 'c']);
+      const { clock, store, hosts, silent, end } = await startedHosts(['a', 'b', 'c']);
       const [watching, ...others] = hosts;
       if (!watching) return;
       if (fault === 'gone') silent.add('a');
@@ -115,7 +115,7 @@
   // view. Sequence: no endpoint's record changes for seconds, or one does now and then. Cause: the watching host's question
   // to the store, with the pause before it, lasts longer than its view counts as fresh.
   for (const changeEveryMs of [0, 2300, 3700]) {
-    const { clock, hosts, end } = await neighbours(['a', 'b', 'c'], changeEveryMs);
+    const { clock, hosts, end } = await startedHosts(['a', 'b', 'c'], changeEveryMs);
     const before = hosts.map(host => host.client.calls);
     await clock.advance(20_000);
     const calls = hosts.map((host, i) => host.client.calls - (before[i] ?? 0));
--- a/tests/usageFleet.ts
+++ b/tests/usageFleet.ts
@@ -9,12 +9,12 @@
 export const WINDOW_MS = 5000;
 const DUE_MS = 10_000;
 const USAGE = { windowMs: WINDOW_MS, dueMs: DUE_MS };
-export const SMALL: FleetSize = { hosts: 9, domains: 3, endpoints: 3, isQuiet: true, usage: USAGE };
+export const SMALL_FLEET: FleetSize = { hosts: 9, domains: 3, endpoints: 3, isQuiet: true, usage: USAGE };
 /** So much of a window may be missing from its report. */
 const TOLERANCE = 0.05;
 
 /** What endpoints truly began, by window, and what may be missing from its report: what hosts had not told when they ended. */
-export class Truth {
+export class ExpectedUsage {
   readonly began = new Map<number, number>();
   private readonly _fleet: GatewayFleet;
 
@@ -38,19 +38,19 @@
     for (let ms = 0; ms < durationMs; ms += spacingMs) {
       const running = this._fleet.hosts.filter(host => host.isRunning);
       const host = running[random.below(running.length)];
-      if (host) this.ask(host, random);
+      if (host) this.send(host, random);
       await this._fleet.clock.advance(spacingMs);
     }
   }
 
-  ask(host: FleetHost, random: SeededRandom): void {
+  send(host: FleetHost, random: SeededRandom): void {
     const accountName = `account-${random.below(7)}`;
     const request = lookup(random.id(), '/a/x', { accountName });
     void host.gateway.forwarder.forward(request, LOOKUP, NOBODY_LEFT);
   }
 
   /** Windows whose report is missing, or off by more than allowed. */
-  wrong(from: number, to: number): readonly string[] {
+  mismatches(from: number, to: number): readonly string[] {
     const wrong: string[] = [];
     for (let window = from; window <= to; window++) {
       const began = this.began.get(window) ?? 0;
@@ -63,9 +63,11 @@
   }
 }
 
-export async function startedFleet(size: FleetSize = SMALL): Promise<{ fleet: GatewayFleet; truth: Truth }> {
+export async function startedFleet(
+  size: FleetSize = SMALL_FLEET,
+): Promise<{ fleet: GatewayFleet; truth: ExpectedUsage }> {
   const fleet = new GatewayFleet(size);
-  const truth = new Truth(fleet);
+  const truth = new ExpectedUsage(fleet);
   await fleet.start();
   await fleet.clock.advance(8000 - 300);
   return { fleet, truth };
