--- a/packages/gateway/src/capacityOrders.ts
+++ b/packages/gateway/src/capacityOrders.ts
@@ -1,8 +1,8 @@
 /**
- * The duty to order endpoints for the pools that can be scaled.
+ * Duty that orders endpoints for the pools that can be scaled.
  *
- * Without it the fleet has what it was given, however many endpoints go away for good. A pool in one failure domain is a subject:
- * two hosts never order for it in turns, and an order says how many endpoints there are to be, never how many more.
+ * The subject of an order is one pool in one failure domain. An order states the total number of endpoints, so that repeating
+ * it has no effect.
  */
 import {
   OrderTracker,
@@ -28,7 +28,7 @@
 export interface CapacityOptions {
   readonly policy: CapacityPolicy;
   readonly duties: PlatformDuties;
-  /** Calls of two holders must be further apart than this: the platform's bound. */
+  /** Minimum time between calls of two holders, required by the platform. */
   readonly handoverMs: number;
 }
 
@@ -71,7 +71,7 @@
     await this._duty.stop();
   }
 
-  /** What an earlier holder ordered is not known: what is there tells. */
+  /** Starts without the orders of previous holders; the present endpoints determine what is due. */
   taken(): void {
     this._tracker = new OrderTracker(this._context.clock, ORDERS);
   }
@@ -119,7 +119,7 @@
   }
 }
 
-/** Endpoints that a pool is to have in a failure domain, and has. */
+/** Wanted and present number of endpoints of a pool in one failure domain. */
 interface PoolOrder {
   readonly pool: string;
   readonly domain: string;
--- a/packages/gateway/src/dutyLease.ts
+++ b/packages/gateway/src/dutyLease.ts
@@ -1,10 +1,9 @@
 /**
- * The right to a duty that one host has at a time, such as the orders to the endpoints of a failure domain.
+ * Exclusive lease on a duty, such as ordering the endpoints of a failure domain.
  *
- * What goes wrong without the care taken here: two hosts act in turns, because one was paused past its lease or cut off from the
- * store, and whoever doesn't check fencing tokens goes back to what the older one said. So a host acts only well inside its
- * lease, counted from when the renewal was sent; a new holder waits until any act of the former one is certainly over; and a
- * pause of the process ends the right to act until the store has renewed it.
+ * Some targets don't check fencing tokens, so two holders must never act concurrently. A holder acts only well within its
+ * lease, measured from when the renewal was sent; a new holder waits until actions of the previous one must have ended; and
+ * after a pause of the process the holder does not act until the store has renewed the lease.
  */
 import { sleep } from '@fuchsiahitch/base';
 import type { RevisionedStore } from '@fuchsiahitch/clients';
@@ -21,45 +20,43 @@
 import { StoreLease, type LeaseTimes } from './storeLease.js';
 
 const TICK_MS = 100;
-/** The last holder's host may be back within a second after a restart, and then needs no wait. */
+/** Lets the host of the previous holder reacquire the lease after a restart, since it needs no hand-over wait. */
 const LAST_HOLDER_GRACE_MS = 700;
 /**
- * Of the hosts that want the lease each leaves it so long to the one before it: longer than until it knows that the key is
- * held, as hosts hear of that within 0.25 s and the time of two calls. Where all of them asked the store at once, one key that
- * became free would cost it three calls of each host.
+ * Delay between consecutive candidates, so that they don't all call the store when a key becomes free. Longer than the time
+ * in which hosts learn that the key is held: 0.25 s and two calls.
  */
 const ACQUIRE_STEP_MS = 400;
-/** Hosts further behind than this all wait alike: so many before them are hardly lost at once. */
 const MAX_ACQUIRE_STEPS = 8;
-/** Hosts that know of different hosts, as while all of them start, may each take themselves for the first. */
+/** While hosts start, their views of the peers differ, and several may consider themselves the first candidate. */
 const ACQUIRE_JITTER_MS = 150;
-/** A domain without a living host of its own: hosts of other domains wait this much longer for its lease. */
+/** Additional delay before hosts of other failure domains take over the lease of a domain without live hosts. */
 const FOREIGN_DOMAIN_DELAY_MS = 3000;
 
 export interface DutyTimes extends LeaseTimes {
-  /** The holder counts on its lease for this long from a renewal: what a successor must wait out. */
+  /** How long a renewal allows the holder to act; a successor waits for this time to pass. */
   readonly validityMs: number;
-  /** An act is on its way for at most this long before the right can end. */
+  /** The holder stops acting this long before the validity ends, to cover actions in transit. */
   readonly marginMs: number;
-  /** Acts of two holders on one subject must be further apart than this: the platform's bound. */
+  /** Minimum time between actions of two holders on one subject, required by the platform. */
   readonly handoverMs: number;
 }
 
-/** Which duty, and where its holder and what the last one left are written. */
+/** Identifies a duty and the store keys of its holder and of the last hand-over record. */
 export interface DutyName {
-  /** As logs name it. */
+  /** Log message for changes of this lease. */
   readonly label: string;
   readonly key: string;
   readonly lastKey: string;
-  /** The failure domain whose hosts have it as long as one lives; undefined where any host serves as well. */
+  /** Failure domain whose live hosts are preferred as holders; undefined if any host may hold the duty. */
   readonly domain: string | undefined;
 }
 
-/** What a holder does. */
+/** Callbacks of a duty's implementation. */
 export interface Duty {
-  /** This host has become the holder. */
+  /** Called when this host becomes the holder. */
   taken(): void;
-  /** Ten times a second, while this host holds the duty and need not wait for the holder before it. */
+  /** Called every 100 ms while this host holds the duty and the wait for the previous holder is over. */
   tick(): void;
 }
 
@@ -68,7 +65,7 @@
 export interface DutyPorts {
   readonly store: RevisionedStore;
   readonly hosts: DutyHosts;
-  /** What the last holder left, also when nobody holds the duty now. */
+  /** Hand-over record of the last holder, available even if the duty has no holder now. */
   readonly lastHandover: () => DutyHandover | undefined;
 }
 
@@ -83,7 +80,6 @@
   private readonly _pauses: PauseDetector;
   private readonly _actionTimes: ActionTimes;
   private readonly _pendingActions = new Set<Promise<unknown>>();
-  /** What the holder before this one left. */
   private _previousHandover: DutyHandover | undefined;
   private _acquiredMs = -Infinity;
   private _isReleased = false;
@@ -116,43 +112,42 @@
     this._lease.start();
   }
 
-  /** True if this host has the duty. */
   isHolder(): boolean {
     return this._token !== undefined;
   }
 
   /**
-   * The fencing token of an act now; undefined when this host may not act. What began under an earlier lease may come back under a
-   * new one, while the holder between the two may still act.
+   * Fencing token for an action now; undefined if this host may not act. Also checked by operations that began under an
+   * earlier lease: another host may have held the duty in between and may still act.
    */
   token(): number | undefined {
     return this._context.clock.nowMs() < this._actAfterMs ? undefined : this._guard.token();
   }
 
-  /** False while the holder before this one may just have acted on the subject. */
+  /** Returns false while the previous holder may have acted on the subject within the hand-over time. */
   canActOn(subject: string): boolean {
     const waitMs = waitForSubjectMs(this._previousHandover, subject, this._times.handoverMs);
     return this._context.clock.nowMs() >= this._acquiredMs + waitMs;
   }
 
-  /** An act on the subject is sent, and arrives at `latestMs` at the latest. */
+  /** Records that an action on the subject is sent and arrives no later than `latestMs`. */
   recordAct(subject: string, latestMs: number): void {
     this._actionTimes.recordAction(subject, latestMs);
   }
 
-  /** A successor counts from the end of what runs. */
+  /** Registers an action that must end before the lease is released. */
   track(running: Promise<unknown>): void {
     this._pendingActions.add(running);
     void running.then(() => this._pendingActions.delete(running));
   }
 
-  /** Gives the duty up. What is on its way ends first: the successor counts from it. */
+  /** Releases the duty after pending actions have ended. */
   async stop(): Promise<void> {
     await this._endActions();
     await this._lease.release();
   }
 
-  /** Leaves the duty to other hosts for a while, as one does who can't reach what it has to call. */
+  /** Releases the duty and does not reacquire it for a while, for a host that cannot reach its target. */
   async yieldFor(durationMs: number): Promise<void> {
     this._yieldUntilMs = this._context.clock.nowMs() + durationMs;
     await this._endActions();
@@ -167,16 +162,16 @@
     await Promise.all(this._pendingActions);
   }
 
-  /** What a successor must know of this holder's acts, and of those before it. */
+  /** Encodes the recent actions of this holder and of its predecessors for a successor. */
   private _handover(): string {
     const { clock, hostId } = this._context;
-    // A holder that gives the right up soon after taking it passes on what it was told: ages only grow meanwhile.
+    // Includes the entries of the previous holder: a successor may start while they are still within the hand-over time.
     const before = this._previousHandover?.quietMs ?? {};
     const quietMs = { ...before, ...this._actionTimes.quietMs(clock.nowMs()) };
     return encodeHandover({ hostId, isReleased: this._isReleased, quietMs });
   }
 
-  /** Hosts that see the key gone at the same time don't all ask the store at once. */
+  /** Staggers hosts that observe a free key at the same time. */
   private _acquireDelayMs(): number {
     const { hosts } = this._ports;
     if (!hosts.isSynced() || hosts.isHeld(this._name.key)) {
@@ -185,15 +180,15 @@
     }
     const nowMs = this._context.clock.nowMs();
     this._acquireAfterMs ??= nowMs + this._ownAcquireDelayMs();
-    const wantsAfterMs = Math.max(this._acquireAfterMs, this._yieldUntilMs);
-    if (nowMs < wantsAfterMs) return wantsAfterMs - nowMs;
+    const acquireAfterMs = Math.max(this._acquireAfterMs, this._yieldUntilMs);
+    if (nowMs < acquireAfterMs) return acquireAfterMs - nowMs;
     this._previousHandover = this._ports.lastHandover();
-    // A pause while the store is asked counts as well.
+    // Covers the store call as well: a pause during it invalidates the acquired lease.
     this._pauses.reset();
     return 0;
   }
 
-  /** How long this host leaves a free key to others: the last holder need not wait for its own acts. */
+  /** Delay before this host acquires a free key. The last holder goes first, since it does not wait for its own actions. */
   private _ownAcquireDelayMs(): number {
     const last = this._ports.lastHandover();
     if (last?.hostId === this._context.hostId) return 0;
@@ -204,7 +199,7 @@
     return waitMs + lastHolderMs + rankDelayMs + this._context.random.below(ACQUIRE_JITTER_MS);
   }
 
-  /** The hosts that take the key before this one: those of the own domain for its duty, and any for another domain's. */
+  /** Number of candidates that precede this host: hosts of its own domain for that domain's duty, all hosts otherwise. */
   private _rank(): number {
     const { hosts } = this._ports;
     const isCandidate = (hostId: string): boolean =>
@@ -214,16 +209,16 @@
   }
 
   private _onHeld(token: number, sentMs: number): void {
-    // A renewal that was on its way when this host gave the right up: its successor may act by now.
+    // A renewal that was in flight when this host released the duty: a successor may already act.
     if (this._isReleased) return;
     this._guard.renewed(token, sentMs);
     if (this._token === token) return;
     this._token = token;
-    // The former holder's lease may have been revoked rather than run out: it may act until its own end. Where it gave the right
-    // up, or was this host, there is nobody to wait for but the subjects that it acted on last.
-    const isKnown =
+    // If the lease was revoked rather than expired, the previous holder may act until its validity ends. If it released the
+    // duty, or was this host, only the subjects of its recent actions require a wait.
+    const areActionsKnown =
       this._previousHandover?.isReleased === true || this._previousHandover?.hostId === this._context.hostId;
-    const waitMs = isKnown ? 0 : this._times.handoverMs + this._times.validityMs;
+    const waitMs = areActionsKnown ? 0 : this._times.handoverMs + this._times.validityMs;
     this._acquiredMs = this._context.clock.nowMs();
     this._actAfterMs = this._acquiredMs + waitMs;
     this._duty.taken();
@@ -237,7 +232,7 @@
     this._log({ change: 'lost', reason });
   }
 
-  /** Hosts that hold nothing have no turns: of each duty one host has them, and the fleet may be large. */
+  /** Runs no timer on hosts that do not hold the duty. */
   private async _tickWhileHeld(): Promise<void> {
     const { clock, stopped } = this._context;
     this._isTicking = true;
@@ -251,7 +246,7 @@
   private _tick(): void {
     if (this._pauses.wasPaused()) {
       this._guard.lost();
-      this._log({ change: 'paused', reason: 'this process stood still: nothing until the lease is renewed' });
+      this._log({ change: 'paused', reason: 'process was paused; no actions until the lease is renewed' });
     }
     if (this._context.clock.nowMs() >= this._actAfterMs) this._duty.tick();
   }
--- a/packages/gateway/src/dutyOptions.ts
+++ b/packages/gateway/src/dutyOptions.ts
@@ -1,5 +1,5 @@
 /**
- * Which duties a host takes part in, from its settings.
+ * Options of the platform duties of a host, from its settings.
  */
 import { CapacityByModel, KeepCapacity, type CapacityPolicy } from '@fuchsiahitch/capacity';
 import type { CapacityOptions } from './capacityOrders.js';
@@ -7,11 +7,10 @@
 import type { UsageServiceOptions } from './usageService.js';
 
 export interface DutySettings {
-  /** Undefined where nobody is billed. */
+  /** Undefined if usage is not reported. */
   readonly usage: { readonly windowMs: number; readonly dueMs: number } | undefined;
-  /** True where endpoints can be ordered. */
   readonly ordersCapacity: boolean;
-  /** Calls of two holders must be further apart than this. */
+  /** Minimum time between calls of two holders. */
   readonly handoverMs: number;
 }
 
@@ -20,7 +19,7 @@
   readonly capacity: CapacityOptions | undefined;
 }
 
-/** `endpointsPerModel`: 0 keeps the endpoints that there are. */
+/** `endpointsPerModel`: 0 disables capacity orders. */
 export function dutyOptions(
   { usage, ordersCapacity, handoverMs }: DutySettings,
   duties: PlatformDuties,
--- a/packages/gateway/src/hostChangeLog.ts
+++ b/packages/gateway/src/hostChangeLog.ts
@@ -1,13 +1,8 @@
 /**
- * Tells in the log which hosts came and went, those of one moment in one line.
- *
- * What goes wrong with a line for each: in a fleet of 60 hosts every process writes 60 lines when it starts and as many
- * when a failure domain comes back. Of the last 32 KB of each host's log of a played day they were 31%, and what had
- * happened to its batches was gone.
+ * Logs added and removed hosts, aggregating close changes into one line to keep the logs of large fleets short.
  */
 import type { GatewayContext } from './gatewayContext.js';
 
-/** Hosts of a failure domain come and go within some hundred milliseconds of each other. */
 const AGGREGATION_MS = 250;
 
 export class HostChangeLog {
@@ -19,7 +14,7 @@
     this._context = context;
   }
 
-  /** `incarnation`: the process that is new at the host. */
+  /** `incarnation`: identifies the new process at the host. */
   added(hostId: string, incarnation: string): void {
     this._scheduleWrite();
     this._added.push(`${hostId}@${incarnation}`);
@@ -36,7 +31,7 @@
   }
 
   private _write(): void {
-    this._context.log.info('hosts', { new: this._added.join(' '), gone: this._removed.join(' ') });
+    this._context.log.info('hosts changed', { new: this._added.join(' '), gone: this._removed.join(' ') });
     this._added = [];
     this._removed = [];
   }
--- a/packages/gateway/src/hostDirectory.ts
+++ b/packages/gateway/src/hostDirectory.ts
@@ -1,5 +1,5 @@
 /**
- * The hosts that live, by keys in the store that end with their leases, and calls to them.
+ * Directory of the live hosts, from store keys that are bound to their leases, and calls to them.
  */
 import type { CancelTimer, Result } from '@fuchsiahitch/base';
 import { isSameOwner, ownerFields, ROOT, type Owner } from '@fuchsiahitch/batches';
@@ -13,75 +13,70 @@
 import { StoreLease } from './storeLease.js';
 import { StoreMirror, type MirrorSource } from './storeMirror.js';
 
-/** Keys that end with a lease, most of them with that of the process that wrote them. */
+/** Prefix of keys that are bound to leases, most of them to the lease of the process that wrote them. */
 export const LIVE_PREFIX = `${ROOT}live/`;
 const HOST_PREFIX = `${LIVE_PREFIX}host/`;
 
-/** The key of what the last holder of a domain's orders left. It outlives the holder's lease. */
+/** Key of the hand-over record of a domain's weight orders. It outlives the holder's lease. */
 export function lastOrdersKey(domain: string): string {
   return `${LIVE_PREFIX}last-orders/${domain}`;
 }
 
-/** The key of the one host that orders the endpoints of a failure domain. */
+/** Key held by the host that orders the endpoints of a failure domain. */
 export function ordersKey(domain: string): string {
   return `${LIVE_PREFIX}orders/${domain}`;
 }
 
-/**
- * A dead host is known after this time at most. Batches wait for it; against that a host that pauses for a
- * moment loses its batches.
- */
+/** The lease bounds the time until a failed host is detected; a shorter one would lose the batches of paused hosts. */
 const HOST_LEASE = { ttlMs: 2000, renewMs: 600 };
-/** Ended processes that are remembered: a fleet of 330 hosts restarts 610 a day. */
 const MAX_TERMINATED = 1000;
 const MIRROR = { prefix: LIVE_PREFIX, waitMs: 4000, spacingMs: 0 };
 
 export interface HostDirectoryOptions {
   readonly peers: PeerCaller;
-  /** Where this host's peers reach it. */
+  /** Address at which peers call this host. */
   readonly address: string;
 }
 
-/** What services ask about the other hosts. */
+/** View of the fleet's hosts. */
 export interface Hosts extends Pick<PeerCaller, 'call'> {
   self(): Owner;
-  /** False until the store has named the hosts that live. */
+  /** Returns false until the live hosts were read from the store. */
   isSynced(): boolean;
-  /** True if the process that owns something lives, as far as the store's last word goes. */
+  /** Returns true if the process is live according to the last view of the store. */
   isAlive(owner: Owner): boolean;
   /**
-   * Runs something once when the process is seen to be gone: its lease has ended, or another process stands at its
-   * host. At once if that was seen before. The returned function cancels it.
+   * Runs a callback once when the process is seen to be terminated: its lease has ended, or another process has replaced it
+   * at its host. Runs it at once if that was seen before. The returned function cancels it.
    */
   onTerminated(owner: Owner, run: () => void): CancelTimer;
-  /** True if the process was seen to be gone. */
+  /** Returns true if the process was seen to be terminated. */
   isTerminated(owner: Owner): boolean;
-  /** True for a host of this host's failure domain. */
+  /** Returns true for a host of this host's failure domain. */
   isOwnDomain(hostId: string): boolean;
-  /** True if some host holds the key. */
   isHeld(key: string): boolean;
-  /** Runs something whenever the key's holder may have changed, and once the hosts that live are known. */
+  /** Runs a callback whenever the holder of the key may have changed, and after each complete read of the live hosts. */
   onKeyChange(key: string, run: () => void): void;
-  /** What the last holder of a domain's orders left, also when nobody holds them now. */
+  /** Hand-over record of a domain's weight orders, available even if they have no holder now. */
   lastOrders(domain: string): DutyHandover | undefined;
-  /** The other hosts that live. */
+  /** Live hosts other than this one. */
   peers(): readonly Owner[];
 }
 
-/** Hears of the keys under one prefix. */
+/** Receives changes of the keys under one prefix. */
 export interface KeyListener {
-  /** The key is new, or was written again. */
+  /** Called when the key was added or written again. */
   changed(key: string, value: string): void;
   removed(key: string): void;
 }
 
-/** Lets others hear of keys among those that every host watches for the sake of the living hosts. */
+/** Subscribes to keys under `LIVE_PREFIX`, which every host watches. */
 export interface LiveKeys {
   /** `prefix` begins with `LIVE_PREFIX`. */
   watchKeys(prefix: string, listener: KeyListener): void;
 }
 
-/** Takes the handlers of calls from peers. */
+/** Registers handlers for calls from peers. */
 export type CallRegistry = Pick<PeerServer, 'handle'>;
 
 export class HostDirectory implements Hosts, LiveKeys {
@@ -98,7 +93,7 @@
   private readonly _changes: HostChangeLog;
   private readonly _onHostTerminated: () => void;
 
-  /** `source`: where the living hosts are read. `hostGone`: told whenever a process is seen to be gone. */
+  /** `source`: where the live hosts are read. `onHostTerminated`: called whenever a process is seen to be terminated. */
   constructor(
     context: GatewayContext,
     store: RevisionedStore,
@@ -132,7 +127,7 @@
     return this._mirror.isSynced();
   }
 
-  /** Says that this host leaves, so that its batches need not wait for its lease to end. */
+  /** Releases the host lease, so that peers take over its batches before the lease expires. */
   async leave(): Promise<void> {
     await this._lease.release();
   }
@@ -167,7 +162,7 @@
     this._keyCallbacks.set(key, [...(this._keyCallbacks.get(key) ?? []), run]);
   }
 
-  /** What stands under a key; undefined while nobody holds it. */
+  /** Value of a key; undefined if it has no holder. */
   valueOfKey(key: string): string | undefined {
     return this._values.get(key);
   }
@@ -180,7 +175,7 @@
     return this.handover(lastOrdersKey(domain));
   }
 
-  /** What the last holder of a duty left under a key, also when nobody holds it now. */
+  /** Hand-over record stored under a key. */
   handover(key: string): DutyHandover | undefined {
     const value = this._values.get(key);
     return value === undefined ? undefined : decodeHandover(value);
@@ -257,7 +252,7 @@
   }
 }
 
-/** Processes that were seen to end, and who waits for an end. */
+/** Processes that were seen to be terminated, and callbacks for those that were not. */
 class TerminatedProcesses {
   private readonly _incarnations = new Set<string>();
   private readonly _callbacks = new Map<string, Set<() => void>>();
@@ -266,12 +261,12 @@
     this._incarnations.add(incarnation);
     const [oldest] = this._incarnations;
     if (this._incarnations.size > MAX_TERMINATED && oldest !== undefined) this._incarnations.delete(oldest);
-    const waiting = this._callbacks.get(incarnation) ?? [];
+    const callbacks = this._callbacks.get(incarnation) ?? [];
     this._callbacks.delete(incarnation);
-    for (const run of waiting) run();
+    for (const run of callbacks) run();
   }
 
-  /** A lease that was revoked, and not the process that ended: it is back. */
+  /** Forgets a process whose lease was revoked and that has registered again. */
   delete({ incarnation }: Owner): void {
     this._incarnations.delete(incarnation);
   }
@@ -285,17 +280,17 @@
       run();
       return () => undefined;
     }
-    const waiting = this._callbacks.get(incarnation) ?? new Set();
-    waiting.add(run);
-    this._callbacks.set(incarnation, waiting);
+    const callbacks = this._callbacks.get(incarnation) ?? new Set();
+    callbacks.add(run);
+    this._callbacks.set(incarnation, callbacks);
     return () => {
-      waiting.delete(run);
-      if (waiting.size === 0) this._callbacks.delete(incarnation);
+      callbacks.delete(run);
+      if (callbacks.size === 0) this._callbacks.delete(incarnation);
     };
   }
 }
 
-/** What a host writes of itself. */
+/** Store record of a host. */
 const hostRecordSchema = z.object({ ...ownerFields, domain: z.string() }).readonly();
 type HostRecord = z.infer<typeof hostRecordSchema>;
 
--- a/packages/gateway/src/reachabilityMonitor.ts
+++ b/packages/gateway/src/reachabilityMonitor.ts
@@ -1,14 +1,11 @@
 /**
- * Whether this host is cut off: from the store, and from the hosts of every other failure domain.
+ * Detects that this host is isolated from the store and from the hosts of all other failure domains.
  *
- * What goes wrong without it: the balancer goes on sending trainers to a domain that can neither read nor write
- * their batches, and every read is refused until the cut ends. A host that says that it is not ready sends its
- * callers to other domains, whose hosts take the batches over. When only the store is away, other domains answer
- * and the host stays ready: elsewhere it would be no better.
+ * An isolated host reports that it is not ready, so that the load balancer sends its callers to other domains, whose hosts
+ * take over its batches. If only the store is unreachable, the host remains ready, since other domains are affected as well.
  *
- * A process that is held up comes here before it has read what arrived meanwhile, so that its own delay looks like the
- * silence of the store; one notices it as hosts that are not ready for seconds while the store answers them. The loop
- * therefore reads before the store counts as silent, and again before a round does.
+ * After a delay of the event loop, replies may have arrived that were not read. The monitor therefore reads pending I/O before
+ * it considers the store or a round unanswered.
  */
 import { every, haveRead } from '@fuchsiahitch/base';
 import type { GatewayContext } from './gatewayContext.js';
@@ -17,12 +14,12 @@
 import { reachCall } from './storeRelayMessages.js';
 
 const CHECK_INTERVAL_MS = 200;
-/** Hosts of other domains are asked once the store was silent for so long. */
+/** Time without an answer of the store after which hosts of other domains are probed. */
 const STORE_SILENCE_MS = 750;
 const PROBE_TIMEOUT_MS = 300;
-/** Rounds without any answer until the host takes itself for cut off. */
+/** Consecutive rounds without any answer after which the host counts as isolated. */
 const MAX_FAILED_ROUNDS = 2;
-/** Hosts that are asked in one round. */
+/** Hosts probed per round. */
 const PROBED_HOSTS = 3;
 
 export class ReachabilityMonitor {
@@ -52,7 +49,10 @@
     this._failedRounds = isReached ? 0 : this._failedRounds + 1;
     if (this.isCutOff() === wasCutOff) return;
     const change = this.isCutOff() ? 'cut off' : 'connected';
-    this._context.log.warn('reach', { change, sinceStoreMs: Math.round(this._store.sinceReachedMs()) });
+    this._context.log.warn('reachability', {
+      change,
+      sinceStoreMs: Math.round(this._store.sinceReachedMs()),
+    });
   }
 
   private async _isStoreReached(): Promise<boolean> {
@@ -61,7 +61,7 @@
     return this._store.sinceReachedMs() < STORE_SILENCE_MS;
   }
 
-  /** True if a host of another domain answers, or there is none to ask. */
+  /** Returns true if a host of another domain answers, or if there is none. */
   private async _anyHostResponds(): Promise<boolean> {
     const others = this._hosts.peers().filter(peer => !this._hosts.isOwnDomain(peer.hostId));
     if (others.length === 0) return true;
--- a/packages/gateway/src/relayedStore.ts
+++ b/packages/gateway/src/relayedStore.ts
@@ -1,10 +1,7 @@
 /**
- * The store, through another host when this one cannot reach it.
+ * Store client that relays calls through a peer while this host cannot reach the store directly.
  *
- * What goes wrong without it: the store turns one host away, or the network cuts it off from the store alone. Its
- * batches can neither be listed nor ended, and its configuration grows old, while its neighbours reach the store
- * well. One sees "dependency lost" on one host only. A write that went astray may still be carried out later;
- * every write names what it depends on, so that sending it once more by another way is safe.
+ * Writes are conditional, so that resending one whose outcome is unknown through a peer is safe.
  */
 import { Deadline, err, type Result } from '@fuchsiahitch/base';
 import type {
@@ -24,22 +21,22 @@
 import type { CallRegistry } from './hostDirectory.js';
 import { reachCall, storeRelayCall, type StoreReply, type StoreRequest } from './storeRelayMessages.js';
 
-/** While the direct way fails it is tried again this often. */
+/** Interval of direct probes while calls are relayed. */
 const PROBE_INTERVAL_MS = 1000;
 const PROBE_TIMEOUT_MS = 800;
 const PROBE_KEY = 'fuchsiahitch/probe';
-/** A peer answers a relayed call this much later than the store would. */
+/** Additional time for the hop through the peer. */
 const RELAY_SLACK_MS = 300;
-/** Of a call's time the direct way gets at most this much before it counts as failing. */
+/** Maximum time of a direct call before it counts as failed. */
 const DIRECT_TIMEOUT_MS = 900;
-/** A call that had less time than this and got no answer says nothing of the direct way: a slow store takes 0.3 s. */
+/** A call with a shorter time-out that gets no answer does not prove a failure: a slow store takes 0.3 s. */
 const CONCLUSIVE_TIMEOUT_MS = 600;
-/** A peer that could not help is not asked again for a while. */
+/** Time for which a peer is skipped after a failed relay. */
 const PEER_PAUSE_MS = 2000;
 
-/** The hosts that may help. */
+/** Hosts that can relay store calls. */
 export interface RelayPeers {
-  /** Their addresses, in no order. */
+  /** Addresses of the hosts, unordered. */
   addresses(): readonly string[];
   relay(address: string, request: StoreRequest, timeoutMs: number): Promise<Result<StoreReply, CallError>>;
 }
@@ -60,18 +57,18 @@
     this._reachedMs = context.clock.nowMs();
   }
 
-  /** Peers are known only once the store has named them. */
+  /** Set after construction, since the peers are read from the store. */
   setPeers(peers: RelayPeers): void {
     this._peers = peers;
   }
 
-  /** Makes store calls for peers, by the direct way only: a relayed call is never relayed again. */
+  /** Serves store calls of peers with direct calls only: a relayed call is never relayed again. */
   serve(server: CallRegistry): void {
     server.handle(storeRelayCall, async request => this._serveRelay(request));
     server.handle(reachCall, () => ({ isStoreReachable: !this._isFailing }));
   }
 
-  /** Milliseconds since the store was last reached, by any way. */
+  /** Milliseconds since the store last answered, directly or through a peer. */
   sinceReachedMs(): number {
     return this._context.clock.nowMs() - this._reachedMs;
   }
@@ -144,7 +141,7 @@
     return this._direct.watch(prefix, onEvents, signal);
   }
 
-  /** `waitMs`: how long the call itself waits at the store before it answers. */
+  /** `waitMs`: how long the call waits at the store before it is answered. */
   private async _call<T, E extends StoreError | 'compacted'>(
     direct: Direct<T, E>,
     deadline: Deadline,
@@ -158,11 +155,10 @@
       this._reachedMs = this._context.clock.nowMs();
       return result;
     }
-    // A caller that waits for a moment only learns nothing of the direct way: a store that is merely slow would be given up
-    // for all calls of the host.
+    // A call with a short time-out must not switch all calls of the host to relaying because the store is slow.
     const isConclusive = result.error !== 'unknown' || limitMs >= CONCLUSIVE_TIMEOUT_MS;
     if (isConclusive) this._startFailing(result.error);
-    // Only a call that was certainly not done may go another way at once; for any other the caller decides.
+    // Only a call that was certainly not executed is relayed at once; otherwise the caller decides.
     if (result.error === 'unknown') return result;
     return this._relay<T>(toRequest, deadline, waitMs);
   }
@@ -182,7 +178,7 @@
     }
     if (reply.value.ok) {
       this._reachedMs = this._context.clock.nowMs();
-      // The peer is a host of this fleet that made the very call: the value has the call's own form.
+      // The peer made the same call, so the value has the type of that call.
       return { ok: true, value: reply.value.value as T };
     }
     if (reply.value.error !== 'compacted') this._pause(address);
@@ -204,7 +200,7 @@
   private _startFailing(error: string): void {
     if (this._isFailing) return;
     this._isFailing = true;
-    this._context.log.warn('store out of direct reach, calls go through peers', { error });
+    this._context.log.warn('store not directly reachable, relaying calls through peers', { error });
     this._probe();
   }
 
@@ -216,7 +212,7 @@
         if (!result.ok) return this._probe();
         this._isFailing = false;
         this._reachedMs = clock.nowMs();
-        this._context.log.info('store in direct reach again');
+        this._context.log.info('store directly reachable again');
       });
     });
   }
--- a/packages/gateway/src/retirement.ts
+++ b/packages/gateway/src/retirement.ts
@@ -1,22 +1,19 @@
 /**
- * Answers the operator's wish to empty a storage host.
+ * Acknowledges an operator's request to drain a storage host.
  *
- * What must last stands in the platform's store, so that a storage host holds nothing that could be lost with
- * it: it is empty as soon as the wish is known.
+ * All durable data is in the platform's store, so that a storage host has nothing to drain and the request is completed at
+ * once.
  */
 import { Deadline, sleep, type Clock } from '@fuchsiahitch/base';
 import type { RevisionedStore, WatchEvent } from '@fuchsiahitch/clients';
 import type { Logger } from '@fuchsiahitch/telemetry';
 
 const CALL_TIMEOUT_MS = 1500;
-/**
- * How long one watch waits: a connection that fell silent is noticed after it. Asking every two seconds instead took
- * ten times the calls, and answered a second later.
- */
+/** Bounds the time until an unresponsive connection is detected. */
 const WATCH_WAIT_MS = 15_000;
 const RETRY_MS = 500;
 
-/** Where the operator's wish for a host is read, and where and with which value it is answered. */
+/** Keys of the operator's request for a host and of its acknowledgement, and the value that acknowledges it. */
 export interface RetirementRecord {
   readonly requestKey: string;
   readonly statusKey: string;
@@ -37,7 +34,7 @@
     this._log = log;
   }
 
-  /** Answers wishes until the signal is aborted. */
+  /** Acknowledges requests until the signal is aborted. */
   async run(signal: AbortSignal): Promise<void> {
     while (!signal.aborted) {
       await this._watch(signal);
@@ -45,7 +42,7 @@
     }
   }
 
-  /** Reads the wish and waits for others, until a call fails. */
+  /** Reads the request and watches for further ones, until a call fails. */
   private async _watch(signal: AbortSignal): Promise<void> {
     const found = await this._store.snapshot(this._record.requestKey, this._deadline());
     if (!found.ok) return;
@@ -62,7 +59,7 @@
 
   private async _acknowledgeAll(requests: readonly WatchEvent[]): Promise<boolean> {
     for (const { key, value, version } of requests) {
-      // The prefix fits the keys of hosts with longer names too.
+      // The prefix also matches the keys of hosts with longer names.
       if (key !== this._record.requestKey || value === undefined || this._acknowledged.has(version)) continue;
       if (!(await this._acknowledge(version))) return false;
     }
@@ -73,7 +70,7 @@
     const { statusKey, completedValue } = this._record;
     const put = { kind: 'put', key: statusKey, value: completedValue } as const;
     const done = await this._store.transact([], [put], this._deadline());
-    this._log.info('retirement', { outcome: done.ok ? 'completed' : done.error, wishRevision: version });
+    this._log.info('retirement', { outcome: done.ok ? 'completed' : done.error, requestRevision: version });
     if (done.ok) this._acknowledged.add(version);
     return done.ok;
   }
--- a/packages/gateway/src/sharedWatch.ts
+++ b/packages/gateway/src/sharedWatch.ts
@@ -1,12 +1,8 @@
 /**
- * One watch of the store for all hosts of a failure domain.
+ * Shares one store watch among the hosts of a failure domain, to bound the number of store calls in large fleets.
  *
- * What goes wrong without it: every host asks the store for the same changes, so that calls grow with the fleet, and with its
- * square while all hosts start and each writes that it lives. One notices it as calls to the store, most of them watches, on
- * a fleet that nobody asks anything. So the host with the lowest identifier watches, and its neighbours follow it, with one
- * call at a time for all prefixes. A follower must not depend on a host that is silent, or that the store is silent to: it
- * waits for a short time only, hears nothing from a host whose own view is old, and watches by itself for a while whenever
- * that happens.
+ * The host with the lowest identifier watches the store. The other hosts follow it, with one call at a time for all prefixes.
+ * A follower watches the store itself for a while if the watching host does not respond or has a stale view.
  */
 import { sleep, type Deadline, type Result } from '@fuchsiahitch/base';
 import type { Changes, Snapshot, StoreError } from '@fuchsiahitch/clients';
@@ -16,13 +12,12 @@
 import { followCall, type FollowReply, type FollowRequest, type Revisions } from './storeRelayMessages.js';
 import { WatchFeed, type WatchedPrefix } from './watchFeed.js';
 
-/** A follower's question waits this long for news, and its answer this much longer for the network. */
+/** How long a follower's request waits for changes, and the additional time for the network. */
 const FOLLOW_WAIT_MS = 600;
 const FOLLOW_SLACK_MS = 300;
-/** After a question that failed, a follower watches by itself for this long. */
+/** How long a follower watches the store itself after a failed request. */
 const DIRECT_WATCH_MS = 2000;
 
-/** What decides whom to follow. */
 export type WatchHosts = Pick<Hosts, 'isSynced' | 'self' | 'peers' | 'isOwnDomain' | 'call'>;
 
 export class SharedWatch implements MirrorSource {
@@ -32,7 +27,7 @@
   private _hosts: WatchHosts | undefined;
   private _directUntilMs = -Infinity;
   private _followedHostId: string | undefined;
-  /** The question to the watching host that is on its way, for all prefixes. */
+  /** Pending request to the watching host, shared by all prefixes. */
   private _pendingFollow: Promise<boolean> | undefined;
   private _waiters: (() => void)[] = [];
 
@@ -42,7 +37,7 @@
     this._feeds = new Map(prefixes.map(watched => [watched.prefix, new WatchFeed(watched)]));
   }
 
-  /** Until then this host watches by itself: which hosts live is itself learnt by a watch. */
+  /** Until it is called this host watches the store itself, since the hosts are learned through a watch. */
   setHosts(hosts: WatchHosts): void {
     this._hosts = hosts;
   }
@@ -64,9 +59,9 @@
     deadline: Deadline,
   ): Promise<Result<Changes, StoreError | 'compacted'>> {
     const feed = this._feed(prefix);
-    const told =
+    const buffered =
       feed.hasChangesAfter(afterRevision) || (await this._follow()) ? feed.after(afterRevision) : undefined;
-    if (told) return { ok: true, value: told };
+    if (buffered) return { ok: true, value: buffered };
     await this._awaitSpacing(feed);
     const ownWaitMs = Math.min(waitMs, feed.waitMs(this._context.clock.nowMs()));
     const changes = await this._store.changes(prefix, afterRevision, ownWaitMs, deadline);
@@ -81,11 +76,11 @@
     return feed;
   }
 
-  /** Hears what the watching host tells, of all prefixes; false when this host watches by itself. */
+  /** Applies the watching host's changes of all prefixes; returns false if this host watches the store itself. */
   private async _follow(): Promise<boolean> {
     const watchingHost = this._watchingHost();
     if (!watchingHost) {
-      this._setSource(undefined, 'this host watches');
+      this._setSource(undefined, 'this host watches the store');
       return false;
     }
     this._pendingFollow ??= this._requestChanges(watchingHost).finally(() => {
@@ -94,42 +89,39 @@
     return this._pendingFollow;
   }
 
-  private async _requestChanges(watcher: {
+  private async _requestChanges(host: {
     readonly hostId: string;
     readonly address: string;
   }): Promise<boolean> {
     const after = this._revisions();
     const request: FollowRequest = { after, waitMs: FOLLOW_WAIT_MS };
     const timeoutMs = FOLLOW_WAIT_MS + FOLLOW_SLACK_MS;
-    const reply = await this._hosts?.call(watcher.address, followCall, request, timeoutMs);
+    const reply = await this._hosts?.call(host.address, followCall, request, timeoutMs);
     if (reply?.ok && reply.value.kind === 'changes') {
-      this._setSource(watcher.hostId, 'it watches');
+      this._setSource(host.hostId, 'watches the store');
       this._applyChanges(after, reply.value.changes);
       return true;
     }
     this._directUntilMs = this._context.clock.nowMs() + DIRECT_WATCH_MS;
-    this._setSource(
-      undefined,
-      reply?.ok === false ? reply.error.kind : 'the watching host has no fresh view',
-    );
+    this._setSource(undefined, reply?.ok === false ? reply.error.kind : 'view of the watching host is stale');
     return false;
   }
 
-  /** The prefixes that were read whole, and up to where their changes are known. */
+  /** Last known revisions of the prefixes that were read completely. */
   private _revisions(): Revisions {
     const feeds = [...this._feeds].filter(([, feed]) => feed.revision > 0);
     return Object.fromEntries(feeds.map(([prefix, feed]) => [prefix, feed.revision]));
   }
 
-  private _applyChanges(after: Revisions, told: Readonly<Record<string, Changes>>): void {
+  private _applyChanges(after: Revisions, received: Readonly<Record<string, Changes>>): void {
     const nowMs = this._context.clock.nowMs();
     for (const [prefix, revision] of Object.entries(after)) {
-      const changes = told[prefix];
+      const changes = received[prefix];
       if (changes) this._feeds.get(prefix)?.apply(revision, changes, nowMs);
     }
   }
 
-  /** The host to follow: the one of the own domain with the lowest identifier, unless that is this host. */
+  /** Returns the host of the own domain with the lowest identifier, or undefined if this host is to watch. */
   private _watchingHost(): { readonly hostId: string; readonly address: string } | undefined {
     const hosts = this._hosts;
     if (!hosts?.isSynced() || this._context.clock.nowMs() < this._directUntilMs) return undefined;
@@ -146,7 +138,7 @@
     this._context.log.info('watch', { follows: hostId ?? 'the store', reason });
   }
 
-  /** Changes that come close together are read in one call. */
+  /** Delays the next call so that close changes are read together. */
   private async _awaitSpacing(feed: WatchFeed): Promise<void> {
     const { clock, stopped } = this._context;
     const leftMs = feed.spacingLeftMs(clock.nowMs());
@@ -164,9 +156,9 @@
   private _replyOf(after: Revisions): FollowReply {
     const changes: Record<string, Changes> = {};
     for (const [prefix, revision] of Object.entries(after)) {
-      const told = this._feeds.get(prefix)?.after(revision);
-      if (!told) return { kind: 'not-watching' };
-      changes[prefix] = told;
+      const buffered = this._feeds.get(prefix)?.after(revision);
+      if (!buffered) return { kind: 'not-watching' };
+      changes[prefix] = buffered;
     }
     return { kind: 'changes', changes };
   }
@@ -177,7 +169,7 @@
     );
   }
 
-  /** How long this host's view of all these prefixes is still good; 0 if it does not watch the store itself. */
+  /** How long this host's view of all these prefixes remains fresh; 0 if it does not watch the store itself. */
   private _freshForMs(after: Revisions): number {
     if (this._followedHostId !== undefined) return 0;
     const nowMs = this._context.clock.nowMs();
@@ -191,7 +183,7 @@
     for (const run of waiters) run();
   }
 
-  /** Resolves at the next news, or after the time. */
+  /** Resolves on the next change, or after the time. */
   private async _nextChange(waitMs: number): Promise<void> {
     await new Promise<void>(resolve => {
       const cancel = this._context.clock.after(waitMs, resolve);
--- a/packages/gateway/src/storeLease.ts
+++ b/packages/gateway/src/storeLease.ts
@@ -1,5 +1,5 @@
 /**
- * A key in the store that lasts as long as this process renews its lease.
+ * Store key that is bound to a lease and exists as long as this process renews it.
  */
 import { Deadline, sleep } from '@fuchsiahitch/base';
 import type { RevisionedStore, Write } from '@fuchsiahitch/clients';
@@ -10,24 +10,19 @@
   readonly renewMs: number;
 }
 
-/** What holding the key means to the one who asked for it. */
+/** Callbacks of the owner of a `StoreLease`. */
 export interface LeaseHolder {
-  /** The key's value. */
   value(): string;
-  /**
-   * How long to wait before the key is taken: 0 to take it now, Infinity as things stand. Whoever knows that things have
-   * changed calls `look`.
-   */
+  /** Delay before the key is acquired: 0 for now, Infinity until `recheck` is called. */
   acquireDelayMs(): number;
-  /** Taken or renewed: `sentMs` is when the store was asked, `token` grows with each holder. */
+  /** Called when the key was acquired or renewed. `sentMs`: when the request was sent; `token` grows with each holder. */
   held(token: number, sentMs: number): void;
   lost(reason: string): void;
-  /** Written together with the key, and again when it is given up; kept when it ends. */
+  /** Additional writes when the key is acquired and when it is released; they outlive the lease. */
   extraWrites?(): readonly Write[];
 }
 
 const CALL_TIMEOUT_MS = 800;
-/** The pause after a key could not be taken, or its lease not be renewed. */
 const RETRY_MS = 150;
 
 export class StoreLease {
@@ -36,7 +31,7 @@
   private readonly _key: string;
   private readonly _times: LeaseTimes;
   private readonly _holder: LeaseHolder;
-  /** True if the key must not exist when it is taken; a host's own key replaces what it left behind. */
+  /** True if the key must not exist when it is acquired; false to replace the record of an earlier process. */
   private readonly _isExclusive: boolean;
   private _leaseId: string | undefined;
   private _token = 0;
@@ -63,25 +58,25 @@
     void this._run();
   }
 
-  /** Asks the holder again whether it wants the key. */
+  /** Queries the holder's acquire delay again. */
   recheck(): void {
     this._wake();
   }
 
-  /** Gives the key up at once, so that others need not wait for its end. */
+  /** Releases the key for good, so that others need not wait for the lease to expire. */
   async release(): Promise<void> {
     this._isReleased = true;
     this._wake();
     await this.relinquish();
   }
 
-  /** As `release`, and takes the key again once the holder wants it. */
+  /** Releases the key; it is reacquired when the holder's acquire delay allows. */
   async relinquish(): Promise<void> {
     const leaseId = this._leaseId;
     this._leaseId = undefined;
     if (leaseId === undefined) return;
     const writes = this._holder.extraWrites?.() ?? [];
-    // Only as long as the key is still this holder's: a late write must not replace what a successor wrote.
+    // The compare prevents a delayed write from replacing a successor's record.
     const compares = [{ key: this._key, version: this._token }];
     if (writes.length > 0) await this._store.transact(compares, writes, this._deadline());
     await this._store.endLease(leaseId, this._deadline());
@@ -100,7 +95,7 @@
     }
   }
 
-  /** Ends after the time, when somebody asks to look, or when the process stops. */
+  /** Resolves after the time, on `recheck`, or when the process stops. */
   private async _idle(waitMs: number): Promise<void> {
     const { clock, stopped } = this._context;
     await new Promise<void>(resolve => {
@@ -125,7 +120,7 @@
     const writes = [put, ...(this._holder.extraWrites?.() ?? [])];
     const done = await this._store.transact(compares, writes, this._deadline());
     if (!done.ok || !done.value.succeeded) {
-      // An answer that was lost may hide that the key was taken: the lease is ended so that it cannot stay.
+      // The write may have succeeded although its answer was lost: ending the lease removes the key.
       await this._store.endLease(lease.value, this._deadline());
       return false;
     }
@@ -138,16 +133,16 @@
   private async _renew(leaseId: string): Promise<boolean> {
     const sentMs = this._context.clock.nowMs();
     const renewed = await this._store.keepLease(leaseId, this._deadline());
-    // Given up meanwhile: the key may be another host's by now.
+    // Released during the call: another host may hold the key now.
     if (this._leaseId !== leaseId) return false;
     if (renewed.ok && renewed.value) {
       this._holder.held(this._token, sentMs);
       return true;
     }
-    // No answer says nothing: the lease may still stand, and its own end guards what depends on it.
+    // Without an answer the lease may still exist; its validity limits the holder's actions.
     if (!renewed.ok) return false;
     this._leaseId = undefined;
-    this._holder.lost('the store no longer knows the lease');
+    this._holder.lost('lease no longer exists in the store');
     return false;
   }
 
--- a/packages/gateway/src/storeMirror.ts
+++ b/packages/gateway/src/storeMirror.ts
@@ -1,10 +1,8 @@
 /**
- * A local copy of what stands under one prefix of the store, kept up to date by watching.
+ * Local copy of one prefix of the store, updated by a watch.
  *
- * What goes wrong without the details: a watch falls silent and no change is heard again; history is dropped
- * and changes are skipped; the store is away and an empty answer is taken for an empty fleet. So every watch
- * has a time-out and starts anew, lost history leads to a whole read, and while the store is out of reach the
- * last view stays.
+ * Every watch has a time-out. The prefix is read completely if the store has compacted the changes since the last revision.
+ * The last view is retained while the store is unreachable.
  */
 import { Deadline, sleep } from '@fuchsiahitch/base';
 import type { RevisionedStore, StoredValue } from '@fuchsiahitch/clients';
@@ -12,30 +10,27 @@
 
 export interface MirrorOptions {
   readonly prefix: string;
-  /** How long one watch waits for a change. */
+  /** Maximum time that one watch waits for a change. */
   readonly waitMs: number;
-  /** The least pause between two watches: changes that come in it are read together, in one call. */
+  /** Minimum pause between two watches, so that close changes are read in one call. */
   readonly spacingMs: number;
-  /** How long the answer of a watch may take beyond its wait; it has fallen silent after that. */
+  /** Time-out of a watch in addition to its wait. */
   readonly responseGraceMs?: number;
 }
 
-/** Where a mirror reads. */
 export type MirrorSource = Pick<RevisionedStore, 'snapshot' | 'changes'>;
 
 export interface MirrorListener {
-  /** A value is new or changed. */
+  /** Called when a key was added or its value was written again. */
   changed(value: StoredValue): void;
-  /** A key is gone. */
   removed(key: string): void;
-  /** The prefix was read whole, and is synced. */
+  /** Called after a complete read of the prefix. */
   synced?(): void;
 }
 
-/** Beyond the watch's own wait: a round trip to a slow store. */
+/** Allows for a round trip to a slow store. */
 const RESPONSE_GRACE_MS = 1500;
 const SNAPSHOT_TIMEOUT_MS = 1500;
-/** Pause after a call that failed: short against the seconds in which changes must be known. */
 const RETRY_MS = 250;
 
 export class StoreMirror {
@@ -65,7 +60,7 @@
     void this._run();
   }
 
-  /** True once the prefix was read whole. */
+  /** Returns true if a complete read of the prefix is current. */
   isSynced(): boolean {
     return this._revision !== undefined;
   }
@@ -108,7 +103,10 @@
     const changes = await this._store.changes(prefix, after, waitMs, deadline);
     if (!changes.ok) {
       if (changes.error !== 'compacted') return this._onFailure(changes.error);
-      this._context.log.info('store history is gone, reading anew', { prefix, afterRevision: after });
+      this._context.log.info('store history was compacted, reading the prefix again', {
+        prefix,
+        afterRevision: after,
+      });
       this._revision = undefined;
       return true;
     }
--- a/packages/gateway/src/storeRelayMessages.ts
+++ b/packages/gateway/src/storeRelayMessages.ts
@@ -1,5 +1,5 @@
 /**
- * Store calls that one host makes for another.
+ * Messages between hosts for relayed store calls and shared watches.
  */
 import { defineCall } from '@fuchsiahitch/protocol';
 import * as z from 'zod';
@@ -44,7 +44,7 @@
 ]);
 export type StoreRequest = z.infer<typeof storeRequestSchema>;
 
-/** The result as the caller of the store would get it; the value's form depends on the call. */
+/** Result of the store call; the type of the value depends on the call. */
 export const storeReplySchema = z.discriminatedUnion('ok', [
   z.strictObject({ ok: z.literal(true), value: z.unknown() }),
   z.strictObject({
@@ -56,17 +56,17 @@
 
 export const storeRelayCall = defineCall('storeRelay', storeRequestSchema, storeReplySchema);
 
-/** Asks whether a host can be reached, and whether it reaches the store. */
+/** Checks that a host responds, and whether it reaches the store. */
 export const reachCall = defineCall(
   'reach',
   z.strictObject({}).readonly(),
   z.strictObject({ isStoreReachable: z.boolean() }).readonly(),
 );
 
-/** A revision of the store for each of some prefixes. */
+/** Store revisions by prefix. */
 export type Revisions = Readonly<Record<string, number>>;
 
-/** Asks the host that watches the store for a domain what changed under each prefix after its revision. */
+/** Requests the changes under each prefix after its revision from the host that watches the store for a domain. */
 export const followRequestSchema = z
   .strictObject({ after: z.record(z.string(), count).readonly(), waitMs: z.number() })
   .readonly();
@@ -80,7 +80,7 @@
   .strictObject({ events: z.array(watchEventSchema).readonly(), revision: count })
   .readonly();
 
-/** `not-watching`: the host follows another, or its own view is old, or it does not know changes from so long ago. */
+/** `not-watching`: the host follows another host, its view is stale, or it no longer retains the requested changes. */
 export const followReplySchema = z.discriminatedUnion('kind', [
   z.strictObject({
     kind: z.literal('changes'),
--- a/packages/gateway/src/usageRecords.ts
+++ b/packages/gateway/src/usageRecords.ts
@@ -1,9 +1,8 @@
 /**
- * What the reports of usage leave in the store: the content of each window, decided once and before it is first sent, and how
- * far all is reported.
+ * Store records of the usage reports: the content of each window and the progress of the reports.
  *
- * Without the first, a reporter that dies between sending and the answer is followed by one that knows less or more, and the
- * platform gets two bills for one window.
+ * The content of a window is decided and stored before it is first sent, so that a successor of a failed reporter sends the
+ * same content again.
  */
 import { Deadline, err, ok, type Result } from '@fuchsiahitch/base';
 import { ROOT } from '@fuchsiahitch/batches';
@@ -22,15 +21,14 @@
 const DECIDED_PREFIX = `${PREFIX}decided/`;
 const CALL_TIMEOUT_MS = 1000;
 
-/** How far the reports are. */
 export interface UsageProgress {
-  /** Windows up to this one are reported or given up; undefined before the first. */
+  /** Last window that was reported or skipped; undefined before the first. */
   readonly settledUpTo: number | undefined;
-  /** The revision of that record; 0 before the first. */
+  /** Revision of that record; 0 before the first. */
   readonly revision: number;
-  /** Contents that are decided and not settled. */
+  /** Reports that are decided and not settled. */
   readonly decided: readonly UsageReport[];
-  /** What hosts had told the reporter before. */
+  /** Undecided usage that the previous reporter had received. */
   readonly told: readonly ProcessUsage[];
 }
 
@@ -52,18 +50,18 @@
       .map(record => decodeUsageReport(record.value))
       .filter(report => report !== undefined);
     const settledUpTo = settled ? Number(settled.value) : undefined;
-    const told = records.value.find(record => record.key === TOLD_KEY);
+    const pending = records.value.find(record => record.key === TOLD_KEY);
     return ok({
       settledUpTo,
       revision: settled?.version ?? 0,
       decided,
-      told: told ? decodeProcessUsages(told.value) : [],
+      told: pending ? decodeProcessUsages(pending.value) : [],
     });
   }
 
   /**
-   * Decides a window's content, as long as reports have not gone on since `revision`; another decision that came first stands,
-   * and is what comes back. Without the second condition a write that is carried out late decides a settled window anew.
+   * Decides the content of a window if the progress is still at `revision`; returns the earlier decision if there is one. The
+   * check of the revision prevents a delayed write from deciding a settled window again.
    */
   async decide(
     report: UsageReport,
@@ -85,8 +83,8 @@
   }
 
   /**
-   * Keeps what hosts have told and no report has yet, for a successor: what the reporter counted itself, and what hosts told
-   * that ended since, nobody can tell again. False if it could not be written.
+   * Stores undecided usage for a successor, since terminated processes and this one cannot resend theirs. Returns false if it
+   * could not be written.
    */
   async storePending(text: string, revision: number): Promise<boolean> {
     const compares = [{ key: SETTLED_KEY, version: revision }];
@@ -95,7 +93,7 @@
     return done.ok && done.value.succeeded;
   }
 
-  /** Notes that all up to the window is done; `revision` is 0 for the first note ever. `progressed`: another reporter has noted something since. */
+  /** Stores the progress; `revision` is 0 for the first record. `progressed`: another reporter has stored progress since. */
   async settle(window: number, revision: number): Promise<Result<number, 'progressed' | 'out-of-reach'>> {
     const compares = [{ key: SETTLED_KEY, version: revision }];
     const writes = [
--- a/packages/gateway/src/usageReporter.ts
+++ b/packages/gateway/src/usageReporter.ts
@@ -1,9 +1,9 @@
 /**
- * The duty to report to the platform what endpoints began, once for each window.
+ * Duty that reports usage to the platform, once per window.
  *
- * A window is decided when every host that was busy has said that it counted to the window's end, or when the time left is just
- * enough to send it. It is sent until it is answered, always with the same content; what comes later is lost, and the log says
- * whose it was.
+ * The content of a window is decided when every recently busy host has marked the window final, or when only the time to send
+ * the report is left. The report is sent with the same content until it is answered. Usage received after the decision is lost
+ * and logged.
  */
 import type { Result } from '@fuchsiahitch/base';
 import type { RevisionedStore } from '@fuchsiahitch/clients';
@@ -28,32 +28,32 @@
 
 export const USAGE_KEY = `${LIVE_PREFIX}usage`;
 export const LAST_USAGE_KEY = `${LIVE_PREFIX}last-usage`;
-/** All windows are one subject to the platform. */
+/** The platform treats all windows as one subject. */
 const SUBJECT = 'usage';
-/** Seconds matter less here than calls to the store: a report is due well after a successor has taken over. */
+/** Favors few store calls over a fast takeover: a report is due well after a successor has taken over. */
 const LEASE = { ttlMs: 3000, renewMs: 1000, validityMs: 2500, marginMs: 600 };
-/** A call that connects within this and is answered within that: the connection decides when it may still arrive. */
 const ANSWER_TIMEOUT_MS = 1500;
+/** Also bounds how long after its start a call can still arrive. */
 const CONNECT_TIMEOUT_MS = 500;
-/** What a host tells in time may be on its way for so long. */
+/** Time for an update in transit to arrive. */
 const DELIVERY_SLACK_MS = 400;
-/** Hosts tell a new reporter everything anew within this. */
+/** Time in which hosts resend their counts to a new reporter. */
 const RESEND_MS = 2500;
-/** Before a report is due, so much time is kept for sending it again. */
+/** Time reserved before the due time for retries. */
 const SEND_RESERVE_MS = 4000;
 const RETRY_MS = 300;
-/** What hosts told is kept for a successor this often, if it fits. */
+/** Interval at which pending usage is stored for a successor, if it fits. */
 const STORE_INTERVAL_MS = 1000;
 const MAX_STORED_CHARS = 16_384;
-/** Failures in a row after which another host may have a way to the platform that this one lacks. */
+/** Consecutive failures after which the duty is left to a host that may reach the platform. */
 const MAX_FAILURES = 4;
 const YIELD_MS = 6000;
 
 export interface UsageReporterOptions {
   readonly windowMs: number;
-  /** A report is due so long after its window's end. */
+  /** Time after the end of a window at which its report is due. */
   readonly dueMs: number;
-  /** Calls of two holders must be further apart than this: the platform's bound. */
+  /** Minimum time between calls of two holders, required by the platform. */
   readonly handoverMs: number;
 }
 
@@ -74,7 +74,7 @@
   private readonly _pauses: PauseDetector;
   private readonly _clockVote = new ClockVote();
   private readonly _ledger = new UsageLedger();
-  /** What this holder knows of the windows before; undefined until it has read them. */
+  /** Progress of the reports; undefined until it was read from the store. */
   private _progress: { readonly settledUpTo: number; readonly revision: number } | undefined;
   private _decided = new Map<number, UsageReport>();
   private _acquiredMs = -Infinity;
@@ -103,18 +103,17 @@
     await this._duty.stop();
   }
 
-  /** Takes in what a host tells. */
-  receive(told: UsageUpdate): UsageUpdateReply {
+  receive(update: UsageUpdate): UsageUpdateReply {
     if (!this._duty.isHolder()) return { kind: 'not-reporter' };
     this._checkPause();
     const { clock } = this._context;
-    this._clockVote.observe(told.hostId, told.wallMs, clock.nowMs());
-    this._logLate(told);
-    this._ledger.told(told);
+    this._clockVote.observe(update.hostId, update.wallMs, clock.nowMs());
+    this._logLate(update);
+    this._ledger.told(update);
     return { kind: 'taken', trueMs: this._trueMs(), decidedUpTo: this._decidedUpTo() };
   }
 
-  /** What this process was told before still holds: hosts tell it again only to a process that does not know it. */
+  /** Retains the ledger: hosts resend their counts only to a process that has not reported before. */
   taken(): void {
     this._acquiredMs = this._context.clock.nowMs();
     this._progress = undefined;
@@ -135,7 +134,7 @@
     this._isBusy = false;
   }
 
-  /** The next thing to do; false if it failed and is to be tried again after a pause. */
+  /** Performs the next step; returns false if it failed and must be retried after a pause. */
   private async _processNext(): Promise<boolean> {
     const progress = this._progress ?? (await this._readProgress());
     if (!progress) return false;
@@ -147,14 +146,14 @@
     const report = this._decided.get(window) ?? (await this._decide(window, progress.revision));
     if (!report) return false;
     const answer = await this._send(report);
-    if (answer === 'no-right') return true;
+    if (answer === 'not-holder') return true;
     this._logSent(report, answer);
     if (answer === 'accepted' || answer === 'refused') return this._settle(window, progress.revision);
     this._countFailure(answer);
     return false;
   }
 
-  /** Reads how far the holder before came. Windows whose time has passed are given up. */
+  /** Reads the progress of the previous holder. Windows whose reports are overdue are skipped and logged. */
   private async _readProgress(): Promise<UsageReporter['_progress']> {
     const read = await this._records.read();
     if (!read.ok) return undefined;
@@ -167,7 +166,7 @@
       this._context.log.warn('usage lost', {
         window: settledUpTo + 1,
         windows: from - settledUpTo,
-        reason: 'nobody could report in time',
+        reason: 'no host could report in time',
       });
     for (const report of decided) if (report.window > from) this._decided.set(report.window, report);
     for (const usage of told) this._ledger.told(usage);
@@ -176,14 +175,14 @@
     return this._progress;
   }
 
-  /** Nothing was ever reported. Noted at once: a successor that found no note would begin with its own first window. */
+  /** Stores the initial progress at once, so that a successor does not start with a later window. */
   private async _initializeAt(settledUpTo: number): Promise<UsageReporter['_progress']> {
     const settled = await this._records.settle(settledUpTo, 0);
     if (settled.ok) this._progress = { settledUpTo, revision: settled.value };
     return this._progress;
   }
 
-  /** Keeps what was told since the last time; small on purpose, and left out where it grows large. */
+  /** Stores the undecided usage for a successor. If it is too large, stores only that of this process. */
   private async _storePending(revision: number): Promise<void> {
     const nowMs = this._context.clock.nowMs();
     if (nowMs < this._storeAtMs) return;
@@ -198,11 +197,11 @@
     return this._ledger.undecided().filter(({ incarnation }) => incarnation === this._context.incarnation);
   }
 
-  /** True once a window can be decided: nothing more is to come, or no more time is left. */
+  /** Returns true if a window can be decided: no more usage is expected, or no more time is left. */
   private _isDue(window: number): boolean {
     const { windowMs, dueMs } = this._options;
     const sinceEndMs = this._trueMs() - windowEndMs(window, windowMs);
-    // A host that was not busy before may have counted something just now.
+    // A host that was idle may have counted requests recently.
     if (sinceEndMs < sendIntervalMs(this._ports.hosts.peers().length) + DELIVERY_SLACK_MS) return false;
     if (this._decided.has(window) || sinceEndMs >= dueMs - SEND_RESERVE_MS) return true;
     if (this._context.clock.nowMs() < this._acquiredMs + RESEND_MS) return false;
@@ -239,9 +238,9 @@
     return undefined;
   }
 
-  private async _send(report: UsageReport): Promise<DutyAnswer | 'no-right'> {
+  private async _send(report: UsageReport): Promise<DutyAnswer | 'not-holder'> {
     const fencingToken = this._duty.token();
-    if (fencingToken === undefined || !this._duty.canActOn(SUBJECT)) return 'no-right';
+    if (fencingToken === undefined || !this._duty.canActOn(SUBJECT)) return 'not-holder';
     this._duty.recordAct(SUBJECT, this._context.clock.nowMs() + CONNECT_TIMEOUT_MS);
     const act = { holder: this._context.hostId, fencingToken };
     const timeouts = { connectMs: CONNECT_TIMEOUT_MS, answerMs: ANSWER_TIMEOUT_MS };
@@ -252,7 +251,7 @@
     this._failures = 0;
     const settled: Result<number, string> = await this._records.settle(window, revision);
     if (!settled.ok) {
-      // The report was answered: all that is left is to say so, and to learn how far all is.
+      // The report was answered; the progress is read again before the next step.
       this._progress = undefined;
       return false;
     }
@@ -266,8 +265,8 @@
     this._failures = answer === 'busy' ? 0 : this._failures + 1;
     if (this._failures < MAX_FAILURES) return;
     this._failures = 0;
-    this._context.log.warn('usage lease', { change: 'left to another host', reason: answer });
-    // Not awaited: it waits for this very step to end.
+    this._context.log.warn('usage lease', { change: 'yielded', reason: answer });
+    // Not awaited: it waits for this step to end.
     void this._duty.yieldFor(YIELD_MS);
   }
 
@@ -276,7 +275,7 @@
     this._pausedUntilMs = clock.nowMs() + RETRY_MS + random.below(RETRY_MS);
   }
 
-  /** Up to which window nothing can be added any more. */
+  /** Last window to which no usage can be added. */
   private _decidedUpTo(): number {
     const settledUpTo = this._progress?.settledUpTo ?? -1;
     return this._decided.has(settledUpTo + 1) ? settledUpTo + 1 : settledUpTo;
@@ -286,7 +285,7 @@
     for (const { window, counts } of windows) {
       if (window > this._decidedUpTo()) continue;
       if (totalOf(counts) > 0 && !this._decided.has(window))
-        this._context.log.info('usage told late', { window, of: hostId, requests: totalOf(counts) });
+        this._context.log.info('late usage update', { window, of: hostId, requests: totalOf(counts) });
     }
   }
 
@@ -302,7 +301,7 @@
     });
   }
 
-  /** True time: that of most hosts, or of this one's clock while no other was heard. */
+  /** True time by the clocks of most hosts, including this one. */
   private _trueMs(): number {
     const { clock, hostId } = this._context;
     const nowMs = clock.nowMs();
--- a/packages/gateway/src/usageSender.ts
+++ b/packages/gateway/src/usageSender.ts
@@ -1,9 +1,9 @@
 /**
- * Tells the host that reports usage what this host saw endpoints begin.
+ * Sends the usage counted by this host to the host that reports it to the platform.
  *
- * A host that is never asked anything tells nothing. One that counted something tells it within a second, so that little is lost
- * with it, and says of each window when nothing can be added any more, so that nobody waits for it. All counts of a window go
- * with each message, which may therefore be lost, repeated, or taken by a reporter that knows nothing yet.
+ * Idle hosts send nothing. New counts are sent within about a second, to limit the loss when a host fails, and each window is
+ * marked final once it cannot grow, so that the reporter need not wait for this host. A message carries the complete counts of
+ * its windows and may therefore be lost or repeated.
  */
 import { err, ok, type CancelTimer, type Result } from '@fuchsiahitch/base';
 import { isSameOwner, type Owner } from '@fuchsiahitch/batches';
@@ -23,27 +23,26 @@
 
 export const usageUpdateCall = defineCall('usageTold', usageUpdateSchema, usageUpdateReplySchema);
 
-/** Counts are told so long after the first of them, together with those that came meanwhile. */
+/** Delay after the first new count, so that one message carries several. */
 const SEND_DELAY_MS = 1000;
-/** In a large fleet the reporter hears no more than so many messages a second. */
+/** Bounds the message rate at the reporter in large fleets. */
 const MAX_MESSAGES_PER_SECOND = 100;
 const SEND_TIMEOUT_MS = 1000;
-/** A reporter that did not answer, or does not exist yet, is looked for again after this. */
 const RETRY_MS = 500;
 const MS_PER_SECOND = 1000;
 
-/** A host tells what it counted so long after it, at the latest. */
+/** Maximum delay between a count and the message that carries it. */
 export function sendIntervalMs(hosts: number): number {
   return Math.max(SEND_DELAY_MS, (hosts / MAX_MESSAGES_PER_SECOND) * MS_PER_SECOND);
 }
 
 export type UsageHosts = Pick<Hosts, 'self' | 'peers' | 'call' | 'onKeyChange'> & {
-  /** What the holder of a key wrote into it; undefined while nobody holds it. */
+  /** Value written by the holder of a key; undefined if the key has no holder. */
   valueOfKey(key: string): string | undefined;
 };
 
-/** Takes what hosts tell, where this host itself is the reporter. */
-export type ReceiveUsage = (told: UsageUpdate) => UsageUpdateReply;
+/** Delivers updates locally if this host is the reporter. */
+export type ReceiveUsage = (update: UsageUpdate) => UsageUpdateReply;
 
 export class UsageSender {
   private readonly _context: GatewayContext;
@@ -52,15 +51,15 @@
   private readonly _reporterKey: string;
   private readonly _receiveLocally: ReceiveUsage;
   private readonly _pauses: PauseDetector;
-  /** When it is told next; Infinity while nothing is to tell. */
+  /** Time of the next message; Infinity if none is scheduled. */
   private _dueMs = Infinity;
   private _cancel: CancelTimer = () => undefined;
   private _reporter: Owner | undefined;
-  /** How the last try failed: each of a row of failures would fill the log. */
+  /** Outcome of the last failed attempt, so that repeated failures are logged once. */
   private _lastFailure: string | undefined;
   private _isSending = false;
 
-  /** `reporterKey`: its value names the host that reports. */
+  /** `reporterKey`: store key whose value is the identifier of the reporting host. */
   constructor(
     context: GatewayContext,
     meter: UsageMeter,
@@ -80,13 +79,13 @@
     this._hosts.onKeyChange(this._reporterKey, () => this._onReporterKeyChange());
   }
 
-  /** A request of an account is sent to an endpoint. */
+  /** Meters a request that is sent to an endpoint. */
   sent(accountName: string): MeteredRequest {
     this._checkPause();
-    const send = this._meter.sent(accountName, this._context.clock.nowMs());
+    const request = this._meter.sent(accountName, this._context.clock.nowMs());
     return {
       ended: didBegin => {
-        send.ended(didBegin);
+        request.ended(didBegin);
         if (didBegin) this._scheduleSend(this._sendIntervalMs());
       },
     };
@@ -101,7 +100,7 @@
     if (this._meter.hasUnreported()) this._scheduleSend(this._context.random.below(SEND_DELAY_MS));
   }
 
-  /** A process that did not report before knows nothing of what was told to others. */
+  /** A new reporter process has none of the earlier updates. */
   private _updateReporter(): void {
     const reporter = this._currentReporter();
     if (!reporter || (this._reporter && isSameOwner(reporter, this._reporter))) return;
@@ -115,9 +114,9 @@
     return this._hosts.peers().find(peer => peer.hostId === hostId);
   }
 
-  /** A time that was learnt before a pause, or before the clock was set, says nothing of what comes after. */
+  /** Discards the clock offset after a pause or a change of the wall clock. */
   private _checkPause(): void {
-    if (this._pauses.wasPaused()) this._meter.undated();
+    if (this._pauses.wasPaused()) this._meter.clearClockOffset();
   }
 
   private _scheduleSend(delayMs: number): void {
@@ -148,27 +147,31 @@
     else if (finalMs !== undefined) this._scheduleSend(Math.max(finalMs - nowMs, RETRY_MS / 2));
   }
 
-  /** Learns what time it is first, where that is not known, and tells then: counts belong to windows of true time. */
+  /** Obtains the clock offset first if it is not known: counts belong to windows of true time. */
   private async _sendUsage(): Promise<boolean> {
     if (!this._meter.hasClockOffset() && !(await this._exchange([], () => undefined))) return false;
     this._updateReporter();
-    const { windows, told } = this._meter.nextUpdate(this._context.clock.nowMs());
-    return windows.length === 0 || this._exchange(windows, told);
+    const { windows, told: acknowledge } = this._meter.nextUpdate(this._context.clock.nowMs());
+    return windows.length === 0 || this._exchange(windows, acknowledge);
   }
 
-  private async _exchange(windows: UsageUpdate['windows'], told: () => void): Promise<boolean> {
+  private async _exchange(windows: UsageUpdate['windows'], acknowledge: () => void): Promise<boolean> {
     const { clock, hostId, incarnation, log } = this._context;
     const sentMs = clock.nowMs();
     const reply = await this._send({ hostId, incarnation, wallMs: clock.wallMs(), windows });
     if (!reply.ok || reply.value.kind !== 'taken') {
       const outcome = reply.ok ? reply.value.kind : reply.error.kind;
       if (outcome !== this._lastFailure)
-        log.info('usage not told', { outcome, reporter: this._reporter?.hostId, windows: windows.length });
+        log.info('usage update not delivered', {
+          outcome,
+          reporter: this._reporter?.hostId,
+          windows: windows.length,
+        });
       this._lastFailure = outcome;
       return false;
     }
     this._lastFailure = undefined;
-    told();
+    acknowledge();
     this._meter.setClockOffset(reply.value.trueMs - (sentMs + clock.nowMs()) / 2);
     this._meter.markDecided(reply.value.decidedUpTo);
     return true;
@@ -176,7 +179,7 @@
 
   private async _send(request: UsageUpdate): Promise<Result<UsageUpdateReply, CallError>> {
     const reporter = this._currentReporter();
-    if (!reporter) return err({ kind: 'not-sent', text: 'nobody reports' });
+    if (!reporter) return err({ kind: 'not-sent', text: 'no host reports usage' });
     if (isSameOwner(reporter, this._hosts.self())) return ok(this._receiveLocally(request));
     return this._hosts.call(reporter.address, usageUpdateCall, request, SEND_TIMEOUT_MS);
   }
@@ -187,7 +190,7 @@
         window,
         requests: totalOf(counts),
         of: this._context.hostId,
-        reason: 'no reporter took it in time',
+        reason: 'not delivered to a reporter in time',
       });
   }
 }
--- a/packages/gateway/src/usageService.ts
+++ b/packages/gateway/src/usageService.ts
@@ -1,5 +1,5 @@
 /**
- * Usage at one host: what it counts, tells, and reports where that is its duty.
+ * Usage metering of one host: counting, sending to the reporter, and reporting if this host holds that duty.
  */
 import { UsageMeter, type MeteredRequest } from '@fuchsiahitch/metering';
 import type { RevisionedStore } from '@fuchsiahitch/clients';
@@ -24,7 +24,7 @@
   private readonly _reporter: UsageReporter;
   private readonly _sender: UsageSender;
 
-  /** `storeOf`: the store, with its calls counted under a name. */
+  /** `storeOf`: returns the store with its calls counted under the caller's name. */
   constructor(
     context: GatewayContext,
     storeOf: (caller: StoreCaller) => RevisionedStore,
@@ -40,11 +40,13 @@
     };
     this._reporter = new UsageReporter(context, ports, options);
     const meter = new UsageMeter({ windowMs: options.windowMs, keepMs: options.dueMs });
-    this._sender = new UsageSender(context, meter, hosts, USAGE_KEY, told => this._reporter.receive(told));
+    this._sender = new UsageSender(context, meter, hosts, USAGE_KEY, update =>
+      this._reporter.receive(update),
+    );
   }
 
   serve(server: CallRegistry): void {
-    server.handle(usageUpdateCall, told => this._reporter.receive(told));
+    server.handle(usageUpdateCall, update => this._reporter.receive(update));
   }
 
   start(): void {
@@ -56,7 +58,7 @@
     await this._reporter.stop();
   }
 
-  /** A request of an account is sent to an endpoint. */
+  /** Meters a request that is sent to an endpoint. */
   sent(accountName: string): MeteredRequest {
     return this._sender.sent(accountName);
   }
--- a/packages/gateway/src/weightOrders.ts
+++ b/packages/gateway/src/weightOrders.ts
@@ -1,8 +1,7 @@
 /**
- * Weight orders to the endpoints of one failure domain, given by one host.
+ * Weight orders to the endpoints of one failure domain, sent by the host that holds the domain's lease.
  *
- * Each domain has a holder of its own, so that a domain that is cut off, or a host that dies, stops the orders of one domain and
- * not of all. `DutyLease` says when the holder may order.
+ * Each failure domain has its own lease, so that an isolated domain or a failed host stops the orders of one domain only.
  */
 import type { RevisionedStore } from '@fuchsiahitch/clients';
 import {
@@ -24,14 +23,14 @@
 import { modelShares } from './modelShares.js';
 import type { EndpointClient, WeightReport } from './ports.js';
 
-/** An order is on its way for at most `marginMs`. */
+/** An order is in transit for at most `marginMs`. */
 const LEASE = { ttlMs: 1500, renewMs: 300, validityMs: 1000, marginMs: 350 };
 const ORDER_PAUSE_MS = 250;
 const ORDER_TIMEOUT_MS = 300;
 const REPORT_TIMEOUT_MS = 300;
-/** News for a peer that takes longer is old by then: its next heartbeat tells it too. */
+/** An update that takes longer is superseded by the next heartbeat. */
 const PEER_TIMEOUT_MS = 500;
-/** Of all endpoints of a pool, loading more at once slows each of them down. */
+/** Maximum share of a pool's endpoints that load at once; more would slow each load down. */
 const LOADING_SHARE = 0.29;
 const SWAP = {
   maxSwappingShare: 1,
@@ -40,17 +39,16 @@
   maxTries: 8,
   readBackAfterMs: 250,
 };
-/** A load takes about a second, and two when many load. */
+/** Exceeds the duration of a load while many endpoints load. */
 const WINDOW_TIMEOUT_MS = 2500;
-/** Trainers accept tokens of the version before the one that they named last. */
+/** Trainers accept tokens of the version that precedes the one they requested last. */
 const ALLOWED_LAG = 1;
 
 export interface WeightOrdersOptions {
-  /** Orders of two holders must be further apart than this: the platform's bound. */
+  /** Minimum time between orders of two holders, required by the platform. */
   readonly handoverMs: number;
 }
 
-/** What the orders of a domain work with. */
 export interface OrderPorts {
   readonly store: RevisionedStore;
   readonly configuration: ConfigurationService;
@@ -68,7 +66,7 @@
   private readonly _windows = new Map<string, LoadWindow>();
   private readonly _busy = new Set<string>();
 
-  /** Orders to the endpoints of `domain`. */
+  /** `domain`: failure domain whose endpoints are ordered. */
   constructor(context: GatewayContext, ports: OrderPorts, domain: string, options: WeightOrdersOptions) {
     this._context = context;
     this._ports = ports;
@@ -95,12 +93,11 @@
     this._duty.start();
   }
 
-  /** True if this host gives the orders. */
   isHolder(): boolean {
     return this._duty.isHolder();
   }
 
-  /** Gives the right to order up. The orders that are on their way end first: the successor counts from them. */
+  /** Releases the lease after the pending orders have ended. */
   async stop(): Promise<void> {
     await this._duty.stop();
   }
@@ -130,7 +127,7 @@
     for (const load of due) if (window.has(load)) this._orderLoad(pool, load, token);
   }
 
-  /** Brings the model's planner up to date; how far the endpoints of its share are. */
+  /** Updates the planner of the model; returns the load states of the endpoints of its share. */
   private _loadsOf(pool: string, model: string, named: number, share: readonly Endpoint[]): ModelLoads {
     const planner = this._planner(pool, model);
     planner.setTarget({ pool, version: named, sequence: named, share: 1 });
@@ -155,7 +152,7 @@
       this._duty.track(this._sendOrder(order, load.model, planner));
   }
 
-  /** False for an endpoint that loads, and for one that nobody orders now: others are loaded in its place. */
+  /** Returns false for an endpoint that is loading, or whose domain has no holder that may order it now. */
   private _takesOrders(endpoint: Endpoint): boolean {
     if (endpoint.isLoading()) return false;
     const { domain } = endpoint;
@@ -172,7 +169,7 @@
     return window;
   }
 
-  /** Tells the planner a version that is news: each word counts as a reading, and puts the next one off. */
+  /** Reports a changed version to the planner; each report counts as a read-back and postpones the next one. */
   private _updatePlanner(planner: SwapPlanner, endpoint: Endpoint, model: string): void {
     const version = endpoint.versionOf(model);
     const startId = endpoint.startId();
@@ -190,7 +187,6 @@
     return planner;
   }
 
-  /** Gives one order. The endpoint's own word is asked first: it may have the version already. */
   private async _sendOrder(order: WeightOrder, model: string, planner: SwapPlanner): Promise<void> {
     const endpoint = this._ports.endpoints.get(order.endpointId);
     if (!endpoint || this._busy.has(endpoint.id)) return;
@@ -202,18 +198,19 @@
     this._context.metrics.orders.inc({ answer });
     const { endpointId, version, token } = order;
     this._context.log.info('weight order', { endpointId, model, version, fencingToken: token, answer });
-    // An order without an answer may be carried out: until that is known the endpoint counts as loading.
+    // An order without an answer may have been executed: the endpoint counts as loading until its version is known.
     if (answer === 'accepted' || answer === 'unknown') this._onLoadBegan(endpoint, model, version);
     if (!isSent) planner.postponed(endpointId);
     else planner.ended(endpointId, answer === 'refused' ? 'failed' : answer);
   }
 
-  /** An endpoint that loads, or does not answer, is asked again after a moment and not at every turn. */
+  /** Suspends orders to an endpoint that is busy or did not respond. */
   private _pauseOrders(endpointId: string): void {
     this._busy.add(endpointId);
     this._context.clock.after(ORDER_PAUSE_MS, () => this._busy.delete(endpointId));
   }
 
+  /** Reads the endpoint's report first, since it may have the version already. */
   private async _tryOrder(
     endpoint: Endpoint,
     order: WeightOrder,
@@ -225,10 +222,10 @@
     for (const [name, version] of report.versions) this._onVersionSeen(endpoint, name, version);
     if ((report.versions.get(model) ?? 0) >= order.version) return 'accepted';
     if (report.isBusy) return 'busy';
-    // The report took its time: the right to order is checked again at the very moment of the order.
+    // The lease may have been lost during the report: checked again immediately before the order.
     const token = this._duty.token();
     if (token !== order.token) return 'no-lease';
-    // From when it could arrive at the latest: an order that takes its time counts until then.
+    // Latest time at which the order can arrive.
     this._duty.recordAct(endpoint.id, this._context.clock.nowMs() + ORDER_TIMEOUT_MS);
     return this._ports.client.order(
       {
@@ -254,10 +251,7 @@
     if (version !== undefined) this._onVersionSeen(endpoint, model, version);
   }
 
-  /**
-   * False for a report of another start of the endpoint: its count of orders and its versions say nothing about this one.
-   * A later start takes this one's place at once.
-   */
+  /** Returns false for a report of another start of the endpoint, and applies a restart to the directory. */
   private _isSameStart(endpoint: Endpoint, report: WeightReport): boolean {
     const { startWallMs, versions } = report;
     if (startWallMs === undefined || startWallMs === endpoint.info().startWallMs) return true;
@@ -265,34 +259,34 @@
     return false;
   }
 
-  /** Owners of batches must know a new version at once: until then the endpoint stays empty. */
+  /** Notifies peers at once: batch owners send no items to the endpoint before they have its new version. */
   private _onVersionSeen(endpoint: Endpoint, model: string, version: number): void {
     if (version <= endpoint.versionOf(model)) return;
     endpoint.heardVersion(model, version);
     this._notifyPeers(calls.versionSeen, toEndpointVersion(endpoint, model, version));
   }
 
-  /** Holders of other domains count the loads that run, or too many endpoints would load at once. */
+  /** Notifies peers, since holders of other domains count running loads against the limit. */
   private _onLoadBegan(endpoint: Endpoint, model: string, version: number): void {
     if (version <= endpoint.versionOf(model)) return;
     endpoint.loadBegan(model, version);
     this._notifyPeers(calls.loadBegan, toEndpointVersion(endpoint, model, version));
   }
 
-  private _notifyPeers(call: typeof calls.versionSeen, news: EndpointVersion): void {
+  private _notifyPeers(call: typeof calls.versionSeen, update: EndpointVersion): void {
     for (const peer of this._ports.hosts.peers())
-      void this._ports.hosts.call(peer.address, call, news, PEER_TIMEOUT_MS);
+      void this._ports.hosts.call(peer.address, call, update, PEER_TIMEOUT_MS);
   }
 }
 
-/** Takes in what the hosts that give orders tell. */
+/** Handles version updates from the hosts that send orders. */
 export function serveVersions(server: CallRegistry, endpoints: EndpointDirectory): void {
-  server.handle(calls.versionSeen, news => {
-    endpointOfStart(endpoints, news)?.heardVersion(news.model, news.version);
+  server.handle(calls.versionSeen, update => {
+    endpointOfStart(endpoints, update)?.heardVersion(update.model, update.version);
     return {};
   });
-  server.handle(calls.loadBegan, news => {
-    endpointOfStart(endpoints, news)?.loadBegan(news.model, news.version);
+  server.handle(calls.loadBegan, update => {
+    endpointOfStart(endpoints, update)?.loadBegan(update.model, update.version);
     return {};
   });
 }
@@ -302,7 +296,7 @@
   return { endpointId: endpoint.id, startWallMs, model, version };
 }
 
-/** The endpoint, if the news are of the start that this host knows. */
+/** Returns the endpoint if the update refers to its current start. */
 function endpointOfStart(
   endpoints: EndpointDirectory,
   { endpointId, startWallMs }: EndpointVersion,
--- a/packages/metering/src/usageMeter.ts
+++ b/packages/metering/src/usageMeter.ts
@@ -62,13 +62,13 @@
   /** What time it truly is has become known: true time less monotonic time. */
   setClockOffset(offsetMs: number): void {
     this._offsetMs = offsetMs;
-    const clearClockOffset = this._undatedRequests;
+    const undated = this._undatedRequests;
     this._undatedRequests = [];
-    for (const began of clearClockOffset) this._count(began);
+    for (const began of undated) this._count(began);
   }
 
   /** This process stood still, or its clock was set: what time it is must be learnt anew. */
-  undated(): void {
+  clearClockOffset(): void {
     this._offsetMs = undefined;
   }
 
--- a/tests/metering.spec.ts
+++ b/tests/metering.spec.ts
@@ -97,7 +97,7 @@
   t.same(truth.mismatches(2, 9), []);
   const lateMs = fleet.duties.arrivals.map(({ atMs }) => atMs % WINDOW_MS);
   t.ok(Math.max(...lateMs) < 2500, `${Math.max(...lateMs)} ms after the end`);
-  t.notOk(fleet.hosts.some(host => host.context.log.has('usage told late')));
+  t.notOk(fleet.hosts.some(host => host.context.log.has('late usage update')));
   fleet.stop();
 });
 
