--- a/packages/gateway/src/usageService.ts
+++ b/packages/gateway/src/usageService.ts
@@ -1,7 +1,7 @@
 /**
- * Usage at one host: what it counts, tells, and reports where that is its duty.
+ * Usage metering of one host: counting, sending to the reporter, and reporting if this host holds that duty.
  */
-import { UsageMeter, type MeteredSend } from '@fuchsiahitch/metering';
+import { UsageMeter, type MeteredRequest } from '@fuchsiahitch/metering';
 import type { RevisionedStore } from '@fuchsiahitch/clients';
 import type { StoreCaller } from './callerStore.js';
 import type { GatewayContext } from './gatewayContext.js';
@@ -10,21 +10,21 @@
 import {
   LAST_USAGE_KEY,
   USAGE_KEY,
-  UsageReports,
+  UsageReporter,
   type UsagePorts,
-  type UsageReportsOptions,
-} from './usageReports.js';
-import { UsageTeller, usageToldCall } from './usageTeller.js';
+  type UsageReporterOptions,
+} from './usageReporter.js';
+import { UsageSender, usageUpdateCall } from './usageSender.js';
 
-export interface UsageServiceOptions extends UsageReportsOptions {
+export interface UsageServiceOptions extends UsageReporterOptions {
   readonly duties: PlatformDuties;
 }
 
 export class UsageService {
-  private readonly _reports: UsageReports;
-  private readonly _teller: UsageTeller;
+  private readonly _reporter: UsageReporter;
+  private readonly _sender: UsageSender;
 
-  /** `storeOf`: the store, with its calls counted under a name. */
+  /** `storeOf`: returns the store with its calls counted under the caller's name. */
   constructor(
     context: GatewayContext,
     storeOf: (caller: StoreCaller) => RevisionedStore,
@@ -38,26 +38,28 @@
       duties: options.duties,
       lastHandover: () => hosts.handover(LAST_USAGE_KEY),
     };
-    this._reports = new UsageReports(context, ports, options);
+    this._reporter = new UsageReporter(context, ports, options);
     const meter = new UsageMeter({ windowMs: options.windowMs, keepMs: options.dueMs });
-    this._teller = new UsageTeller(context, meter, hosts, USAGE_KEY, told => this._reports.take(told));
+    this._sender = new UsageSender(context, meter, hosts, USAGE_KEY, update =>
+      this._reporter.receive(update),
+    );
   }
 
   serve(server: CallRegistry): void {
-    server.handle(usageToldCall, told => this._reports.take(told));
+    server.handle(usageUpdateCall, update => this._reporter.receive(update));
   }
 
   start(): void {
-    this._reports.start();
-    this._teller.start();
+    this._reporter.start();
+    this._sender.start();
   }
 
   async stop(): Promise<void> {
-    await this._reports.stop();
+    await this._reporter.stop();
   }
 
-  /** A request of an account is sent to an endpoint. */
-  sent(accountName: string): MeteredSend {
-    return this._teller.sent(accountName);
+  /** Meters a request that is sent to an endpoint. */
+  sent(accountName: string): MeteredRequest {
+    return this._sender.sent(accountName);
   }
 }
