--- a/packages/gateway/src/batchOwner.ts
+++ b/packages/gateway/src/batchOwner.ts
@@ -6,20 +6,20 @@
 import { reasonOf } from './attemptReason.js';
 import { batchRoute } from './batchRoute.js';
 import type { BatchStore, HeldClaim, StoredBatch } from './batchStore.js';
-import { ClaimLease, SURE_MS } from './claimLease.js';
+import { ClaimLease, READ_CONFIRMATION_MAX_AGE_MS } from './claimLease.js';
 import type { ConfigurationService } from './configurationService.js';
 import type { Endpoint } from './endpoint.js';
 import type { EndpointDirectory } from './endpointDirectory.js';
 import type { Forwarder } from './forwarder.js';
 import type { GatewayContext } from './gatewayContext.js';
 import { ItemAttempt, type AttemptEnd } from './itemAttempt.js';
-import { ItemPauses } from './itemPauses.js';
+import { ItemBackoff } from './itemBackoff.js';
 import { ItemPlacer, type EndpointTiers } from './itemPlacer.js';
 import { ItemScoring } from './itemScoring.js';
-import { ItemSuspects } from './itemSuspects.js';
+import { PoisonItemFilter } from './poisonItemFilter.js';
 import type { PoisonGuard } from './poisonGuard.js';
 import type { EndpointClient } from './ports.js';
-import { ProgressKeeper } from './progressKeeper.js';
+import { ProgressRecorder } from './progressRecorder.js';
 import { ResultLister } from './resultLister.js';
 
 /** What the owner of a batch works with. */
@@ -65,11 +65,11 @@
   private readonly _ports: BatchPorts;
   private readonly _lost: () => void;
   private readonly _attempts = new Map<string, ItemAttempt>();
-  private readonly _keeper: ProgressKeeper;
+  private readonly _keeper: ProgressRecorder;
   private readonly _lister: ResultLister;
   private readonly _scoring: ItemScoring;
-  private readonly _pauses: ItemPauses;
-  private readonly _suspects: ItemSuspects;
+  private readonly _pauses: ItemBackoff;
+  private readonly _suspects: PoisonItemFilter;
   private readonly _lease: ClaimLease;
   private readonly _placer: ItemPlacer;
   private _isStopped = false;
@@ -97,15 +97,15 @@
       maxAttempts,
       isSingleVersion: route?.isSingleVersion ?? false,
     });
-    this._lease = new ClaimLease(context, store, batch.id, held, ports.claimLeaseMs, () => this.lose());
+    this._lease = new ClaimLease(context, store, batch.id, held, ports.claimLeaseMs, () => this.claimLost());
     this._placer = new ItemPlacer(context, ports, this.ledger);
-    this._pauses = new ItemPauses(context, batch.id, 'generation');
-    this._suspects = new ItemSuspects(context, ports.poison, this.ledger, () => this._place());
+    this._pauses = new ItemBackoff(context, batch.id, 'generation');
+    this._suspects = new PoisonItemFilter(context, ports.poison, this.ledger, () => this._place());
     this._scoring = new ItemScoring(context, ports, this.ledger, maxAttempts, () => this._lister.list());
     this._lister = new ResultLister(context, store, this.ledger, startedMs, this._lease, () =>
       this._wakeReaders(),
     );
-    this._keeper = new ProgressKeeper(context, store, this.ledger, this._lease);
+    this._keeper = new ProgressRecorder(context, store, this.ledger, this._lease);
   }
 
   get batchId(): string {
@@ -150,9 +150,9 @@
   async read(after: number, waitMs: number): Promise<BatchReadReply> {
     const deadline = Deadline.after(this._context.clock, waitMs);
     while (this._hasNothingAfter(after) && !deadline.isOver()) await this._changed(deadline);
-    if (this._hasNothingAfter(after) && this._lister.unansweredMs() >= SURE_MS)
+    if (this._hasNothingAfter(after) && this._lister.pendingWriteMs() >= READ_CONFIRMATION_MAX_AGE_MS)
       return this._readStored(after);
-    if (this._hasNothingAfter(after) && !(await this._lease.isSure())) return { kind: 'unsure' };
+    if (this._hasNothingAfter(after) && !(await this._lease.confirmOwnership())) return { kind: 'unsure' };
     if (this._isLost) return { kind: 'not-owner' };
     return { kind: 'page', ...pageFrom(this.ledger.listed(), this.ledger.total(), after) };
   }
@@ -169,8 +169,8 @@
   }
 
   /** True while something new may be sent for the batch. */
-  mayAct(): boolean {
-    return !this._isEnding && !this._isStopped && this._lease.mayAct();
+  maySend(): boolean {
+    return !this._isEnding && !this._isStopped && this._lease.isValid();
   }
 
   /**
@@ -185,10 +185,10 @@
     const done = await store.changeClaim(this.batchId, this._lease.held, { isEnded: true }, deadline);
     if (done.kind === 'out-of-reach') return 'out-of-reach';
     if (done.kind === 'lost') {
-      this.lose();
+      this.claimLost();
       return 'lost';
     }
-    this._lease.changed(done.value);
+    this._lease.replaceClaim(done.value);
     // Results whose append is not answered may stand in the store, where hosts that can't ask this one read them. So that
     // no reader is shown fewer here, the store alone is read from now on.
     this._isLost = !this._lister.isSettled();
@@ -199,7 +199,7 @@
   }
 
   /** Another owner has the claim. */
-  lose(): void {
+  claimLost(): void {
     // After an end of its own the claim is at another revision, and nothing is lost.
     if (this._isStopped) return;
     this._isLost = true;
@@ -233,7 +233,7 @@
   private _place(): void {
     if (this._isStopped) return;
     this._placeTimer?.();
-    const isMoreToBegin = this.mayAct() ? this._sendWaiting() : this._holdBack();
+    const isMoreToBegin = this.maySend() ? this._sendWaiting() : this._holdBack();
     if (!this.ledger.isFinished()) this._placeTimer = this._again(isMoreToBegin);
   }
 
@@ -252,7 +252,7 @@
    * has read.
    */
   private _sendWaiting(): boolean {
-    this._scoring.run();
+    this._scoring.requestMissing();
     const waiting = this._suspects.ready(this._pauses.ready(this.ledger.waiting()));
     const tiers = waiting.length > 0 ? this._placer.tiers() : [];
     let begun = 0;
@@ -271,7 +271,7 @@
   }
 
   private _placeItem(item: BatchItem, tiers: EndpointTiers): boolean {
-    const endpoint = this._placer.choose(item, tiers, this._suspects.has(item));
+    const endpoint = this._placer.choose(item, tiers, this._suspects.isSuspectItem(item));
     if (endpoint) void this._run(item, endpoint);
     return endpoint !== undefined;
   }
@@ -279,9 +279,9 @@
   private async _run(item: BatchItem, endpoint: Endpoint): Promise<void> {
     const number = this.ledger.begin(item.id);
     // Where an endpoint has ended under an item, those of its group that follow it break with the next one.
-    if (!this._suspects.has(item)) this._placer.began(item, endpoint);
+    if (!this._suspects.isSuspectItem(item)) this._placer.recordStart(item, endpoint);
     const mayLeave = (asking: ItemAttempt): boolean =>
-      this.mayAct() && this._placer.hasOtherPlace(item, asking);
+      this.maySend() && this._placer.hasFreePlaceElsewhere(item, asking);
     const { client } = this._ports;
     const attempt = new ItemAttempt(this._context, client, this.ledger, item, endpoint, mayLeave);
     this._attempts.set(item.id, attempt);
@@ -290,7 +290,7 @@
     const claimRevision = this._lease.held.revision;
     const end = await attempt.run();
     const tookMs = this._context.clock.nowMs() - startedMs;
-    await this._suspects.ended(item, endpoint, end);
+    await this._suspects.attemptEnded(item, endpoint, end);
     this._attempts.delete(item.id);
     this._logAttempt(item, endpoint, { number, tookMs, claimRevision, claimAgeMs }, end);
     if (this._isStopped) return;
@@ -334,13 +334,13 @@
   /** The endpoint answered with weights that don't fit: another is asked, and in the end the item begins anew. */
   private _contradicted(item: BatchItem): void {
     const { fruitless, isTextDropped } = this.ledger.contradicted(item.id);
-    this._pauses.contradicted(item.id, fruitless, isTextDropped);
+    this._pauses.versionMismatched(item.id, fruitless, isTextDropped);
   }
 
   /** Moves the items of slow endpoints to quick ones that have nothing better to do. */
   private _moveFromSlow(): void {
     if (this.ledger.waiting().length > 0) return;
-    for (const attempt of this._placer.movesDue([...this._attempts.values()])) attempt.stop();
+    for (const attempt of this._placer.dueMoves([...this._attempts.values()])) attempt.stop();
   }
 
   /** An item that is not done when its route lets it go is given up, so that its step has an end. */
--- a/packages/gateway/src/batchService.ts
+++ b/packages/gateway/src/batchService.ts
@@ -19,11 +19,11 @@
 import type { EndOutcome, ItemOutcome, ReadOutcome, SubmitOutcome } from './batchOutcomes.js';
 import { BatchOwner, type BatchPorts } from './batchOwner.js';
 import type { HeldClaim, StoredBatch } from './batchStore.js';
-import { EarlierTexts } from './earlierTexts.js';
+import { PriorProgress } from './priorProgress.js';
 import type { GatewayContext } from './gatewayContext.js';
 import type { CallRegistry, Hosts } from './hostDirectory.js';
-import { PaceNews } from './paceNews.js';
-import { StoredBatches } from './storedBatches.js';
+import { PaceUpdates } from './paceUpdates.js';
+import { StoredBatchReader } from './storedBatchReader.js';
 
 /** Where a batch stands, as far as this host could learn. */
 type Located =
@@ -57,24 +57,24 @@
   private readonly _context: GatewayContext;
   private readonly _ports: BatchPorts;
   private readonly _hosts: Hosts;
-  private readonly _texts: EarlierTexts;
+  private readonly _texts: PriorProgress;
   private readonly _owned = new Map<string, BatchOwner>();
   private readonly _submits = new Map<string, Promise<SubmitOutcome>>();
   private readonly _takeovers = new Map<string, Promise<Located>>();
   /** Claims as last read: where to ask first. The owner itself says if it is one no more. */
   private readonly _claims = new Map<string, HeldClaim>();
-  private readonly _stored: StoredBatches;
-  private readonly _paces: PaceNews;
+  private readonly _stored: StoredBatchReader;
+  private readonly _paces: PaceUpdates;
   private _isLeaving = false;
 
   constructor(context: GatewayContext, ports: BatchPorts, hosts: Hosts) {
     this._context = context;
     this._ports = ports;
     this._hosts = hosts;
-    this._paces = new PaceNews(ports.endpoints, hosts);
-    this._texts = new EarlierTexts(context, ports.store);
+    this._paces = new PaceUpdates(ports.endpoints, hosts);
+    this._texts = new PriorProgress(context, ports.store);
     const isEnded = (batchId: string): boolean => this._claims.get(batchId)?.claim.isEnded ?? false;
-    this._stored = new StoredBatches(context, ports.store, isEnded);
+    this._stored = new StoredBatchReader(context, ports.store, isEnded);
   }
 
   serve(server: CallRegistry): void {
@@ -82,7 +82,7 @@
     server.handle(calls.batchItem, request => this._itemHere(request));
     server.handle(calls.batchAdopt, request => this._adopt(request));
     server.handle(calls.batchRuns, ({ batchId }) => ({
-      isRun: this._owned.get(batchId)?.mayAct() ?? false,
+      isRun: this._owned.get(batchId)?.maySend() ?? false,
     }));
     this._paces.serve(server);
     server.handle(calls.batchClaimed, news => this._heardOf(news));
@@ -186,7 +186,7 @@
   }
 
   /** Stops every run where it is, as the end of the process does. */
-  halt(): void {
+  stopAll(): void {
     for (const owner of this._owned.values()) owner.stop('this process ends');
   }
 
@@ -298,22 +298,22 @@
     const owner = this._own(held, stored);
     const { id } = stored.batch;
     const [before, kept] = await Promise.all([
-      this._texts.ofEarlierSteps(stored.batch, owner.isSingleVersion()),
-      this._texts.ofFormerOwners(id, held),
+      this._texts.fromPreviousSteps(stored.batch, owner.isSingleVersion()),
+      this._texts.fromPreviousOwners(id, held),
     ]);
     owner.ledger.carry(before);
     owner.ledger.resume([...kept, ...unfinished]);
     this._context.log.info('batch begun', {
       batchId: id,
       claimRevision: held.revision,
-      claimAgeMs: Math.round(this._context.clock.nowMs() - held.askedMs),
+      claimAgeMs: Math.round(this._context.clock.nowMs() - held.requestedAtMs),
       takeovers: held.claim.takeovers,
       listed: stored.results.length,
       unfinished: owner.ledger.unfinished().length,
     });
     owner.start();
     this._tellClaim(id, held);
-    this._context.clock.after(PACES_KNOWN_MS, () => this._paces.tell());
+    this._context.clock.after(PACES_KNOWN_MS, () => this._paces.send());
     // A host that shuts down still takes what arrives, and passes it on at once.
     if (this._isLeaving && this._owned.delete(id)) void this._handOver(owner);
     return owner;
@@ -331,7 +331,8 @@
   private _heardOf({ batchId, claim, revision }: ClaimNews): Readonly<Record<string, never>> {
     const known = this._claims.get(batchId);
     // The teller asked the store before it told, and nobody here knows when.
-    if (!known || known.revision < revision) this._remember(batchId, { claim, revision, askedMs: -Infinity });
+    if (!known || known.revision < revision)
+      this._remember(batchId, { claim, revision, requestedAtMs: -Infinity });
     return {};
   }
 
@@ -340,7 +341,7 @@
     this._forgetEnded();
     // Whoever ran the batch in this process before has lost it, though it may not have heard: it would run each item a
     // second time, unseen.
-    this._owned.get(id)?.lose();
+    this._owned.get(id)?.claimLost();
     const owner = new BatchOwner(this._context, this._ports, held, stored, () => this._forget(owner));
     this._owned.set(id, owner);
     return owner;
--- a/packages/gateway/src/batchStore.ts
+++ b/packages/gateway/src/batchStore.ts
@@ -39,7 +39,7 @@
   readonly claim: Claim;
   readonly revision: number;
   /** When the store was asked for the answer that told it: nothing is known of the claim after that. */
-  readonly askedMs: number;
+  readonly requestedAtMs: number;
 }
 
 /** A batch that has not ended, and who runs it. */
@@ -107,10 +107,10 @@
     if (hasSteps(batch)) writes.push(stepWrite(batch));
     let mayBeDone = false;
     for (;;) {
-      const askedMs = this._context.clock.nowMs();
+      const requestedAtMs = this._context.clock.nowMs();
       const done = await this._store.transact([{ key, version: 0 }], writes, deadline);
       if (done.ok && done.value.succeeded)
-        return { kind: 'accepted', held: { claim, revision: done.value.version, askedMs } };
+        return { kind: 'accepted', held: { claim, revision: done.value.version, requestedAtMs } };
       if (done.ok) return this._acceptedBefore(batch.id, claim, deadline);
       if (done.error === 'unknown') mayBeDone = true;
       if (deadline.leftMs() <= RETRY_MS)
@@ -125,13 +125,13 @@
     deadline: Deadline,
   ): Promise<Result<HeldClaim | undefined, BatchStoreError>> {
     const key = claimKey(batchId);
-    const askedMs = this._context.clock.nowMs();
+    const requestedAtMs = this._context.clock.nowMs();
     const stored = await this._store.get(key, deadline);
     if (!stored.ok) return err({ kind: 'out-of-reach', error: stored.error });
     if (!stored.value) return ok(undefined);
     const claim = readClaim(key, stored.value.value);
     if (!claim.ok) return err({ kind: 'damaged', key });
-    return ok({ claim: claim.value, revision: stored.value.version, askedMs });
+    return ok({ claim: claim.value, revision: stored.value.version, requestedAtMs });
   }
 
   /** The claims of all batches that have not ended. */
@@ -159,10 +159,10 @@
     const value = JSON.stringify(claim);
     const compares = [{ key, version: held.revision }];
     for (;;) {
-      const askedMs = this._context.clock.nowMs();
+      const requestedAtMs = this._context.clock.nowMs();
       const done = await this._store.transact(compares, [{ kind: 'put', key, value }], deadline);
       if (done.ok && done.value.succeeded)
-        return { kind: 'done', value: { claim, revision: done.value.version, askedMs } };
+        return { kind: 'done', value: { claim, revision: done.value.version, requestedAtMs } };
       if (done.ok) return this._changedBefore(key, value, deadline);
       if (deadline.leftMs() <= RETRY_MS) return { kind: 'out-of-reach', error: done.error };
       await sleep(this._context.clock, RETRY_MS, this._context.stopped);
@@ -181,7 +181,7 @@
   }
 
   /** Adds the `record`th list of generated events of this owner, as `append` adds results. */
-  async keepProgress(
+  async appendProgress(
     batchId: string,
     held: HeldClaim,
     record: number,
@@ -209,7 +209,7 @@
   }
 
   /** The batch of the step that is `stepsBack` before a batch's, if the store still names it. */
-  async earlierStep(
+  async previousStepBatchId(
     batch: Batch,
     stepsBack: number,
     deadline: Deadline,
@@ -227,14 +227,14 @@
 
   /** Reads the whole batch. What is read after a claim was taken is complete: former owners can't add. */
   async load(batchId: string, deadline: Deadline): Promise<Result<StoredBatch, BatchStoreError>> {
-    const batch = await this.submitted(batchId, deadline);
+    const batch = await this.submittedBatch(batchId, deadline);
     if (!batch.ok) return batch;
     const results = await this.results(batchId, deadline);
     return results.ok ? ok({ batch: batch.value, results: results.value }) : results;
   }
 
   /** The batch as it was submitted. */
-  async submitted(batchId: string, deadline: Deadline): Promise<Result<Batch, BatchStoreError>> {
+  async submittedBatch(batchId: string, deadline: Deadline): Promise<Result<Batch, BatchStoreError>> {
     const parts = await this._store.list(partPrefix(batchId), deadline);
     if (!parts.ok) return err({ kind: 'out-of-reach', error: parts.error });
     const texts = parts.value.map(part => part.value);
@@ -302,7 +302,7 @@
 
   /** Removes the key that names the batch of its step, unless a later step has it by now. */
   private async _removeStep(batchId: string, deadline: Deadline): Promise<boolean> {
-    const submitted = await this.submitted(batchId, deadline);
+    const submitted = await this.submittedBatch(batchId, deadline);
     if (!submitted.ok) return submitted.error.kind === 'damaged';
     const batch = submitted.value;
     if (!hasSteps(batch)) return true;
@@ -330,13 +330,16 @@
     value: string,
     deadline: Deadline,
   ): Promise<WriteOutcome<HeldClaim>> {
-    const askedMs = this._context.clock.nowMs();
+    const requestedAtMs = this._context.clock.nowMs();
     const stored = await this._store.get(key, deadline);
     if (!stored.ok) return { kind: 'out-of-reach', error: stored.error };
     if (stored.value?.value !== value) return { kind: 'lost' };
     const claim = readClaim(key, value);
     if (!claim.ok) return { kind: 'lost' };
-    return { kind: 'done', value: { claim: claim.value, revision: stored.value.version, askedMs } };
+    return {
+      kind: 'done',
+      value: { claim: claim.value, revision: stored.value.version, requestedAtMs },
+    };
   }
 }
 
--- a/packages/gateway/src/claimLease.ts
+++ b/packages/gateway/src/claimLease.ts
@@ -36,7 +36,7 @@
  * A reader is told that there is nothing yet only by an owner that the store has confirmed this recently; a result read
  * elsewhere must be shown by everybody within a second.
  */
-export const SURE_MS = 600;
+export const READ_CONFIRMATION_MAX_AGE_MS = 600;
 const SURE_TIMEOUT_MS = 1000;
 
 /** The lease of a claim, from how long after the end of a batch was confirmed its items may still reach endpoints. */
@@ -88,11 +88,11 @@
   ageMs(): number {
     const { clock } = this._context;
     const nowMs = Math.max(clock.nowMs(), clock.wallMs() - this._wallAheadMs);
-    return nowMs - this._held.askedMs;
+    return nowMs - this._held.requestedAtMs;
   }
 
   /** True while something new may be sent for the batch. */
-  mayAct(): boolean {
+  isValid(): boolean {
     return !this._isStopped && this.ageMs() < this._leaseMs;
   }
 
@@ -106,29 +106,29 @@
   }
 
   /** The store confirmed the claim when it was asked at that time. */
-  confirmed(askedMs: number): void {
-    if (askedMs > this._held.askedMs) {
-      this._held = { ...this._held, askedMs };
+  markConfirmed(askedMs: number): void {
+    if (askedMs > this._held.requestedAtMs) {
+      this._held = { ...this._held, requestedAtMs: askedMs };
       this._wallAheadMs = wallAheadMs(this._context.clock);
     }
-    if (!this._isOut || !this.mayAct()) return;
+    if (!this._isOut || !this.isValid()) return;
     this._isOut = false;
     this._log('claim confirmed again');
   }
 
   /** The store refused a write that named the claim. */
-  lost(): void {
+  reportLost(): void {
     this._lost();
   }
 
   /** The batch stands at another revision by this owner's own change. */
-  changed(held: HeldClaim): void {
+  replaceClaim(held: HeldClaim): void {
     this._held = held;
   }
 
   /** True if the store has confirmed a moment ago, or does so now, that this host still owns the batch. */
-  async isSure(): Promise<boolean> {
-    return this.ageMs() < SURE_MS || this._ask(SURE_TIMEOUT_MS);
+  async confirmOwnership(): Promise<boolean> {
+    return this.ageMs() < READ_CONFIRMATION_MAX_AGE_MS || this._ask(SURE_TIMEOUT_MS);
   }
 
   private async _run(): Promise<void> {
@@ -147,12 +147,12 @@
       this._lost();
       return false;
     }
-    this.confirmed(claim.value.askedMs);
+    this.markConfirmed(claim.value.requestedAtMs);
     return true;
   }
 
   private _lookAtEnd(): void {
-    if (this._isStopped || this._isOut || this.mayAct()) return;
+    if (this._isStopped || this._isOut || this.isValid()) return;
     this._isOut = true;
     this._log('claim unconfirmed');
   }
--- a/packages/gateway/src/gateway.ts
+++ b/packages/gateway/src/gateway.ts
@@ -16,7 +16,7 @@
 import type { GatewayContext } from './gatewayContext.js';
 import { HostDirectory, type CallRegistry, type HostDirectoryOptions } from './hostDirectory.js';
 import { ReachMonitor } from './reachMonitor.js';
-import { OrphanedBatches } from './orphanedBatches.js';
+import { OrphanRecovery } from './orphanRecovery.js';
 import { PoisonGuard } from './poisonGuard.js';
 import { RelayedStore } from './relayedStore.js';
 import { SharedWatch } from './sharedWatch.js';
@@ -62,7 +62,7 @@
   private readonly _poison: PoisonGuard;
   private readonly _reach: ReachMonitor;
   private readonly _sweeper: BatchSweeper;
-  private readonly _orphans: OrphanedBatches;
+  private readonly _orphans: OrphanRecovery;
   private readonly _usage: UsageService | undefined;
   private readonly _capacity: CapacityOrders | undefined;
   private _inFlight = 0;
@@ -77,7 +77,7 @@
     this._watch = new SharedWatch(context, storeOf('watch'), watchedPrefixes(keys, decoder));
     this.configuration = new ConfigurationService(context, this._watch, keys, decoder);
     this.hosts = new HostDirectory(context, storeOf('host-lease'), this._watch, options.hosts, () =>
-      this._orphans.hostGone(),
+      this._orphans.hostRemoved(),
     );
     this._watch.useHosts(this.hosts);
     this.endpoints = new EndpointDirectory(context, this._watch, keys, decoder, address =>
@@ -104,7 +104,7 @@
     };
     this._sweeper = new BatchSweeper(context, storeOf('sweep'), ports.store, options.batchReadableMs);
     this.batches = new BatchService(context, ports, this.hosts);
-    this._orphans = new OrphanedBatches(context, ports.store, this.hosts, (batchId, from) =>
+    this._orphans = new OrphanRecovery(context, ports.store, this.hosts, (batchId, from) =>
       this.batches.adoptFrom(batchId, from),
     );
     const { configuration, endpoints, hosts } = this;
--- a/packages/gateway/src/index.ts
+++ b/packages/gateway/src/index.ts
@@ -23,7 +23,7 @@
 export * from './itemAttempt.js';
 export * from './itemScoring.js';
 export * from './loopDelay.js';
-export * from './orphanedBatches.js';
+export * from './orphanRecovery.js';
 export * from './peerCaller.js';
 export * from './poisonGuard.js';
 export * from './poisonPeers.js';
--- a/packages/gateway/src/itemAttempt.ts
+++ b/packages/gateway/src/itemAttempt.ts
@@ -66,7 +66,7 @@
   }
 
   /** How long the attempt has run. */
-  ranMs(): number {
+  elapsedMs(): number {
     return this._context.clock.nowMs() - this._beganMs;
   }
 
--- a/packages/gateway/src/itemPauses.ts
+++ b/packages/gateway/src/itemBackoff.ts
@@ -7,7 +7,7 @@
 /** What the items are tried for. */
 export type ItemStage = 'generation' | 'scoring';
 
-export class ItemPauses {
+export class ItemBackoff {
   private readonly _context: GatewayContext;
   private readonly _batchId: string;
   private readonly _stage: ItemStage;
@@ -28,7 +28,7 @@
   }
 
   /** One more try of the item brought nothing. */
-  tried(itemId: string): void {
+  attemptFailed(itemId: string): void {
     const fruitless = (this._fruitless.get(itemId) ?? 0) + 1;
     this._fruitless.set(itemId, fruitless);
     this._pause(itemId, fruitless);
@@ -36,7 +36,7 @@
   }
 
   /** As `tried`, for an item whose tries in a row the ledger counts. A text that was dropped is always told. */
-  contradicted(itemId: string, fruitless: number, isTextDropped: boolean): void {
+  versionMismatched(itemId: string, fruitless: number, isTextDropped: boolean): void {
     this._pause(itemId, fruitless);
     if (isTextDropped || isWorthTelling(fruitless)) this._log({ itemId, fruitless, isTextDropped });
   }
--- a/packages/gateway/src/itemPlacer.ts
+++ b/packages/gateway/src/itemPlacer.ts
@@ -82,7 +82,7 @@
   }
 
   /** The item begins at the endpoint: the others of its group follow it there. */
-  began(item: BatchItem, endpoint: Endpoint): void {
+  recordStart(item: BatchItem, endpoint: Endpoint): void {
     this._groupEndpoints.set(item.group, endpoint.id);
   }
 
@@ -95,7 +95,7 @@
   }
 
   /** True if another endpoint, at which the item has not failed of late, has a place for it. */
-  hasOtherPlace(item: BatchItem, attempt: ItemAttempt): boolean {
+  hasFreePlaceElsewhere(item: BatchItem, attempt: ItemAttempt): boolean {
     const route = this._routeOfBatch();
     return route !== undefined && this._freeElsewhere(route, item, attempt).length > 0;
   }
@@ -104,7 +104,7 @@
    * The attempts whose items should move: another endpoint is so much quicker and has a place. Looked for now and then
    * only; empty in between.
    */
-  movesDue(attempts: readonly ItemAttempt[]): readonly ItemAttempt[] {
+  dueMoves(attempts: readonly ItemAttempt[]): readonly ItemAttempt[] {
     const nowMs = this._context.clock.nowMs();
     if (nowMs < this._movesAgainMs) return [];
     this._movesAgainMs = nowMs + MOVE_INTERVAL_MS;
@@ -135,7 +135,7 @@
     const paceMs = endpoint.paceMs();
     if (paceMs === undefined || endpoint.isLeaving) return false;
     const avoid = this._avoided.get(itemId);
-    const ranMs = attempt.ranMs();
+    const ranMs = attempt.elapsedMs();
     const place = places.find(
       other =>
         other.left > 0 &&
--- a/packages/gateway/src/itemScoring.ts
+++ b/packages/gateway/src/itemScoring.ts
@@ -12,7 +12,7 @@
 import type { CallerRequest, ForwardOutcome } from './callerRequest.js';
 import type { Forwarder } from './forwarder.js';
 import type { GatewayContext } from './gatewayContext.js';
-import { ItemPauses } from './itemPauses.js';
+import { ItemBackoff } from './itemBackoff.js';
 import type { EndpointClient } from './ports.js';
 
 export interface ScoringPorts {
@@ -49,7 +49,7 @@
   /** True if something was asked for since the last interruption. */
   private _isAsking = false;
   private _isStopped = false;
-  private readonly _pauses: ItemPauses;
+  private readonly _pauses: ItemBackoff;
 
   /** `maxItemFailures`: the failures after which the route of the items lets one go. `ended`: a result is there. */
   constructor(
@@ -64,11 +64,11 @@
     this._ledger = ledger;
     this._maxItemFailures = maxItemFailures;
     this._ended = ended;
-    this._pauses = new ItemPauses(context, ledger.batch.id, 'scoring');
+    this._pauses = new ItemBackoff(context, ledger.batch.id, 'scoring');
   }
 
   /** Asks for every score that is missing and not paused. */
-  run(): void {
+  requestMissing(): void {
     if (this._isStopped) return;
     for (const item of this._pauses.ready(this._ledger.unscored())) {
       if (!item.scoring) continue;
@@ -137,7 +137,7 @@
         break;
       case 'not-scored':
         this._ledger.scoringInterrupted(itemId);
-        this._pauses.tried(itemId);
+        this._pauses.attemptFailed(itemId);
         return;
     }
     this._ended();
--- a/packages/gateway/src/orphanedBatches.ts
+++ b/packages/gateway/src/orphanRecovery.ts
@@ -23,7 +23,7 @@
 /** Taking a batch over is a question to its owner, two calls to the store and one read of it. */
 const ADOPT_TIMEOUT_MS = 2200;
 
-export class OrphanedBatches {
+export class OrphanRecovery {
   private readonly _context: GatewayContext;
   private readonly _store: BatchStore;
   private readonly _hosts: Hosts;
@@ -45,7 +45,7 @@
   }
 
   /** A host is gone. Several that go together are looked for at once. */
-  hostGone(): void {
+  hostRemoved(): void {
     this._isAsked = true;
     if (!this._isLooking) void this._look();
   }
--- a/packages/gateway/src/paceNews.ts
+++ b/packages/gateway/src/paceUpdates.ts
@@ -12,7 +12,7 @@
 /** News for a peer that takes longer is old by then. */
 const PEER_TIMEOUT_MS = 500;
 
-export class PaceNews {
+export class PaceUpdates {
   private readonly _endpoints: EndpointDirectory;
   private readonly _hosts: Pick<Hosts, 'peers' | 'call'>;
 
@@ -26,7 +26,7 @@
   }
 
   /** Tells what this host has found a moment ago, and not what it has heard. */
-  tell(): void {
+  send(): void {
     const paces = this._endpoints.all().flatMap(endpoint => {
       const paceMs = endpoint.freshPaceMs();
       const { id: endpointId, startWallMs } = endpoint.info();
--- a/packages/gateway/src/itemSuspects.ts
+++ b/packages/gateway/src/poisonItemFilter.ts
@@ -14,7 +14,7 @@
 /** While a host asks the store for a trial of an item, and after it was not given. */
 const CLAIM_PAUSE_MS = 1000;
 
-export class ItemSuspects {
+export class PoisonItemFilter {
   private readonly _context: GatewayContext;
   private readonly _poison: PoisonGuard;
   private readonly _ledger: BatchLedger;
@@ -40,12 +40,12 @@
   }
 
   /** True if some endpoint has ended under the item. */
-  has(item: BatchItem): boolean {
+  isSuspectItem(item: BatchItem): boolean {
     return !this._poison.isIdle() && this._poison.isSuspect(this._identity(item));
   }
 
   /** Takes in how an attempt ended; resolves once it is known what that says of the item. */
-  async ended(item: BatchItem, endpoint: Endpoint, end: AttemptEnd): Promise<void> {
+  async attemptEnded(item: BatchItem, endpoint: Endpoint, end: AttemptEnd): Promise<void> {
     const trial = this._trials.get(item.id);
     this._trials.delete(item.id);
     switch (end.kind) {
--- a/packages/gateway/src/earlierTexts.ts
+++ b/packages/gateway/src/priorProgress.ts
@@ -20,7 +20,7 @@
 const CARRY_OVER_TIMEOUT_MS = 300;
 const STORE_TIMEOUT_MS = 1000;
 
-export class EarlierTexts {
+export class PriorProgress {
   private readonly _context: GatewayContext;
   private readonly _store: BatchStore;
 
@@ -30,7 +30,7 @@
   }
 
   /** What former owners kept of unfinished items. */
-  async ofFormerOwners(batchId: string, { claim }: HeldClaim): Promise<readonly ItemEvents[]> {
+  async fromPreviousOwners(batchId: string, { claim }: HeldClaim): Promise<readonly ItemEvents[]> {
     if (claim.takeovers === 0) return [];
     const deadline = Deadline.after(this._context.clock, STORE_TIMEOUT_MS);
     const kept = await this._store.progress(batchId, deadline);
@@ -40,7 +40,7 @@
   }
 
   /** What the two steps before have generated of the batch's items: where steps overlap, groups come again in the second. */
-  async ofEarlierSteps(batch: Batch, isSingleVersion: boolean): Promise<CarryOver> {
+  async fromPreviousSteps(batch: Batch, isSingleVersion: boolean): Promise<CarryOver> {
     const deadline = Deadline.after(this._context.clock, CARRY_OVER_TIMEOUT_MS);
     const [older, newer] = await Promise.all([
       this._ofStep(batch, isSingleVersion, 2, deadline),
@@ -55,10 +55,10 @@
     stepsBack: number,
     deadline: Deadline,
   ): Promise<CarryOver> {
-    const earlierId = await this._store.earlierStep(batch, stepsBack, deadline);
+    const earlierId = await this._store.previousStepBatchId(batch, stepsBack, deadline);
     if (!earlierId.ok) return this._without(batch.id, earlierId.error.kind);
     if (earlierId.value === undefined) return NO_CARRY_OVER;
-    const earlier = await this._store.submitted(earlierId.value, deadline);
+    const earlier = await this._store.submittedBatch(earlierId.value, deadline);
     if (!earlier.ok) return this._without(batch.id, earlier.error.kind);
     // Texts are ten times the size of what was submitted, and most steps need none.
     if (!hasSharedItems(batch, earlier.value)) return NO_CARRY_OVER;
--- a/packages/gateway/src/progressKeeper.ts
+++ b/packages/gateway/src/progressRecorder.ts
@@ -19,7 +19,7 @@
   readonly texts: ReadonlyMap<string, number>;
 }
 
-export class ProgressKeeper {
+export class ProgressRecorder {
   private readonly _context: GatewayContext;
   private readonly _store: BatchStore;
   private readonly _batchId: string;
@@ -70,7 +70,7 @@
     const askedMs = this._context.clock.nowMs();
     const deadline = Deadline.after(this._context.clock, STORE_TIMEOUT_MS);
     const { events, texts } = writing;
-    const done = await this._store.keepProgress(
+    const done = await this._store.appendProgress(
       this._batchId,
       this._lease.held,
       this._records,
@@ -80,10 +80,10 @@
     if (done.kind === 'out-of-reach') return;
     this._unsettled = undefined;
     if (done.kind === 'lost') {
-      this._lease.lost();
+      this._lease.reportLost();
       return;
     }
-    this._lease.confirmed(askedMs);
+    this._lease.markConfirmed(askedMs);
     this._records += 1;
     this._kept.keep(events, texts);
     this._context.log.debug('progress kept', { batchId: this._batchId, items: events.length });
--- a/packages/gateway/src/resultLister.ts
+++ b/packages/gateway/src/resultLister.ts
@@ -62,7 +62,7 @@
   }
 
   /** How long a write has waited for its answer, over all its repetitions; 0 if none waits. */
-  unansweredMs(): number {
+  pendingWriteMs(): number {
     return this._unsettled ? this._context.clock.nowMs() - this._unsettledSinceMs : 0;
   }
 
@@ -113,10 +113,10 @@
     if (done.kind === 'out-of-reach') return false;
     this._unsettled = undefined;
     if (done.kind === 'lost') {
-      this._lease.lost();
+      this._lease.reportLost();
       return true;
     }
-    this._lease.confirmed(askedMs);
+    this._lease.markConfirmed(askedMs);
     this._ledger.confirm(results.length);
     this._log(position, results);
     this._listed();
--- a/packages/gateway/src/storedBatches.ts
+++ b/packages/gateway/src/storedBatchReader.ts
@@ -13,7 +13,7 @@
 /** Batches that are kept in memory for their readers, about a quarter of a megabyte each; the rest is read from the store. */
 const KEPT = 8;
 
-export class StoredBatches {
+export class StoredBatchReader {
   private readonly _context: GatewayContext;
   private readonly _store: BatchStore;
   private readonly _isEnded: (batchId: string) => boolean;
@@ -59,7 +59,7 @@
   }
 
   private async _readBatch(batchId: string): Promise<Batch | undefined> {
-    const batch = await this._store.submitted(batchId, this._storeDeadline());
+    const batch = await this._store.submittedBatch(batchId, this._storeDeadline());
     return batch.ok ? batch.value : undefined;
   }
 
--- a/tests/batchCalls.ts
+++ b/tests/batchCalls.ts
@@ -7,7 +7,7 @@
 
 export const BATCH = batch('b1', [item('x'), item('y'), item('z', { group: 'g2' })]);
 
-export async function started(...hostIds: readonly string[]): Promise<[GatewayWorld, ...GatewayHost[]]> {
+export async function startHosts(...hostIds: readonly string[]): Promise<[GatewayWorld, ...GatewayHost[]]> {
   const world = new GatewayWorld();
   const hosts = hostIds.map(id => world.start(id));
   await world.clock.advance(200);
--- a/tests/batchEnds.spec.ts
+++ b/tests/batchEnds.spec.ts
@@ -5,7 +5,7 @@
 import tap from 'tap';
 import { Deadline } from '@fuchsiahitch/base';
 import type { Batch } from '@fuchsiahitch/batches';
-import { BATCH, read, started } from './batchCalls.js';
+import { BATCH, read, startHosts } from './batchCalls.js';
 import type { GatewayHost, GatewayWorld } from './gatewayHosts.js';
 import { answer, batch, scoredItem } from './gatewayWorld.js';
 
@@ -69,7 +69,7 @@
     for (const silentMs of [600, 2400])
       for (const slowMs of [0, 950])
         for (const backMs of [0, 500, 1000, 1500, 2000, 2500, 3000, 3500, 7500]) {
-          const [world, a, b] = await started('a', 'b');
+          const [world, a, b] = await startHosts('a', 'b');
           if (!a || !b) return;
           const sentMs = breakOff(world);
           await submitAt(world, a, BATCH);
@@ -97,7 +97,7 @@
   async t => {
     // The same where each call is answered just in time, and the end comes at any moment of the owner's round of calls.
     for (const slowForMs of [0, 500, 1000, 1500, 2000, 2500]) {
-      const [world, a, b] = await started('a', 'b');
+      const [world, a, b] = await startHosts('a', 'b');
       if (!a || !b) return;
       const sentMs = breakOff(world);
       await submitAt(world, a, BATCH);
@@ -120,7 +120,7 @@
     // the texts are whole and no score comes. Cause: as with items.
     const found: string[] = [];
     for (const backMs of [0, 1500, 3000, 7500]) {
-      const [world, a, b] = await started('a', 'b');
+      const [world, a, b] = await startHosts('a', 'b');
       if (!a || !b) return;
       world.addScorers('s1', 's2', 's3');
       await world.clock.advance(200);
@@ -153,7 +153,7 @@
   // looked at the claim again: its look was not due, or the store was silent. Cause: the former owner object goes on
   // beside the new one of the same process, and what it loses is taken from the new one.
   for (const silentMs of [0, 1500]) {
-    const [world, a, b] = await started('a', 'b');
+    const [world, a, b] = await startHosts('a', 'b');
     if (!a || !b) return;
     const when = `after ${silentMs} ms without the store`;
     world.client.script = () => ({ events: 1000, end: { kind: 'done' }, eventMs: 20 });
@@ -190,7 +190,7 @@
   // Symptom: a reader sees no result of a batch of which others were shown all. Sequence: the batch ends, its owner keeps
   // only the newest ended ones in memory, and its trainer's submission, whose answer was lost, comes once more. Cause: the
   // owner takes its own claim in the store for one that this submission has written, and begins with an empty list.
-  const [world, a] = await started('a');
+  const [world, a] = await startHosts('a');
   if (!a) return;
   await submitAt(world, a, BATCH);
   await world.clock.advance(2000);
--- a/tests/batchService.spec.ts
+++ b/tests/batchService.spec.ts
@@ -3,11 +3,11 @@
  */
 import tap from 'tap';
 import { Deadline } from '@fuchsiahitch/base';
-import { BATCH, read, started, submit } from './batchCalls.js';
+import { BATCH, read, startHosts, submit } from './batchCalls.js';
 import { batch, item } from './gatewayWorld.js';
 
 await tap.test('should run a batch once and show its results at every host', async t => {
-  const [world, a, b] = await started('a', 'b');
+  const [world, a, b] = await startHosts('a', 'b');
   if (!a || !b) return;
   t.equal(await submit(world, a), 'accepted');
   t.equal(await submit(world, b), 'accepted');
@@ -21,7 +21,7 @@
 });
 
 await tap.test('should wait for a result and answer as soon as there is one', async t => {
-  const [world, a] = await started('a');
+  const [world, a] = await startHosts('a');
   if (!a) return;
   world.client.script = () => ({ events: 10, end: { kind: 'done' }, eventMs: 60 });
   await submit(world, a);
@@ -36,7 +36,7 @@
 await tap.test('should go on with a batch whose owner was killed', async t => {
   // Symptom: a trainer waits until its deadline. Sequence: the owner is killed, its lease ends, the trainer reads
   // at another host. Cause: nobody takes the batch over.
-  const [world, a, b] = await started('a', 'b');
+  const [world, a, b] = await startHosts('a', 'b');
   if (!a || !b) return;
   world.client.script = call =>
     call.itemId === 'x'
@@ -61,7 +61,7 @@
   async t => {
     // Symptom: a step that was under way when all hosts lost power is late or lost. Sequence: the items have run for
     // seconds, the owner dies, the next owner begins them anew. Cause: generated events stood in the owner's memory only.
-    const [world, a, b] = await started('a', 'b');
+    const [world, a, b] = await startHosts('a', 'b');
     if (!a || !b) return;
     world.client.script = call => ({ events: 100 - call.afterEvent, end: { kind: 'done' }, eventMs: 40 });
     await submit(world, a);
@@ -91,7 +91,7 @@
     // Symptom: an item that is too long for one step is generated anew in each. Sequence: the trainer ends a step whose
     // items still run, and submits them again in the next, or in the one after if steps overlap, at another host.
     // Cause: a batch's texts end with it.
-    const [world, a, b] = await started('a', 'b');
+    const [world, a, b] = await startHosts('a', 'b');
     if (!a || !b) return;
     world.client.script = call =>
       call.itemId === 'x'
@@ -124,7 +124,7 @@
 await tap.test('should keep progress through an outage of the store, and lose none of it', async t => {
   // Symptom: after a takeover an item has a gap, and begins anew. Sequence: a write of its events gets no answer, and
   // the next events are written beside it. Cause: a lost answer taken for a write that was done, or that was not.
-  const [world, a, b] = await started('a', 'b');
+  const [world, a, b] = await startHosts('a', 'b');
   if (!a || !b) return;
   world.client.script = call => ({ events: 150 - call.afterEvent, end: { kind: 'done' }, eventMs: 40 });
   await submit(world, a);
@@ -151,7 +151,7 @@
   // Symptom: a step stands still for seconds after its owner's lease has ended. Sequence: the owner loses its power
   // without a reset; a reader waits at another host for a result, and the question to the dead owner waits as long.
   // Cause: who is gone is asked as patiently as who lives.
-  const [world, a, b] = await started('a', 'b');
+  const [world, a, b] = await startHosts('a', 'b');
   if (!a || !b) return;
   world.client.script = call => ({ events: 200 - call.afterEvent, end: { kind: 'done' }, eventMs: 20 });
   await submit(world, a);
@@ -169,7 +169,7 @@
 });
 
 await tap.test('should leave a batch to an owner whose lease was revoked and that lives', async t => {
-  const [world, a, b] = await started('a', 'b');
+  const [world, a, b] = await startHosts('a', 'b');
   if (!a || !b) return;
   world.client.script = call => ({ events: 200 - call.afterEvent, end: { kind: 'done' }, eventMs: 20 });
   await submit(world, a);
@@ -184,7 +184,7 @@
 });
 
 await tap.test('should take a batch over from a process that was replaced at its address', async t => {
-  const [world, a, b] = await started('a', 'b');
+  const [world, a, b] = await startHosts('a', 'b');
   if (!a || !b) return;
   world.client.script = () => ({ events: 100, end: { kind: 'done' }, eventMs: 20 });
   await submit(world, a);
@@ -201,7 +201,7 @@
   // Symptom: a step makes no progress while its batch goes from host to host. Sequence: the owner is gone; one host takes
   // the batch over, and reads it from a store whose calls take 0.25 s; others ask it meanwhile. Cause: it says that it does
   // not run the batch, which is what a replaced process says.
-  const [world, a, b, c] = await started('a', 'b', 'c');
+  const [world, a, b, c] = await startHosts('a', 'b', 'c');
   if (!a || !b || !c) return;
   world.client.script = call => ({ events: 200 - call.afterEvent, end: { kind: 'done' }, eventMs: 20 });
   await submit(world, a);
@@ -226,7 +226,7 @@
 await tap.test('should leave a batch to an owner that lives but can’t be reached from here', async t => {
   // Symptom: every item of a batch runs twice. Sequence: a network cut between two hosts, both with their leases.
   // Cause: "I can't reach it" taken for "it is dead".
-  const [world, a, b] = await started('a', 'b');
+  const [world, a, b] = await startHosts('a', 'b');
   if (!a || !b) return;
   await submit(world, a);
   await world.clock.advance(800);
@@ -240,7 +240,7 @@
 await tap.test('should replace an owner that lost its lease and can’t ask the store', async t => {
   // Symptom: reads of a batch are refused for seconds. Sequence: the owner is cut off from the store alone; peers
   // reach it; it can't be sure and says so. Cause: an answer of any kind taken for a living owner.
-  const [world, a, b] = await started('a', 'b');
+  const [world, a, b] = await startHosts('a', 'b');
   if (!a || !b) return;
   world.client.script = () => ({ events: 100, end: { kind: 'done' }, eventMs: 20 });
   await submit(world, a);
@@ -259,7 +259,7 @@
 await tap.test('should stop the runs of a host that has lost its batch', async t => {
   // Symptom: the same item runs at two endpoints for long. Sequence: the owner is paused, another host takes over,
   // the owner wakes. Cause: the former owner never looks at the claim again.
-  const [world, a, b] = await started('a', 'b');
+  const [world, a, b] = await startHosts('a', 'b');
   if (!a || !b) return;
   world.client.script = () => ({ events: 400, end: { kind: 'done' }, eventMs: 20 });
   await submit(world, a);
@@ -280,7 +280,7 @@
   // Symptom: items run seconds after the end of their batch was confirmed. Sequence: the owner is cut off from its
   // peers, another host takes the batch over, the trainer ends it there; the former owner's items wait for an endpoint,
   // so that it writes nothing. Cause: the claim was looked at only by writes and by readers.
-  const [world, a, b] = await started('a', 'b');
+  const [world, a, b] = await startHosts('a', 'b');
   if (!a || !b) return;
   world.client.script = () => ({ events: 0, end: { kind: 'not-run', reason: 'refused', load: undefined } });
   await submit(world, a);
@@ -297,7 +297,7 @@
 });
 
 await tap.test('should say nothing rather than "nothing yet" when it can’t be sure', async t => {
-  const [world, a] = await started('a');
+  const [world, a] = await startHosts('a');
   if (!a) return;
   world.client.script = () => ({ events: 400, end: { kind: 'done' }, eventMs: 20 });
   await submit(world, a);
@@ -308,7 +308,7 @@
 });
 
 await tap.test('should tell an unknown batch from one that it can’t ask for', async t => {
-  const [world, a] = await started('a');
+  const [world, a] = await startHosts('a');
   if (!a) return;
   t.equal((await read(world, a)).kind, 'no-batch');
   a.storeClient.mode = 'away';
@@ -318,7 +318,7 @@
 
 await tap.test('should end a batch at any host, for good', async t => {
   // Symptom: items of an ended batch go on running. Cause: the end reaches one host only.
-  const [world, a, b] = await started('a', 'b');
+  const [world, a, b] = await startHosts('a', 'b');
   if (!a || !b) return;
   world.client.script = () => ({ events: 400, end: { kind: 'done' }, eventMs: 20 });
   await submit(world, a);
@@ -339,7 +339,7 @@
 });
 
 await tap.test('should go on at another endpoint after the last whole event', async t => {
-  const [world, a] = await started('a');
+  const [world, a] = await startHosts('a');
   if (!a) return;
   let attempt = 0;
   world.client.script = call => {
@@ -366,7 +366,7 @@
 await tap.test('should give a silent endpoint up and run the item elsewhere', async t => {
   // Symptom: an item hangs until its step is over. Sequence: the endpoint goes dark without a reset. Cause: no
   // time-out between events.
-  const [world, a] = await started('a');
+  const [world, a] = await startHosts('a');
   if (!a) return;
   let attempt = 0;
   world.client.script = call => {
@@ -383,7 +383,7 @@
 });
 
 await tap.test('should use no endpoint whose weights are too old', async t => {
-  const [world, a] = await started('a');
+  const [world, a] = await startHosts('a');
   if (!a) return;
   const fresh = batch('b1', [item('x')], { minVersion: 2 });
   await world.until(a.batches.submit(fresh, Deadline.after(world.clock, 1000)));
@@ -400,7 +400,7 @@
 });
 
 await tap.test('should not count refusals as failures of an item', async t => {
-  const [world, a] = await started('a');
+  const [world, a] = await startHosts('a');
   if (!a) return;
   let refusals = 0;
   world.client.script = () => {
@@ -417,7 +417,7 @@
 });
 
 await tap.test('should list items that can’t be done as terminated', async t => {
-  const [world, a] = await started('a');
+  const [world, a] = await startHosts('a');
   if (!a) return;
   world.client.script = call =>
     call.itemId === 'x'
@@ -433,7 +433,7 @@
 });
 
 await tap.test('should list results when the store returns', async t => {
-  const [world, a] = await started('a');
+  const [world, a] = await startHosts('a');
   if (!a) return;
   await submit(world, a);
   a.storeClient.mode = 'silent';
@@ -447,7 +447,7 @@
 });
 
 await tap.test('should give the body of an item at any host', async t => {
-  const [world, a, b] = await started('a', 'b');
+  const [world, a, b] = await startHosts('a', 'b');
   if (!a || !b) return;
   await submit(world, a);
   const body = await world.until(b.batches.item('b1', 'y'));
@@ -460,7 +460,7 @@
 await tap.test('should give its batches to another host when it shuts down, with what it has', async t => {
   // Symptom: a step stands still for seconds at each planned restart. Sequence: the owner gets the signal to end,
   // stops its runs, and answers reads with empty pages until it is gone. Cause: nobody was asked to go on.
-  const [world, a, b] = await started('a', 'b');
+  const [world, a, b] = await startHosts('a', 'b');
   if (!a || !b) return;
   world.client.script = () => ({ events: 60, end: { kind: 'done' }, eventMs: 20 });
   await submit(world, a);
--- a/tests/claimLease.spec.ts
+++ b/tests/claimLease.spec.ts
@@ -3,7 +3,7 @@
  */
 import tap from 'tap';
 import type { ItemCall, ItemEnd, ItemListener } from '@fuchsiahitch/gateway';
-import { read, started, submit } from './batchCalls.js';
+import { read, startHosts, submit } from './batchCalls.js';
 import type { GatewayWorld } from './gatewayHosts.js';
 import { answer, batch, scoredItem } from './gatewayWorld.js';
 import { Deadline } from '@fuchsiahitch/base';
@@ -40,7 +40,7 @@
   // begins within the lease, its connection takes a second or its process is held up, and it is written then. Cause: what
   // is begun is not looked at again before it is written.
   for (const connectMs of [50, 700, 1600]) {
-    const [world, a] = await started('a');
+    const [world, a] = await startHosts('a');
     if (!a) return;
     const { begunMs, writtenMs } = connectSlowly(world, connectMs);
     await submit(world, a);
@@ -57,7 +57,7 @@
 
 await tap.test('should ask for no score once the store’s confirmation is older than the lease', async t => {
   // The same with requests for scores, which the forwarder repeats for up to a second.
-  const [world, a] = await started('a');
+  const [world, a] = await startHosts('a');
   if (!a) return;
   world.addScorers('s1', 's2', 's3', 's4');
   await world.clock.advance(200);
@@ -81,7 +81,7 @@
 await tap.test('should not begin a batch in order to end it', async t => {
   // Symptom: items of a batch are sent by the host at which it is being ended. Sequence: the owner dies, and the end arrives
   // at another host before any reader. Cause: that host takes the batch over, begins it, and ends it then.
-  const [world, a, b] = await started('a', 'b');
+  const [world, a, b] = await startHosts('a', 'b');
   if (!a || !b) return;
   world.client.script = () => ({ events: 400, end: { kind: 'done' }, eventMs: 20 });
   await submit(world, a);
@@ -96,7 +96,7 @@
 await tap.test('should send nothing of a batch whose end was asked, though the store is silent', async t => {
   // Symptom: items are sent for seconds after a trainer asked for the end. Sequence: the owner can't write the end to the
   // store, and says that it is unsure. Cause: it goes on as if nothing had been asked.
-  const [world, a] = await started('a');
+  const [world, a] = await startHosts('a');
   if (!a) return;
   world.client.script = () => ({ events: 1, end: { kind: 'broken', text: 'reset' }, eventMs: 20 });
   await submit(world, a);
@@ -120,7 +120,7 @@
   const found: string[] = [];
   for (const slowMs of [0, 250, 400])
     for (const afterMs of [600, 800, 1000, 1200, 1400, 1600]) {
-      const [world, a, b] = await started('a', 'b');
+      const [world, a, b] = await startHosts('a', 'b');
       if (!a || !b) return;
       world.client.script = () => ({ events: 400, end: { kind: 'done' }, eventMs: 20 });
       await submit(world, a);
--- a/tests/endedReads.spec.ts
+++ b/tests/endedReads.spec.ts
@@ -8,7 +8,7 @@
 import tap from 'tap';
 import { Deadline } from '@fuchsiahitch/base';
 import type { Batch, ItemResult } from '@fuchsiahitch/batches';
-import { BATCH, started } from './batchCalls.js';
+import { BATCH, startHosts } from './batchCalls.js';
 import type { GatewayHost, GatewayWorld } from './gatewayHosts.js';
 import { batch, item, type ItemScript } from './gatewayWorld.js';
 
@@ -148,7 +148,7 @@
 }
 
 async function underWay(given: Batch, script: Script): Promise<UnderWay> {
-  const [world, a, b, c] = await started('a', 'b', 'c');
+  const [world, a, b, c] = await startHosts('a', 'b', 'c');
   if (!a || !b || !c) throw new Error('no hosts');
   cut(world, a, c);
   world.client.script = script;
@@ -256,7 +256,7 @@
     // the owner loads the batch for an item's body; the store looks the results up and answers late; meanwhile the owner
     // lists one more, and the batch is ended at that very host. Cause: whether the batch has ended is looked at after the
     // load, and was not so when the load began.
-    const [world, a, b, c] = await started('a', 'b', 'c');
+    const [world, a, b, c] = await startHosts('a', 'b', 'c');
     if (!a || !b || !c) return;
     cut(world, a, b);
     world.client.script = lastTakesLong;
@@ -461,7 +461,7 @@
   // Symptom: readers of an ended batch are told for good that there is nothing. Sequence: a batch ends at its owner, so
   // do others, the owner forgets the first and reads it from the store; the first is submitted there once more. Cause: the
   // claim in the store names this process, which is taken for an acceptance without an answer: it begins with no result.
-  const [world, a, b, c] = await started('a', 'b', 'c');
+  const [world, a, b, c] = await startHosts('a', 'b', 'c');
   if (!a || !b || !c) return;
   const readers = new Readers(world);
   for (const id of ['b1', 'b2', 'b3', 'b4', 'b5', 'b6']) {
@@ -481,7 +481,7 @@
 await tap.test('should read an ended batch once for all who ask a host', async t => {
   // Symptom: one in twelve calls to the store lists a batch that has ended. Sequence: several readers and askers for bodies come
   // to a host that did not run the batch, some while its records are being read. Cause: each of them reads all records anew.
-  const [world, a] = await started('a');
+  const [world, a] = await startHosts('a');
   if (!a) return;
   const { clock, store } = world;
   await world.until(a.batches.submit(BATCH, Deadline.after(clock, 1000)));
--- a/tests/gatewayHosts.ts
+++ b/tests/gatewayHosts.ts
@@ -10,7 +10,7 @@
   ConfigurationService,
   EndpointDirectory,
   Forwarder,
-  OrphanedBatches,
+  OrphanRecovery,
   type CallRegistry,
   type Hosts,
 } from '@fuchsiahitch/gateway';
@@ -38,7 +38,7 @@
   readonly context: TestContext;
   readonly storeClient: FakeStoreClient;
   readonly batches: BatchService;
-  readonly orphans: OrphanedBatches;
+  readonly orphans: OrphanRecovery;
   readonly configuration: ConfigurationService;
   readonly endpoints: EndpointDirectory;
   readonly handlers = new Map<string, Handler>();
@@ -71,7 +71,7 @@
       },
     };
     this.batches.serve(registry);
-    this.orphans = new OrphanedBatches(this.context, ports.store, this, (batchId, from) =>
+    this.orphans = new OrphanRecovery(this.context, ports.store, this, (batchId, from) =>
       this.batches.adoptFrom(batchId, from),
     );
     this.configuration.start();
@@ -81,7 +81,7 @@
   /** Ends the process at once: nothing of it goes on. */
   kill(): void {
     this.isRunning = false;
-    this.batches.halt();
+    this.batches.stopAll();
     this.context.stop.abort();
   }
 
--- a/tests/orphans.spec.ts
+++ b/tests/orphans.spec.ts
@@ -21,7 +21,7 @@
 }
 
 function tellGone(...hosts: readonly GatewayHost[]): void {
-  for (const host of hosts) host.orphans.hostGone();
+  for (const host of hosts) host.orphans.hostRemoved();
 }
 
 await tap.test('should go on with a batch of a domain that is cut off, without a reader', async t => {
--- a/tests/resumption.spec.ts
+++ b/tests/resumption.spec.ts
@@ -3,7 +3,7 @@
  */
 import tap from 'tap';
 import { Deadline } from '@fuchsiahitch/base';
-import { BATCH, read, started, submit } from './batchCalls.js';
+import { BATCH, read, startHosts, submit } from './batchCalls.js';
 import { batch } from './gatewayWorld.js';
 
 await tap.test(
@@ -13,7 +13,7 @@
     // Sequence: a text is whole, and its batch ends before it is listed; its group comes again in a later step, where an
     // endpoint is asked to go on after its last event. It has nothing to add, and its answer names no weight version.
     // Cause: that text taken for unfinished, and the missing version for version 0, which is older than allowed.
-    const [world, a, b] = await started('a', 'b');
+    const [world, a, b] = await startHosts('a', 'b');
     if (!a || !b) return;
     world.client.script = call => {
       const events = 60 - call.afterEvent;
@@ -39,7 +39,7 @@
 
 await tap.test('should take an end without another event for the end of a text', async t => {
   // As above, where the store has every event of a text, and not that it is whole: its owner died at that moment.
-  const [world, a] = await started('a');
+  const [world, a] = await startHosts('a');
   if (!a) return;
   world.client.script = call => {
     if (call.afterEvent > 0) return { events: 0, end: { kind: 'done' }, version: 'none' };
@@ -54,7 +54,7 @@
 });
 
 await tap.test('should not take a stream without any event for a text', async t => {
-  const [world, a] = await started('a');
+  const [world, a] = await startHosts('a');
   if (!a) return;
   let attempts = 0;
   world.client.script = () => {
@@ -73,7 +73,7 @@
   // Symptom: an item has hundreds of attempts, and its step is lost. Sequence: a stream breaks; each endpoint that is
   // asked to go on answers with weights that are too old for the batch. Cause: nothing ends the round.
   for (const how of ['always', 'once'] as const) {
-    const [world, a] = await started('a');
+    const [world, a] = await startHosts('a');
     if (!a) return;
     let refusals = 0;
     world.client.script = call => {
@@ -102,7 +102,7 @@
 await tap.test('should wait for an endpoint whose weights are new enough, and keep the text', async t => {
   // Symptom: as above. Sequence: both endpoints are known with a version that they don't have any more, for 4 s.
   // Cause: what their records say believed over what they answer.
-  const [world, a] = await started('a');
+  const [world, a] = await startHosts('a');
   if (!a) return;
   const untilMs = world.clock.nowMs() + 4000;
   world.client.script = () =>
