--- a/packages/gateway/src/batchOwner.ts
+++ b/packages/gateway/src/batchOwner.ts
@@ -188,7 +188,7 @@
       this.claimLost();
       return 'lost';
     }
-    this._lease.replaceClaim(done.value);
+    this._lease.changed(done.value);
     // Results whose append is not answered may stand in the store, where hosts that can't ask this one read them. So that
     // no reader is shown fewer here, the store alone is read from now on.
     this._isLost = !this._lister.isSettled();
@@ -290,7 +290,7 @@
     const claimRevision = this._lease.held.revision;
     const end = await attempt.run();
     const tookMs = this._context.clock.nowMs() - startedMs;
-    await this._suspects.attemptEnded(item, endpoint, end);
+    await this._suspects.ended(item, endpoint, end);
     this._attempts.delete(item.id);
     this._logAttempt(item, endpoint, { number, tookMs, claimRevision, claimAgeMs }, end);
     if (this._isStopped) return;
--- a/packages/gateway/src/claimLease.ts
+++ b/packages/gateway/src/claimLease.ts
@@ -122,7 +122,7 @@
   }
 
   /** The batch stands at another revision by this owner's own change. */
-  replaceClaim(held: HeldClaim): void {
+  changed(held: HeldClaim): void {
     this._held = held;
   }
 
--- a/packages/gateway/src/poisonItemFilter.ts
+++ b/packages/gateway/src/poisonItemFilter.ts
@@ -45,7 +45,7 @@
   }
 
   /** Takes in how an attempt ended; resolves once it is known what that says of the item. */
-  async attemptEnded(item: BatchItem, endpoint: Endpoint, end: AttemptEnd): Promise<void> {
+  async ended(item: BatchItem, endpoint: Endpoint, end: AttemptEnd): Promise<void> {
     const trial = this._trials.get(item.id);
     this._trials.delete(item.id);
     switch (end.kind) {
