--- a/packages/gateway/src/batchOwner.ts
+++ b/packages/gateway/src/batchOwner.ts
@@ -252,7 +252,7 @@
    * has read.
    */
   private _sendWaiting(): boolean {
-    this._scoring.requestMissing();
+    this._scoring.run();
     const waiting = this._suspects.ready(this._pauses.ready(this.ledger.waiting()));
     const tiers = waiting.length > 0 ? this._placer.tiers() : [];
     let begun = 0;
--- a/packages/gateway/src/itemScoring.ts
+++ b/packages/gateway/src/itemScoring.ts
@@ -68,7 +68,7 @@
   }
 
   /** Asks for every score that is missing and not paused. */
-  requestMissing(): void {
+  run(): void {
     if (this._isStopped) return;
     for (const item of this._pauses.ready(this._ledger.unscored())) {
       if (!item.scoring) continue;
