--- a/packages/gateway/src/batchOwner.ts
+++ b/packages/gateway/src/batchOwner.ts
@@ -35,7 +35,7 @@
 }
 
 /** What the log tells of an attempt beside its end. */
-interface AttemptFacts {
+interface AttemptDetails {
   /** The attempts of the item so far, this one included. */
   readonly number: number;
   readonly tookMs: number;
@@ -53,41 +53,41 @@
  * a third of a core reads nothing meanwhile: with all 144 in one turn its loop was late by 267 and 303 ms (first and second
  * batch, means of three runs over sockets), with 16 by 197 and 170; without a limit by 87 and 49, and 44 and 15.
  */
-const MAX_BEGUN = 16;
+const MAX_STARTS_PER_TURN = 16;
 /** An endpoint that refused an item gets none for this long: it is full or loads weights. */
-const REFUSED_PAUSE_MS = 250;
+const REFUSAL_PAUSE_MS = 250;
 /** Wall clocks of hosts are near true time; a generous bound for the difference of two. */
-const CLOCK_SKEW_MS = 5000;
+const MAX_CLOCK_SKEW_MS = 5000;
 
 export class BatchOwner {
   readonly ledger: BatchLedger;
   private readonly _context: GatewayContext;
   private readonly _ports: BatchPorts;
-  private readonly _lost: () => void;
+  private readonly _onClaimLost: () => void;
   private readonly _attempts = new Map<string, ItemAttempt>();
-  private readonly _keeper: ProgressRecorder;
-  private readonly _lister: ResultLister;
+  private readonly _progressRecorder: ProgressRecorder;
+  private readonly _resultLister: ResultLister;
   private readonly _scoring: ItemScoring;
-  private readonly _pauses: ItemBackoff;
-  private readonly _suspects: PoisonItemFilter;
+  private readonly _backoff: ItemBackoff;
+  private readonly _poisonFilter: PoisonItemFilter;
   private readonly _lease: ClaimLease;
   private readonly _placer: ItemPlacer;
   private _isStopped = false;
   private _isEnding = false;
-  private _isLost = false;
+  private _isClaimLost = false;
   private _placeTimer: CancelTimer | undefined;
-  private _wake: (() => void)[] = [];
+  private _readerWakeups: (() => void)[] = [];
 
   constructor(
     context: GatewayContext,
     ports: BatchPorts,
     held: HeldClaim,
     stored: StoredBatch,
-    lost: () => void,
+    onClaimLost: () => void,
   ) {
     this._context = context;
     this._ports = ports;
-    this._lost = lost;
+    this._onClaimLost = onClaimLost;
     const { store } = ports;
     const { batch } = stored;
     const startedMs = context.clock.nowMs();
@@ -99,13 +99,15 @@
     });
     this._lease = new ClaimLease(context, store, batch.id, held, ports.claimLeaseMs, () => this.claimLost());
     this._placer = new ItemPlacer(context, ports, this.ledger);
-    this._pauses = new ItemBackoff(context, batch.id, 'generation');
-    this._suspects = new PoisonItemFilter(context, ports.poison, this.ledger, () => this._place());
-    this._scoring = new ItemScoring(context, ports, this.ledger, maxAttempts, () => this._lister.list());
-    this._lister = new ResultLister(context, store, this.ledger, startedMs, this._lease, () =>
+    this._backoff = new ItemBackoff(context, batch.id, 'generation');
+    this._poisonFilter = new PoisonItemFilter(context, ports.poison, this.ledger, () => this._placeItems());
+    this._scoring = new ItemScoring(context, ports, this.ledger, maxAttempts, () =>
+      this._resultLister.list(),
+    );
+    this._resultLister = new ResultLister(context, store, this.ledger, startedMs, this._lease, () =>
       this._wakeReaders(),
     );
-    this._keeper = new ProgressRecorder(context, store, this.ledger, this._lease);
+    this._progressRecorder = new ProgressRecorder(context, store, this.ledger, this._lease);
   }
 
   get batchId(): string {
@@ -126,9 +128,9 @@
     if (this.isEnded() || this._isStopped) return;
     this._armExpiry();
     this._lease.start();
-    this._keeper.start();
-    this._lister.list();
-    this._place();
+    this._progressRecorder.start();
+    this._resultLister.list();
+    this._placeItems();
   }
 
   /** Stops all attempts: the batch has ended, or another host runs it. */
@@ -136,8 +138,8 @@
     if (this._isStopped) return;
     this._isStopped = true;
     this._lease.stop();
-    this._keeper.stop();
-    this._lister.stop();
+    this._progressRecorder.stop();
+    this._resultLister.stop();
     this._scoring.stop();
     this._placeTimer?.();
     for (const attempt of this._attempts.values()) attempt.stop();
@@ -149,11 +151,11 @@
   /** Results from a position on; waits for one up to `waitMs` if there is none. */
   async read(after: number, waitMs: number): Promise<BatchReadReply> {
     const deadline = Deadline.after(this._context.clock, waitMs);
-    while (this._hasNothingAfter(after) && !deadline.isOver()) await this._changed(deadline);
-    if (this._hasNothingAfter(after) && this._lister.pendingWriteMs() >= READ_CONFIRMATION_MAX_AGE_MS)
+    while (this._hasNoResultAfter(after) && !deadline.isOver()) await this._waitForChange(deadline);
+    if (this._hasNoResultAfter(after) && this._resultLister.pendingWriteMs() >= READ_CONFIRMATION_MAX_AGE_MS)
       return this._readStored(after);
-    if (this._hasNothingAfter(after) && !(await this._lease.confirmOwnership())) return { kind: 'unsure' };
-    if (this._isLost) return { kind: 'not-owner' };
+    if (this._hasNoResultAfter(after) && !(await this._lease.confirmOwnership())) return { kind: 'unsure' };
+    if (this._isClaimLost) return { kind: 'not-owner' };
     return { kind: 'page', ...pageFrom(this.ledger.listed(), this.ledger.total(), after) };
   }
 
@@ -164,7 +166,7 @@
   private async _readStored(after: number): Promise<BatchReadReply> {
     const results = await this._ports.store.results(this.batchId, this._storeDeadline());
     if (!results.ok) return { kind: 'unsure' };
-    if (this._isLost) return { kind: 'not-owner' };
+    if (this._isClaimLost) return { kind: 'not-owner' };
     return { kind: 'page', ...pageFrom(results.value, this.ledger.total(), after) };
   }
 
@@ -191,10 +193,10 @@
     this._lease.changed(done.value);
     // Results whose append is not answered may stand in the store, where hosts that can't ask this one read them. So that
     // no reader is shown fewer here, the store alone is read from now on.
-    this._isLost = !this._lister.isSettled();
+    this._isClaimLost = !this._resultLister.isSettled();
     this.stop('ended by the trainer');
-    if (this._isLost) this._lost();
-    void this._keeper.finish();
+    if (this._isClaimLost) this._onClaimLost();
+    void this._progressRecorder.finish();
     return 'ended';
   }
 
@@ -202,21 +204,21 @@
   claimLost(): void {
     // After an end of its own the claim is at another revision, and nothing is lost.
     if (this._isStopped) return;
-    this._isLost = true;
+    this._isClaimLost = true;
     this.stop('another host owns the batch');
-    this._lost();
+    this._onClaimLost();
   }
 
-  private _hasNothingAfter(after: number): boolean {
+  private _hasNoResultAfter(after: number): boolean {
     const isMore = after < this.ledger.listed().length;
     return !isMore && !this.ledger.isDone() && !this._isStopped;
   }
 
   /** Resolves at the next listed result, or when the deadline is over. */
-  private async _changed(deadline: Deadline): Promise<void> {
+  private async _waitForChange(deadline: Deadline): Promise<void> {
     await new Promise<void>(resolve => {
       const cancel = this._context.clock.after(deadline.leftMs(), resolve);
-      this._wake.push(() => {
+      this._readerWakeups.push(() => {
         cancel();
         resolve();
       });
@@ -224,24 +226,24 @@
   }
 
   private _wakeReaders(): void {
-    const wake = this._wake;
-    this._wake = [];
+    const wake = this._readerWakeups;
+    this._readerWakeups = [];
     for (const run of wake) run();
   }
 
   /** Sends what may be sent, and looks again in a moment. */
-  private _place(): void {
+  private _placeItems(): void {
     if (this._isStopped) return;
     this._placeTimer?.();
-    const isMoreToBegin = this.maySend() ? this._sendWaiting() : this._holdBack();
-    if (!this.ledger.isFinished()) this._placeTimer = this._again(isMoreToBegin);
+    const isMoreToBegin = this.maySend() ? this._sendWaiting() : this._cancelUnanswered();
+    if (!this.ledger.isFinished()) this._placeTimer = this._schedulePlacement(isMoreToBegin);
   }
 
   /**
    * Takes back what was begun and may not be written yet: a connection takes up to a second, and a process that is held up
    * writes seconds later. Runs that an endpoint has answered go on.
    */
-  private _holdBack(): false {
+  private _cancelUnanswered(): false {
     this._scoring.interrupt();
     for (const attempt of this._attempts.values()) if (!attempt.isAnswered()) attempt.stop();
     return false;
@@ -253,25 +255,25 @@
    */
   private _sendWaiting(): boolean {
     this._scoring.run();
-    const waiting = this._suspects.ready(this._pauses.ready(this.ledger.waiting()));
+    const waiting = this._poisonFilter.ready(this._backoff.ready(this.ledger.waiting()));
     const tiers = waiting.length > 0 ? this._placer.tiers() : [];
     let begun = 0;
     for (const item of waiting) {
-      if (begun === MAX_BEGUN) break;
-      if (this._placeItem(item, tiers)) begun += 1;
+      if (begun === MAX_STARTS_PER_TURN) break;
+      if (this._tryStart(item, tiers)) begun += 1;
     }
-    this._moveFromSlow();
-    return begun === MAX_BEGUN;
+    this._moveFromSlowEndpoints();
+    return begun === MAX_STARTS_PER_TURN;
   }
 
-  private _again(isMoreToBegin: boolean): CancelTimer {
+  private _schedulePlacement(isMoreToBegin: boolean): CancelTimer {
     const { clock, loop } = this._context;
-    const place = (): void => this._place();
+    const place = (): void => this._placeItems();
     return isMoreToBegin ? loop.afterOneReading(place) : clock.after(PLACE_INTERVAL_MS, place);
   }
 
-  private _placeItem(item: BatchItem, tiers: EndpointTiers): boolean {
-    const endpoint = this._placer.choose(item, tiers, this._suspects.isSuspectItem(item));
+  private _tryStart(item: BatchItem, tiers: EndpointTiers): boolean {
+    const endpoint = this._placer.choose(item, tiers, this._poisonFilter.isSuspectItem(item));
     if (endpoint) void this._run(item, endpoint);
     return endpoint !== undefined;
   }
@@ -279,7 +281,7 @@
   private async _run(item: BatchItem, endpoint: Endpoint): Promise<void> {
     const number = this.ledger.begin(item.id);
     // Where an endpoint has ended under an item, those of its group that follow it break with the next one.
-    if (!this._suspects.isSuspectItem(item)) this._placer.recordStart(item, endpoint);
+    if (!this._poisonFilter.isSuspectItem(item)) this._placer.recordStart(item, endpoint);
     const mayLeave = (asking: ItemAttempt): boolean =>
       this.maySend() && this._placer.hasFreePlaceElsewhere(item, asking);
     const { client } = this._ports;
@@ -290,12 +292,12 @@
     const claimRevision = this._lease.held.revision;
     const end = await attempt.run();
     const tookMs = this._context.clock.nowMs() - startedMs;
-    await this._suspects.ended(item, endpoint, end);
+    await this._poisonFilter.ended(item, endpoint, end);
     this._attempts.delete(item.id);
     this._logAttempt(item, endpoint, { number, tookMs, claimRevision, claimAgeMs }, end);
     if (this._isStopped) return;
     this._settle(item, endpoint, end);
-    this._place();
+    this._placeItems();
   }
 
   private _settle(item: BatchItem, endpoint: Endpoint, end: AttemptEnd): void {
@@ -312,7 +314,7 @@
         break;
       case 'not-run':
         this._placer.avoid(item, endpoint);
-        endpoint.closeFor(REFUSED_PAUSE_MS);
+        endpoint.closeFor(REFUSAL_PAUSE_MS);
         this.ledger.interrupted(item.id);
         break;
       case 'broken':
@@ -325,20 +327,20 @@
         break;
       case 'old-version':
         this._placer.avoid(item, endpoint);
-        this._contradicted(item);
+        this._versionMismatched(item);
         break;
     }
-    this._lister.list();
+    this._resultLister.list();
   }
 
   /** The endpoint answered with weights that don't fit: another is asked, and in the end the item begins anew. */
-  private _contradicted(item: BatchItem): void {
+  private _versionMismatched(item: BatchItem): void {
     const { fruitless, isTextDropped } = this.ledger.contradicted(item.id);
-    this._pauses.versionMismatched(item.id, fruitless, isTextDropped);
+    this._backoff.versionMismatched(item.id, fruitless, isTextDropped);
   }
 
   /** Moves the items of slow endpoints to quick ones that have nothing better to do. */
-  private _moveFromSlow(): void {
+  private _moveFromSlowEndpoints(): void {
     if (this.ledger.waiting().length > 0) return;
     for (const attempt of this._placer.dueMoves([...this._attempts.values()])) attempt.stop();
   }
@@ -349,13 +351,13 @@
     if (!route || route.keepMs === 0) return;
     const ageMs = Math.max(0, this._context.clock.wallMs() - this._lease.held.claim.acceptedWallMs);
     // Wall clocks differ between hosts: an older batch may be a little younger than it seems.
-    const leftMs = Math.max(0, route.keepMs - ageMs) + CLOCK_SKEW_MS;
+    const leftMs = Math.max(0, route.keepMs - ageMs) + MAX_CLOCK_SKEW_MS;
     this._context.clock.after(leftMs, () => {
       if (this._isStopped || this.ledger.isDone()) return;
       this._context.log.warn('batch expired', { batchId: this.batchId, keepMs: route.keepMs });
       for (const attempt of this._attempts.values()) attempt.stop();
       this.ledger.terminateRest();
-      this._lister.list();
+      this._resultLister.list();
     });
   }
 
@@ -366,7 +368,7 @@
   private _logAttempt(
     item: BatchItem,
     endpoint: Endpoint,
-    { number, tookMs, claimRevision, claimAgeMs }: AttemptFacts,
+    { number, tookMs, claimRevision, claimAgeMs }: AttemptDetails,
     end: AttemptEnd,
   ): void {
     this._context.metrics.attempts.inc({ kind: 'item', end: end.kind });
--- a/packages/gateway/src/batchService.ts
+++ b/packages/gateway/src/batchService.ts
@@ -26,7 +26,7 @@
 import { StoredBatchReader } from './storedBatchReader.js';
 
 /** Where a batch stands, as far as this host could learn. */
-type Located =
+type BatchLocation =
   | { readonly kind: 'here'; readonly owner: BatchOwner }
   | { readonly kind: 'peer'; readonly held: HeldClaim }
   | { readonly kind: 'stored'; readonly held: HeldClaim }
@@ -40,53 +40,53 @@
  * A process whose lease has ended is asked once more, for so long: a lease may also be revoked, and a living owner keeps
  * its batch. Without this a reader waits for a dead owner as long as it would for a result: 1.7 s.
  */
-const GONE_PROBE_MS = 300;
+const OWNER_PROBE_TIMEOUT_MS = 300;
 /** Taking a batch over is two calls to the store and one read of it. */
 const ADOPT_TIMEOUT_MS = 1500;
 const MAX_SUCCESSORS = 3;
 /** So long after it began to run a batch, a host knows how quick its endpoints are. */
-const PACES_KNOWN_MS = 2000;
+const PACE_UPDATE_DELAY_MS = 2000;
 /** A refused batch may come back after this: an outage of the store lasts seconds. */
 const RETRY_AFTER_MS = 1000;
 /** Ended batches that are kept in memory for their readers; the rest is read from the store. */
-const KEPT_ENDED = 4;
+const MAX_ENDED_IN_MEMORY = 4;
 /** Claims that are remembered: some hundred bytes each. */
-const KEPT_CLAIMS = 2000;
+const MAX_CACHED_CLAIMS = 2000;
 
 export class BatchService {
   private readonly _context: GatewayContext;
   private readonly _ports: BatchPorts;
   private readonly _hosts: Hosts;
-  private readonly _texts: PriorProgress;
+  private readonly _priorProgress: PriorProgress;
   private readonly _owned = new Map<string, BatchOwner>();
   private readonly _submits = new Map<string, Promise<SubmitOutcome>>();
-  private readonly _takeovers = new Map<string, Promise<Located>>();
+  private readonly _takeovers = new Map<string, Promise<BatchLocation>>();
   /** Claims as last read: where to ask first. The owner itself says if it is one no more. */
   private readonly _claims = new Map<string, HeldClaim>();
-  private readonly _stored: StoredBatchReader;
-  private readonly _paces: PaceUpdates;
-  private _isLeaving = false;
+  private readonly _storedBatches: StoredBatchReader;
+  private readonly _paceUpdates: PaceUpdates;
+  private _isShuttingDown = false;
 
   constructor(context: GatewayContext, ports: BatchPorts, hosts: Hosts) {
     this._context = context;
     this._ports = ports;
     this._hosts = hosts;
-    this._paces = new PaceUpdates(ports.endpoints, hosts);
-    this._texts = new PriorProgress(context, ports.store);
+    this._paceUpdates = new PaceUpdates(ports.endpoints, hosts);
+    this._priorProgress = new PriorProgress(context, ports.store);
     const isEnded = (batchId: string): boolean => this._claims.get(batchId)?.claim.isEnded ?? false;
-    this._stored = new StoredBatchReader(context, ports.store, isEnded);
+    this._storedBatches = new StoredBatchReader(context, ports.store, isEnded);
   }
 
   serve(server: CallRegistry): void {
-    server.handle(calls.batchRead, request => this._readHere(request));
-    server.handle(calls.batchItem, request => this._itemHere(request));
+    server.handle(calls.batchRead, request => this._readLocally(request));
+    server.handle(calls.batchItem, request => this._itemLocally(request));
     server.handle(calls.batchAdopt, request => this._adopt(request));
     server.handle(calls.batchRuns, ({ batchId }) => ({
       isRun: this._owned.get(batchId)?.maySend() ?? false,
     }));
-    this._paces.serve(server);
-    server.handle(calls.batchClaimed, news => this._heardOf(news));
-    server.handle(calls.batchEnd, request => this._endHere(request.batchId));
+    this._paceUpdates.serve(server);
+    server.handle(calls.batchClaimed, news => this._receiveClaim(news));
+    server.handle(calls.batchEnd, request => this._endLocally(request.batchId));
   }
 
   /** Batches that this host runs. */
@@ -124,7 +124,7 @@
       case 'page':
         return { kind: 'page', page: { total: reply.total, results: reply.results, next: reply.next } };
       case 'stored':
-        return this._stored.read(batchId, reply.held, after, deadline);
+        return this._storedBatches.read(batchId, reply.held, after, deadline);
       case 'no-batch':
         return { kind: 'no-batch' };
       case 'not-owner':
@@ -144,7 +144,7 @@
       case 'body':
         return { kind: 'body', body: Buffer.from(reply.bodyBase64, 'base64') };
       case 'stored':
-        return this._stored.item(batchId, itemId);
+        return this._storedBatches.item(batchId, itemId);
       case 'no-item':
       case 'no-batch':
         return { kind: 'no-item' };
@@ -162,12 +162,12 @@
     const held = await this._ports.store.readClaim(batchId, this._storeDeadline());
     if (!held.ok) return 'unsure';
     if (!held.value) return 'no-batch';
-    this._remember(batchId, held.value);
+    this._cacheClaim(batchId, held.value);
     return held.value.claim.isEnded ? 'ended' : this._endStored(batchId, held.value);
   }
 
   /** Ends a batch where it was found. `unsure` also where that is no longer its owner. */
-  private async _endAt(batchId: string, located: Located): Promise<EndOutcome> {
+  private async _endAt(batchId: string, located: BatchLocation): Promise<EndOutcome> {
     switch (located.kind) {
       case 'here':
         return (await located.owner.end()) === 'ended' ? 'ended' : 'unsure';
@@ -195,7 +195,7 @@
    * happens to read it at another host, and what runs would be generated anew.
    */
   async handOver(): Promise<void> {
-    this._isLeaving = true;
+    this._isShuttingDown = true;
     const owners = [...this._owned.values()];
     this._owned.clear();
     await Promise.all(owners.map(owner => this._handOver(owner)));
@@ -233,7 +233,7 @@
 
   private async _adopt(request: BatchAdopt): Promise<{ readonly isAdopted: boolean }> {
     const { batchId, from, isGivenUp, unfinished } = request;
-    if (this._isLeaving) return { isAdopted: false };
+    if (this._isShuttingDown) return { isAdopted: false };
     const located = await this._replaceOwner(batchId, from, isGivenUp, unfinished);
     return { isAdopted: located.kind === 'here' };
   }
@@ -243,8 +243,8 @@
    * that is short of processor time renews its lease too late and loses its batch, the next one gets short of processor
    * time by taking it, and so on; one sees a batch with a `batch takeover` every two seconds.
    */
-  private async _isStillRun(batchId: string, owner: Owner): Promise<boolean> {
-    const reply = await this._hosts.call(owner.address, calls.batchRuns, { batchId }, GONE_PROBE_MS);
+  private async _isRunByOwner(batchId: string, owner: Owner): Promise<boolean> {
+    const reply = await this._hosts.call(owner.address, calls.batchRuns, { batchId }, OWNER_PROBE_TIMEOUT_MS);
     const isRun = reply.ok && reply.value.isRun;
     if (isRun) this._context.log.info('batch left to its owner', { batchId, owner: owner.hostId });
     return isRun;
@@ -268,10 +268,10 @@
     });
     switch (outcome.kind) {
       case 'accepted':
-        void this._begin(outcome.held, { batch, results: [] }, []);
+        void this._startBatch(outcome.held, { batch, results: [] }, []);
         return { kind: 'accepted' };
       case 'known':
-        this._remember(batch.id, outcome.held);
+        this._cacheClaim(batch.id, outcome.held);
         this._resume(batch.id, outcome.held);
         return { kind: 'accepted' };
       case 'not-done':
@@ -290,16 +290,16 @@
   }
 
   /** Runs a batch here. What was generated of its items before is read first: it is a few calls to the store. */
-  private async _begin(
+  private async _startBatch(
     held: HeldClaim,
     stored: StoredBatch,
     unfinished: readonly ItemEvents[],
   ): Promise<BatchOwner> {
-    const owner = this._own(held, stored);
+    const owner = this._createOwner(held, stored);
     const { id } = stored.batch;
     const [before, kept] = await Promise.all([
-      this._texts.fromPreviousSteps(stored.batch, owner.isSingleVersion()),
-      this._texts.fromPreviousOwners(id, held),
+      this._priorProgress.fromPreviousSteps(stored.batch, owner.isSingleVersion()),
+      this._priorProgress.fromPreviousOwners(id, held),
     ]);
     owner.ledger.carry(before);
     owner.ledger.resume([...kept, ...unfinished]);
@@ -312,10 +312,10 @@
       unfinished: owner.ledger.unfinished().length,
     });
     owner.start();
-    this._tellClaim(id, held);
-    this._context.clock.after(PACES_KNOWN_MS, () => this._paces.send());
+    this._announceClaim(id, held);
+    this._context.clock.after(PACE_UPDATE_DELAY_MS, () => this._paceUpdates.send());
     // A host that shuts down still takes what arrives, and passes it on at once.
-    if (this._isLeaving && this._owned.delete(id)) void this._handOver(owner);
+    if (this._isShuttingDown && this._owned.delete(id)) void this._handOver(owner);
     return owner;
   }
 
@@ -323,32 +323,32 @@
    * Tells the other hosts who runs the batch: readers come to any of them, and each would read the claim from the store. It is
    * a hint like any claim that was read before; a host that is not told reads it.
    */
-  private _tellClaim(batchId: string, { claim, revision }: HeldClaim): void {
+  private _announceClaim(batchId: string, { claim, revision }: HeldClaim): void {
     for (const { address } of this._hosts.peers())
       void this._hosts.call(address, calls.batchClaimed, { batchId, claim, revision }, PEER_TIMEOUT_MS);
   }
 
-  private _heardOf({ batchId, claim, revision }: ClaimNews): Readonly<Record<string, never>> {
+  private _receiveClaim({ batchId, claim, revision }: ClaimNews): Readonly<Record<string, never>> {
     const known = this._claims.get(batchId);
     // The teller asked the store before it told, and nobody here knows when.
     if (!known || known.revision < revision)
-      this._remember(batchId, { claim, revision, requestedAtMs: -Infinity });
+      this._cacheClaim(batchId, { claim, revision, requestedAtMs: -Infinity });
     return {};
   }
 
-  private _own(held: HeldClaim, stored: StoredBatch): BatchOwner {
+  private _createOwner(held: HeldClaim, stored: StoredBatch): BatchOwner {
     const { id } = stored.batch;
-    this._forgetEnded();
+    this._evictEnded();
     // Whoever ran the batch in this process before has lost it, though it may not have heard: it would run each item a
     // second time, unseen.
     this._owned.get(id)?.claimLost();
-    const owner = new BatchOwner(this._context, this._ports, held, stored, () => this._forget(owner));
+    const owner = new BatchOwner(this._context, this._ports, held, stored, () => this._release(owner));
     this._owned.set(id, owner);
     return owner;
   }
 
   /** A batch that is lost is no longer listed as this host's, unless another owner of this process runs it by now. */
-  private _forget(owner: BatchOwner): void {
+  private _release(owner: BatchOwner): void {
     const { batchId } = owner;
     if (this._owned.get(batchId) !== owner) return;
     this._owned.delete(batchId);
@@ -356,9 +356,10 @@
   }
 
   /** Ended batches can be read from the store: only the newest are kept in memory. */
-  private _forgetEnded(): void {
+  private _evictEnded(): void {
     const ended = [...this._owned].filter(([, owner]) => owner.isEnded());
-    for (const [id] of ended.slice(0, Math.max(0, ended.length - KEPT_ENDED))) this._owned.delete(id);
+    for (const [id] of ended.slice(0, Math.max(0, ended.length - MAX_ENDED_IN_MEMORY)))
+      this._owned.delete(id);
   }
 
   /** Does something at the owner of a batch, wherever that is; takes the batch over if its owner is gone. */
@@ -366,7 +367,7 @@
     batchId: string,
     here: (owner: BatchOwner) => Promise<A> | A,
     there: (address: string) => Promise<Result<A, unknown>>,
-  ): Promise<A | Exclude<Located, { readonly kind: 'here' | 'peer' }>> {
+  ): Promise<A | Exclude<BatchLocation, { readonly kind: 'here' | 'peer' }>> {
     for (let tries = 0; tries < 3; tries++) {
       const located = await this._locate(batchId, tries > 0);
       if (located.kind === 'here') {
@@ -376,7 +377,7 @@
       }
       if (located.kind !== 'peer') return located;
       const { owner } = located.held.claim;
-      const reply = await this._askOwner(owner, there);
+      const reply = await this._callOwner(owner, there);
       // An owner that is unsure may have lost its lease while it could not reach the store.
       const isOpen = reply.ok && reply.value.kind === 'unsure' && !this._hosts.isAlive(owner);
       if (reply.ok && reply.value.kind !== 'not-owner' && !isOpen) return reply.value;
@@ -389,7 +390,7 @@
   }
 
   /** Asks the owner; as soon as its process is seen to be gone, its answer is not waited for. */
-  private async _askOwner<A>(
+  private async _callOwner<A>(
     owner: Owner,
     ask: (address: string) => Promise<Result<A, unknown>>,
   ): Promise<Result<A, unknown>> {
@@ -403,17 +404,17 @@
   }
 
   /** `mayTakeOver`: whether a batch that this process owns by its claim, and does not run, is taken up. */
-  private async _locate(batchId: string, isAgain: boolean, mayTakeOver = true): Promise<Located> {
-    const owner = await this._ownerHere(batchId);
+  private async _locate(batchId: string, isAgain: boolean, mayTakeOver = true): Promise<BatchLocation> {
+    const owner = await this._localOwner(batchId);
     if (owner) return { kind: 'here', owner };
     const known = this._claims.get(batchId);
-    if (known && !isAgain) return toLocated(known);
+    if (known && !isAgain) return toLocation(known);
     const held = await this._ports.store.readClaim(batchId, this._storeDeadline());
-    if (!held.ok) return known ? toLocated(known) : { kind: 'unsure' };
+    if (!held.ok) return known ? toLocation(known) : { kind: 'unsure' };
     if (!held.value) return { kind: 'no-batch' };
-    this._remember(batchId, held.value);
+    this._cacheClaim(batchId, held.value);
     const { owner: named } = held.value.claim;
-    if (!this._isSelf(named)) return toLocated(held.value);
+    if (!this._isSelf(named)) return toLocation(held.value);
     return mayTakeOver ? this._replaceOwner(batchId, named, true) : { kind: 'stored', held: held.value };
   }
 
@@ -426,7 +427,7 @@
     owner: Owner,
     deniedIt: boolean,
     unfinished: readonly ItemEvents[] = [],
-  ): Promise<Located> {
+  ): Promise<BatchLocation> {
     const running = this._takeovers.get(batchId) ?? this._takeOver(batchId, owner, deniedIt, unfinished);
     this._takeovers.set(batchId, running);
     const located = await running;
@@ -439,7 +440,7 @@
     from: Owner,
     deniedIt: boolean,
     unfinished: readonly ItemEvents[],
-  ): Promise<Located> {
+  ): Promise<BatchLocation> {
     const { store } = this._ports;
     const held = await store.readClaim(batchId, this._storeDeadline());
     if (!held.ok) return { kind: 'unsure' };
@@ -447,11 +448,11 @@
     const { claim } = held.value;
     if (claim.isEnded) return { kind: 'stored', held: held.value };
     const isSame = claim.owner.hostId === from.hostId && claim.owner.incarnation === from.incarnation;
-    if (!isSame) return this._follow(batchId, held.value);
-    if (this._isLeaving) return { kind: 'unsure' };
+    if (!isSame) return this._cacheAndLocate(batchId, held.value);
+    if (this._isShuttingDown) return { kind: 'unsure' };
     const isGone = deniedIt || (this._hosts.isSynced() && !this._hosts.isAlive(claim.owner));
     if (!isGone) return { kind: 'stored', held: held.value };
-    if (!deniedIt && (await this._isStillRun(batchId, from))) return { kind: 'stored', held: held.value };
+    if (!deniedIt && (await this._isRunByOwner(batchId, from))) return { kind: 'stored', held: held.value };
     const change = { owner: this._hosts.self(), takeovers: claim.takeovers + 1 };
     const done = await store.changeClaim(batchId, held.value, change, this._storeDeadline());
     this._logTakeover(batchId, from, deniedIt, done.kind);
@@ -462,12 +463,12 @@
       this._context.log.error('batch could not be loaded', { batchId, error: stored.error.kind });
       return { kind: 'unsure' };
     }
-    return { kind: 'here', owner: await this._begin(done.value, stored.value, unfinished) };
+    return { kind: 'here', owner: await this._startBatch(done.value, stored.value, unfinished) };
   }
 
-  private _follow(batchId: string, held: HeldClaim): Located {
-    this._remember(batchId, held);
-    return toLocated(held);
+  private _cacheAndLocate(batchId: string, held: HeldClaim): BatchLocation {
+    this._cacheClaim(batchId, held);
+    return toLocation(held);
   }
 
   private _logTakeover(batchId: string, from: Owner, deniedIt: boolean, outcome: string): void {
@@ -484,29 +485,29 @@
   private async _endStored(batchId: string, held: HeldClaim): Promise<EndOutcome> {
     const done = await this._ports.store.changeClaim(batchId, held, { isEnded: true }, this._storeDeadline());
     if (done.kind !== 'done') return 'unsure';
-    this._remember(batchId, done.value);
+    this._cacheClaim(batchId, done.value);
     return 'ended';
   }
 
-  private async _readHere(request: {
+  private async _readLocally(request: {
     readonly batchId: string;
     readonly after: number;
     readonly waitMs: number;
   }): Promise<BatchReadReply> {
-    const owner = await this._ownerHere(request.batchId);
+    const owner = await this._localOwner(request.batchId);
     return owner ? owner.read(request.after, request.waitMs) : { kind: 'not-owner' };
   }
 
-  private async _itemHere(request: {
+  private async _itemLocally(request: {
     readonly batchId: string;
     readonly itemId: string;
   }): Promise<BatchItemReply> {
-    const owner = await this._ownerHere(request.batchId);
+    const owner = await this._localOwner(request.batchId);
     return owner ? itemOf(owner.ledger.batch, request.itemId) : { kind: 'not-owner' };
   }
 
-  private async _endHere(batchId: string): Promise<BatchEndReply> {
-    const owner = await this._ownerHere(batchId);
+  private async _endLocally(batchId: string): Promise<BatchEndReply> {
+    const owner = await this._localOwner(batchId);
     return owner ? endReply(await owner.end()) : { kind: 'not-owner' };
   }
 
@@ -515,16 +516,16 @@
    * the batch is still being read from a slow store; asked meanwhile, this host denies it, and whoever asked takes
    * it over, and so on from host to host. One sees many `batch takeover` lines of one batch in a row.
    */
-  private async _ownerHere(batchId: string): Promise<BatchOwner | undefined> {
+  private async _localOwner(batchId: string): Promise<BatchOwner | undefined> {
     await (this._takeovers.get(batchId) ?? this._submits.get(batchId));
     return this._owned.get(batchId);
   }
 
-  private _remember(batchId: string, held: HeldClaim): void {
+  private _cacheClaim(batchId: string, held: HeldClaim): void {
     this._claims.delete(batchId);
     this._claims.set(batchId, held);
     const [oldest] = this._claims.keys();
-    if (this._claims.size > KEPT_CLAIMS && oldest !== undefined) this._claims.delete(oldest);
+    if (this._claims.size > MAX_CACHED_CLAIMS && oldest !== undefined) this._claims.delete(oldest);
   }
 
   private _isSelf(owner: Owner): boolean {
@@ -537,7 +538,7 @@
   }
 }
 
-function toLocated(held: HeldClaim): Located {
+function toLocation(held: HeldClaim): BatchLocation {
   return held.claim.isEnded ? { kind: 'stored', held } : { kind: 'peer', held };
 }
 
--- a/packages/gateway/src/batchStore.ts
+++ b/packages/gateway/src/batchStore.ts
@@ -104,17 +104,17 @@
     };
     const writes: Write[] = [{ kind: 'put', key, value: JSON.stringify(claim) }];
     for (const [i, value] of parts.entries()) writes.push({ kind: 'put', key: partKey(batch.id, i), value });
-    if (hasSteps(batch)) writes.push(stepWrite(batch));
-    let mayBeDone = false;
+    if (isTrainerStep(batch)) writes.push(stepWrite(batch));
+    let mayBeWritten = false;
     for (;;) {
       const requestedAtMs = this._context.clock.nowMs();
       const done = await this._store.transact([{ key, version: 0 }], writes, deadline);
       if (done.ok && done.value.succeeded)
         return { kind: 'accepted', held: { claim, revision: done.value.version, requestedAtMs } };
-      if (done.ok) return this._acceptedBefore(batch.id, claim, deadline);
-      if (done.error === 'unknown') mayBeDone = true;
+      if (done.ok) return this._resolveExistingClaim(batch.id, claim, deadline);
+      if (done.error === 'unknown') mayBeWritten = true;
       if (deadline.leftMs() <= RETRY_MS)
-        return mayBeDone ? { kind: 'unknown' } : { kind: 'not-done', error: done.error };
+        return mayBeWritten ? { kind: 'unknown' } : { kind: 'not-done', error: done.error };
       await sleep(this._context.clock, RETRY_MS, this._context.stopped);
     }
   }
@@ -163,7 +163,7 @@
       const done = await this._store.transact(compares, [{ kind: 'put', key, value }], deadline);
       if (done.ok && done.value.succeeded)
         return { kind: 'done', value: { claim, revision: done.value.version, requestedAtMs } };
-      if (done.ok) return this._changedBefore(key, value, deadline);
+      if (done.ok) return this._resolveClaimChange(key, value, deadline);
       if (deadline.leftMs() <= RETRY_MS) return { kind: 'out-of-reach', error: done.error };
       await sleep(this._context.clock, RETRY_MS, this._context.stopped);
     }
@@ -177,7 +177,7 @@
     results: readonly ItemResult[],
     deadline: Deadline,
   ): Promise<WriteOutcome<void>> {
-    return this._addOnce(batchId, held, resultKey(batchId, position), JSON.stringify(results), deadline);
+    return this._createOnce(batchId, held, resultKey(batchId, position), JSON.stringify(results), deadline);
   }
 
   /** Adds the `record`th list of generated events of this owner, as `append` adds results. */
@@ -189,7 +189,7 @@
     deadline: Deadline,
   ): Promise<WriteOutcome<void>> {
     const key = progressKey(batchId, held.revision, record);
-    return this._addOnce(batchId, held, key, JSON.stringify(events), deadline);
+    return this._createOnce(batchId, held, key, JSON.stringify(events), deadline);
   }
 
   /** What all owners have kept of unfinished items, in the order in which it was generated. */
@@ -214,7 +214,7 @@
     stepsBack: number,
     deadline: Deadline,
   ): Promise<Result<string | undefined, BatchStoreError>> {
-    if (!hasSteps(batch) || batch.step < stepsBack) return ok(undefined);
+    if (!isTrainerStep(batch) || batch.step < stepsBack) return ok(undefined);
     const step = batch.step - stepsBack;
     const key = stepKey(batch.accountName, batch.model, step);
     const stored = await this._store.get(key, deadline);
@@ -278,7 +278,7 @@
    * try, but says nothing of the claim since then: without a look at it an owner that lost its batch takes the old write
    * for a confirmation that the batch is still its own, and tells readers that there is nothing more.
    */
-  private async _addOnce(
+  private async _createOnce(
     batchId: string,
     held: HeldClaim,
     key: string,
@@ -305,7 +305,7 @@
     const submitted = await this.submittedBatch(batchId, deadline);
     if (!submitted.ok) return submitted.error.kind === 'damaged';
     const batch = submitted.value;
-    if (!hasSteps(batch)) return true;
+    if (!isTrainerStep(batch)) return true;
     const key = stepKey(batch.accountName, batch.model, batch.step);
     const named = await this._store.get(key, deadline);
     if (!named.ok) return false;
@@ -319,13 +319,17 @@
    * The claim exists. An earlier try of this very call may have written it: then it stands as it was written. Any other is
    * known already, also one of this process: it may have ended, or have results, and beginning it anew would hide them.
    */
-  private async _acceptedBefore(batchId: string, written: Claim, deadline: Deadline): Promise<AcceptOutcome> {
+  private async _resolveExistingClaim(
+    batchId: string,
+    written: Claim,
+    deadline: Deadline,
+  ): Promise<AcceptOutcome> {
     const held = await this.readClaim(batchId, deadline);
     if (!held.ok || !held.value) return { kind: 'unknown' };
     return { kind: isUnchanged(held.value.claim, written) ? 'accepted' : 'known', held: held.value };
   }
 
-  private async _changedBefore(
+  private async _resolveClaimChange(
     key: string,
     value: string,
     deadline: Deadline,
@@ -350,7 +354,7 @@
 }
 
 /** A batch that is a step of a model's trainer. */
-function hasSteps(batch: Batch): batch is Batch & { readonly step: number } {
+function isTrainerStep(batch: Batch): batch is Batch & { readonly step: number } {
   return batch.step !== undefined && batch.model !== '';
 }
 
--- a/packages/gateway/src/batchSweeper.ts
+++ b/packages/gateway/src/batchSweeper.ts
@@ -16,9 +16,9 @@
 /** Removals of one sweep: each is a few calls, and the rest waits for the next. */
 const MAX_REMOVALS = 50;
 /** Results are read for the promised time after the submission; hosts' clocks and slow trainers get as much again. */
-const MARGIN_FACTOR = 2;
+const ENDED_BATCH_FACTOR = 2;
 /** A batch that was never ended may still run; no route keeps items for longer than this. */
-const OPEN_FACTOR = 10;
+const OPEN_BATCH_FACTOR = 10;
 
 export class BatchSweeper {
   private readonly _context: GatewayContext;
@@ -57,21 +57,21 @@
     if (!claims.ok) return;
     let removed = 0;
     for (const { key, value } of claims.value) {
-      if (removed >= MAX_REMOVALS || !this._isOld(key, value)) continue;
+      if (removed >= MAX_REMOVALS || !this._isExpired(key, value)) continue;
       removed += 1;
       await this._batches.remove(key.slice(CLAIMS.length), this._deadline());
     }
     this._context.log.info('old batches swept', { claims: claims.value.length, removed });
   }
 
-  private _isOld(key: string, value: string): boolean {
+  private _isExpired(key: string, value: string): boolean {
     const claim = readClaim(key, value);
     if (!claim.ok) {
       this._context.log.warn('unreadable claim', { key });
       return false;
     }
     const ageMs = this._context.clock.wallMs() - claim.value.acceptedWallMs;
-    return ageMs > this._readableMs * (claim.value.isEnded ? MARGIN_FACTOR : OPEN_FACTOR);
+    return ageMs > this._readableMs * (claim.value.isEnded ? ENDED_BATCH_FACTOR : OPEN_BATCH_FACTOR);
   }
 
   private _deadline(): Deadline {
--- a/packages/gateway/src/claimLease.ts
+++ b/packages/gateway/src/claimLease.ts
@@ -19,25 +19,25 @@
  */
 const RENEW_AFTER_MS = 1100;
 /** A short lease is renewed after this part of it, so that a question and its repetition fit in. */
-const RENEW_SHARE = 0.6;
+const RENEW_FRACTION = 0.6;
 /**
  * Part of the time in which an item may still arrive, for what was written just before the lease ran out. What was begun and
  * is not answered by then is taken back.
  */
 const SEND_MARGIN_MS = 1000;
 /** How often it is looked at whether the store must be asked. Also the pause after a question that got no answer. */
-const LOOK_INTERVAL_MS = 125;
+const CHECK_INTERVAL_MS = 125;
 /**
  * A question has this long: a slow store answers in 0.3 s, and one that is silent must be given up early enough that a second
  * question, by way of a peer, is answered about when the lease runs out.
  */
-const ASK_TIMEOUT_MS = 700;
+const RENEW_TIMEOUT_MS = 700;
 /**
  * A reader is told that there is nothing yet only by an owner that the store has confirmed this recently; a result read
  * elsewhere must be shown by everybody within a second.
  */
 export const READ_CONFIRMATION_MAX_AGE_MS = 600;
-const SURE_TIMEOUT_MS = 1000;
+const CONFIRM_TIMEOUT_MS = 1000;
 
 /** The lease of a claim, from how long after the end of a batch was confirmed its items may still reach endpoints. */
 export function claimLeaseMs(batchEndMs: number): number {
@@ -50,12 +50,12 @@
   private readonly _batchId: string;
   private readonly _leaseMs: number;
   private readonly _renewAfterMs: number;
-  private readonly _lost: () => void;
+  private readonly _onLost: () => void;
   private _held: HeldClaim;
   /** The wall clock less the monotonic one, when the claim was last confirmed. */
-  private _wallAheadMs: number;
+  private _wallOffsetMs: number;
   private _isStopped = false;
-  private _isOut = false;
+  private _isExpired = false;
 
   /** `leaseMs`: how long after a confirmation the claim may be acted on. `lost`: another host has it, or has ended the batch. */
   constructor(
@@ -64,16 +64,16 @@
     batchId: string,
     held: HeldClaim,
     leaseMs: number,
-    lost: () => void,
+    onLost: () => void,
   ) {
     this._context = context;
     this._store = store;
     this._batchId = batchId;
     this._held = held;
     this._leaseMs = leaseMs;
-    this._renewAfterMs = Math.min(RENEW_AFTER_MS, leaseMs * RENEW_SHARE);
-    this._lost = lost;
-    this._wallAheadMs = wallAheadMs(context.clock);
+    this._renewAfterMs = Math.min(RENEW_AFTER_MS, leaseMs * RENEW_FRACTION);
+    this._onLost = onLost;
+    this._wallOffsetMs = wallOffsetMs(context.clock);
   }
 
   /** The claim with its revision, which every write names. */
@@ -87,7 +87,7 @@
    */
   ageMs(): number {
     const { clock } = this._context;
-    const nowMs = Math.max(clock.nowMs(), clock.wallMs() - this._wallAheadMs);
+    const nowMs = Math.max(clock.nowMs(), clock.wallMs() - this._wallOffsetMs);
     return nowMs - this._held.requestedAtMs;
   }
 
@@ -109,16 +109,16 @@
   markConfirmed(askedMs: number): void {
     if (askedMs > this._held.requestedAtMs) {
       this._held = { ...this._held, requestedAtMs: askedMs };
-      this._wallAheadMs = wallAheadMs(this._context.clock);
+      this._wallOffsetMs = wallOffsetMs(this._context.clock);
     }
-    if (!this._isOut || !this.isValid()) return;
-    this._isOut = false;
+    if (!this._isExpired || !this.isValid()) return;
+    this._isExpired = false;
     this._log('claim confirmed again');
   }
 
   /** The store refused a write that named the claim. */
   reportLost(): void {
-    this._lost();
+    this._onLost();
   }
 
   /** The batch stands at another revision by this owner's own change. */
@@ -128,32 +128,32 @@
 
   /** True if the store has confirmed a moment ago, or does so now, that this host still owns the batch. */
   async confirmOwnership(): Promise<boolean> {
-    return this.ageMs() < READ_CONFIRMATION_MAX_AGE_MS || this._ask(SURE_TIMEOUT_MS);
+    return this.ageMs() < READ_CONFIRMATION_MAX_AGE_MS || this._readClaim(CONFIRM_TIMEOUT_MS);
   }
 
   private async _run(): Promise<void> {
     const { clock, stopped } = this._context;
     while (!this._isStopped && !stopped.aborted) {
-      if (this.ageMs() >= this._renewAfterMs) await this._ask(ASK_TIMEOUT_MS);
-      this._lookAtEnd();
-      await sleep(clock, LOOK_INTERVAL_MS, stopped);
+      if (this.ageMs() >= this._renewAfterMs) await this._readClaim(RENEW_TIMEOUT_MS);
+      this._checkExpiry();
+      await sleep(clock, CHECK_INTERVAL_MS, stopped);
     }
   }
 
-  private async _ask(timeoutMs: number): Promise<boolean> {
+  private async _readClaim(timeoutMs: number): Promise<boolean> {
     const claim = await this._store.readClaim(this._batchId, Deadline.after(this._context.clock, timeoutMs));
     if (!claim.ok || this._isStopped) return false;
     if (claim.value?.revision !== this._held.revision) {
-      this._lost();
+      this._onLost();
       return false;
     }
     this.markConfirmed(claim.value.requestedAtMs);
     return true;
   }
 
-  private _lookAtEnd(): void {
-    if (this._isStopped || this._isOut || this.isValid()) return;
-    this._isOut = true;
+  private _checkExpiry(): void {
+    if (this._isStopped || this._isExpired || this.isValid()) return;
+    this._isExpired = true;
     this._log('claim unconfirmed');
   }
 
@@ -164,6 +164,6 @@
   }
 }
 
-function wallAheadMs(clock: Clock): number {
+function wallOffsetMs(clock: Clock): number {
   return clock.wallMs() - clock.nowMs();
 }
--- a/packages/gateway/src/itemAttempt.ts
+++ b/packages/gateway/src/itemAttempt.ts
@@ -11,7 +11,7 @@
 export type AttemptEnd = ItemEnd | { readonly kind: 'stalled' } | { readonly kind: 'old-version' };
 
 /** How often an item at a suspect endpoint looks for a free place elsewhere. */
-const SUSPECT_AGAIN_MS = 100;
+const SUSPECT_RECHECK_MS = 100;
 /** No item runs longer than this: a bound for the endpoint, not a goal. */
 const MAX_RUN_MS = 30_000;
 
@@ -22,13 +22,13 @@
   private readonly _ledger: BatchLedger;
   private readonly _item: BatchItem;
   private readonly _abort = new AbortController();
-  private readonly _beganMs: number;
-  private readonly _mayLeave: (attempt: ItemAttempt) => boolean;
-  private _verdict: AttemptEnd | undefined;
+  private readonly _startedMs: number;
+  private readonly _canMove: (attempt: ItemAttempt) => boolean;
+  private _decidedEnd: AttemptEnd | undefined;
   private _isAnswered = false;
   private _lastEventMs: number | undefined;
   /** When the endpoint showed last that it works on this attempt, by this host's wall clock. */
-  private _aliveWallMs: number;
+  private _lastActivityWallMs: number;
   private _stallTimer: CancelTimer | undefined;
 
   /** `mayLeave`: whether a place is free elsewhere, asked when the endpoint is suspect. */
@@ -38,16 +38,16 @@
     ledger: BatchLedger,
     item: BatchItem,
     endpoint: Endpoint,
-    mayLeave: (attempt: ItemAttempt) => boolean,
+    canMove: (attempt: ItemAttempt) => boolean,
   ) {
-    this._mayLeave = mayLeave;
+    this._canMove = canMove;
     this._context = context;
     this._client = client;
     this._ledger = ledger;
     this._item = item;
     this.endpoint = endpoint;
-    this._beganMs = context.clock.nowMs();
-    this._aliveWallMs = context.clock.wallMs();
+    this._startedMs = context.clock.nowMs();
+    this._lastActivityWallMs = context.clock.wallMs();
   }
 
   get itemId(): string {
@@ -56,7 +56,7 @@
 
   /** Ends the attempt from outside; the endpoint drops the run when its connection closes. */
   stop(): void {
-    this._verdict ??= { kind: 'cancelled' };
+    this._decidedEnd ??= { kind: 'cancelled' };
     this._abort.abort();
   }
 
@@ -67,22 +67,22 @@
 
   /** How long the attempt has run. */
   elapsedMs(): number {
-    return this._context.clock.nowMs() - this._beganMs;
+    return this._context.clock.nowMs() - this._startedMs;
   }
 
   async run(): Promise<AttemptEnd> {
     const { stats } = this.endpoint;
     stats.began(true);
-    this._armSilence();
-    const hop = this._context.tracing.begin('endpoint', undefined);
+    this._armStallTimer();
+    const span = this._context.tracing.begin('endpoint', undefined);
     const replaced = (): void => this._endpointRestarted();
     this.endpoint.replaced.addEventListener('abort', replaced);
     const end = await this._client.runItem(this._call(), this, this._abort.signal);
     this.endpoint.replaced.removeEventListener('abort', replaced);
     this._stallTimer?.();
-    const verdict = this._verdict ?? this._checked(end);
+    const verdict = this._decidedEnd ?? this._rejectEmpty(end);
     const batchId = this._ledger.batch.id;
-    hop.end({ batchId, itemId: this._item.id, endpointId: this.endpoint.id, end: verdict.kind });
+    span.end({ batchId, itemId: this._item.id, endpointId: this.endpoint.id, end: verdict.kind });
     if (verdict.kind === 'cancelled' || verdict.kind === 'old-version') stats.cancelled(true);
     else stats.ended(true, isFailure(verdict));
     return verdict;
@@ -99,7 +99,7 @@
     if (version >= minVersion && progress.mayContinueWith(version)) return true;
     // The text so far can't go on under this version. A version that is too old says nothing against the text.
     if (version >= minVersion) progress.clear();
-    this._verdict = { kind: 'old-version' };
+    this._decidedEnd = { kind: 'old-version' };
     return false;
   }
 
@@ -109,11 +109,11 @@
     if (this._lastEventMs !== undefined && this._context.loop.isPunctualSince(this._lastEventMs))
       this.endpoint.paced(nowMs - this._lastEventMs);
     this._lastEventMs = nowMs;
-    this._aliveWallMs = this._context.clock.wallMs();
-    this._armSilence();
+    this._lastActivityWallMs = this._context.clock.wallMs();
+    this._armStallTimer();
     const effect = this._ledger.event(this._item.id, event);
     if (effect === 'added' || effect === 'repeated') return true;
-    this._verdict = { kind: 'broken', text: `event ${event.number} at the wrong place (${effect})` };
+    this._decidedEnd = { kind: 'broken', text: `event ${event.number} at the wrong place (${effect})` };
     return false;
   }
 
@@ -122,44 +122,44 @@
    * time-out between events. A run that showed life after the restart belongs to the new start, and goes on.
    */
   private _endpointRestarted(): void {
-    if (this._aliveWallMs >= this.endpoint.nextStartWallMs()) return;
-    this._verdict ??= { kind: 'broken', text: 'the endpoint has restarted' };
+    if (this._lastActivityWallMs >= this.endpoint.nextStartWallMs()) return;
+    this._decidedEnd ??= { kind: 'broken', text: 'the endpoint has restarted' };
     this._abort.abort();
   }
 
   /** A stream that ended well before its first event was no text. */
-  private _checked(end: ItemEnd): AttemptEnd {
+  private _rejectEmpty(end: ItemEnd): AttemptEnd {
     const isEmpty = end.kind === 'done' && this._ledger.progress(this._item.id).lastEvent() === 0;
     return isEmpty ? { kind: 'broken', text: 'the stream ended without an event' } : end;
   }
 
-  private _armSilence(): void {
+  private _armStallTimer(): void {
     const { suspectMs, giveUpMs } = silenceBounds(
       this._lastEventMs !== undefined,
       this.endpoint.roughPaceMs(),
     );
-    this._watchSilence(suspectMs, this._context.clock.nowMs() + giveUpMs);
+    this._watchForStall(suspectMs, this._context.clock.nowMs() + giveUpMs);
   }
 
   /** Waits, lets the loop read what has arrived, and decides. An event on the way puts an end to all three. */
-  private _watchSilence(waitMs: number, giveUpAtMs: number): void {
+  private _watchForStall(waitMs: number, giveUpAtMs: number): void {
     const { clock, loop } = this._context;
-    const sinceMs = this._lastEventMs ?? this._beganMs;
+    const sinceMs = this._lastEventMs ?? this._startedMs;
     this._stallTimer?.();
     this._stallTimer = clock.after(waitMs, () => {
-      this._stallTimer = loop.afterReading(sinceMs, () => this._suspect(giveUpAtMs));
+      this._stallTimer = loop.afterReading(sinceMs, () => this._checkStall(giveUpAtMs));
     });
   }
 
   /** Nothing came for a while. */
-  private _suspect(giveUpAtMs: number): void {
+  private _checkStall(giveUpAtMs: number): void {
     const leftMs = giveUpAtMs - this._context.clock.nowMs();
-    const isOver = leftMs <= 0 || this._mayLeave(this);
+    const isOver = leftMs <= 0 || this._canMove(this);
     if (!isOver) {
-      this._watchSilence(Math.min(leftMs, SUSPECT_AGAIN_MS), giveUpAtMs);
+      this._watchForStall(Math.min(leftMs, SUSPECT_RECHECK_MS), giveUpAtMs);
       return;
     }
-    this._verdict ??= { kind: 'stalled' };
+    this._decidedEnd ??= { kind: 'stalled' };
     this._abort.abort();
   }
 
--- a/packages/gateway/src/itemBackoff.ts
+++ b/packages/gateway/src/itemBackoff.ts
@@ -11,7 +11,7 @@
   private readonly _context: GatewayContext;
   private readonly _batchId: string;
   private readonly _stage: ItemStage;
-  private readonly _fruitless = new Map<string, number>();
+  private readonly _fruitlessCounts = new Map<string, number>();
   /** Items that made no progress wait until then. */
   private readonly _pausedUntilMs = new Map<string, number>();
 
@@ -29,8 +29,8 @@
 
   /** One more try of the item brought nothing. */
   attemptFailed(itemId: string): void {
-    const fruitless = (this._fruitless.get(itemId) ?? 0) + 1;
-    this._fruitless.set(itemId, fruitless);
+    const fruitless = (this._fruitlessCounts.get(itemId) ?? 0) + 1;
+    this._fruitlessCounts.set(itemId, fruitless);
     this._pause(itemId, fruitless);
     if (isWorthTelling(fruitless)) this._log({ itemId, fruitless });
   }
--- a/packages/gateway/src/itemPlacer.ts
+++ b/packages/gateway/src/itemPlacer.ts
@@ -21,7 +21,7 @@
 export type EndpointTiers = readonly EndpointTier[];
 
 /** Lengths have a long tail: about a tenth of the items is several times as long as the rest, and estimates err. */
-const LONG_SHARE = 0.25;
+const LONG_ITEM_FRACTION = 0.25;
 /**
  * How often a quicker place is looked for; a pace follows an endpoint within half a second. Looked for at every turn of
  * the owner, every 25 ms and at each end of an attempt, it took two fifths of the processor time of a batch's first 3 s,
@@ -46,7 +46,7 @@
   private readonly _avoided = new Map<string, Set<string>>();
   /** Items of this many expected tokens and more are long. */
   private readonly _longTokens: number;
-  private _movesAgainMs = -Infinity;
+  private _nextMoveCheckMs = -Infinity;
 
   constructor(context: GatewayContext, ports: PlacementPorts, ledger: BatchLedger) {
     this._context = context;
@@ -63,11 +63,11 @@
   }
 
   /** An endpoint that has a place for the item, which begins there at once. `isAlone`: it does not follow its group. */
-  choose(item: BatchItem, tiers: EndpointTiers, isAlone = false): Endpoint | undefined {
+  choose(item: BatchItem, tiers: EndpointTiers, ignoresGroup = false): Endpoint | undefined {
     const avoid = this._avoided.get(item.id) ?? new Set<string>();
     const request = {
-      groupEndpointId: isAlone ? undefined : this._groupEndpoints.get(item.group),
-      isLong: item.expectedTokens >= this._longTokens || this._isBegun(item),
+      groupEndpointId: ignoresGroup ? undefined : this._groupEndpoints.get(item.group),
+      isLong: item.expectedTokens >= this._longTokens || this._isStarted(item),
       ownDomain: this._context.domain,
       avoid,
     };
@@ -106,15 +106,15 @@
    */
   dueMoves(attempts: readonly ItemAttempt[]): readonly ItemAttempt[] {
     const nowMs = this._context.clock.nowMs();
-    if (nowMs < this._movesAgainMs) return [];
-    this._movesAgainMs = nowMs + MOVE_INTERVAL_MS;
+    if (nowMs < this._nextMoveCheckMs) return [];
+    this._nextMoveCheckMs = nowMs + MOVE_INTERVAL_MS;
     const places = this._pacedPlaces();
-    const leaving = attempts.filter(attempt => this._takeQuickerPlace(attempt, places));
-    for (const { itemId, endpoint } of leaving) {
+    const moving = attempts.filter(attempt => this._reserveFasterPlace(attempt, places));
+    for (const { itemId, endpoint } of moving) {
       const item = this._ledger.item(itemId);
       if (item) this.avoid(item, endpoint);
     }
-    return leaving;
+    return moving;
   }
 
   /** The endpoints with a free place whose paces are known. */
@@ -130,7 +130,7 @@
    * Takes a place at a quicker endpoint for the attempt's item, if there is one. The places are counted down: without that
    * every item of a slow endpoint leaves for the same place, and all but one of them then wait for another.
    */
-  private _takeQuickerPlace(attempt: ItemAttempt, places: readonly PacedPlace[]): boolean {
+  private _reserveFasterPlace(attempt: ItemAttempt, places: readonly PacedPlace[]): boolean {
     const { endpoint, itemId } = attempt;
     const paceMs = endpoint.paceMs();
     if (paceMs === undefined || endpoint.isLeaving) return false;
@@ -189,7 +189,7 @@
   }
 
   /** An item that was moved, or that its owner before left: what is left of it should go quickly. */
-  private _isBegun(item: BatchItem): boolean {
+  private _isStarted(item: BatchItem): boolean {
     return this._ledger.progress(item.id).lastEvent() > 0;
   }
 }
@@ -197,6 +197,6 @@
 /** The longest quarter of the items by their estimates; Infinity when there are none. */
 function longTokens(batch: Batch): number {
   const estimates = batch.items.map(item => item.expectedTokens).sort((a, b) => b - a);
-  const limit = estimates[Math.floor(estimates.length * LONG_SHARE)] ?? 0;
+  const limit = estimates[Math.floor(estimates.length * LONG_ITEM_FRACTION)] ?? 0;
   return limit > 0 ? limit : Infinity;
 }
--- a/packages/gateway/src/itemScoring.ts
+++ b/packages/gateway/src/itemScoring.ts
@@ -44,12 +44,12 @@
   private readonly _ports: ScoringPorts;
   private readonly _ledger: BatchLedger;
   private readonly _maxItemFailures: number;
-  private readonly _ended: () => void;
-  private _asking = newAborter();
+  private readonly _onResult: () => void;
+  private _abort = newAbortController();
   /** True if something was asked for since the last interruption. */
-  private _isAsking = false;
+  private _hasRequests = false;
   private _isStopped = false;
-  private readonly _pauses: ItemBackoff;
+  private readonly _backoff: ItemBackoff;
 
   /** `maxItemFailures`: the failures after which the route of the items lets one go. `ended`: a result is there. */
   constructor(
@@ -57,22 +57,22 @@
     ports: ScoringPorts,
     ledger: BatchLedger,
     maxItemFailures: number,
-    ended: () => void,
+    onResult: () => void,
   ) {
     this._context = context;
     this._ports = ports;
     this._ledger = ledger;
     this._maxItemFailures = maxItemFailures;
-    this._ended = ended;
-    this._pauses = new ItemBackoff(context, ledger.batch.id, 'scoring');
+    this._onResult = onResult;
+    this._backoff = new ItemBackoff(context, ledger.batch.id, 'scoring');
   }
 
   /** Asks for every score that is missing and not paused. */
   run(): void {
     if (this._isStopped) return;
-    for (const item of this._pauses.ready(this._ledger.unscored())) {
+    for (const item of this._backoff.ready(this._ledger.unscored())) {
       if (!item.scoring) continue;
-      this._isAsking = true;
+      this._hasRequests = true;
       this._ledger.beginScoring(item.id);
       void this._score(item, item.scoring);
     }
@@ -81,24 +81,24 @@
   /** Drops what is being asked for: endpoints stop when their connections close. */
   stop(): void {
     this._isStopped = true;
-    this._asking.abort();
+    this._abort.abort();
   }
 
   /** As `stop`, for the time being: `run` asks again. */
   interrupt(): void {
-    if (this._isStopped || !this._isAsking) return;
-    this._isAsking = false;
-    this._asking.abort();
-    this._asking = newAborter();
+    if (this._isStopped || !this._hasRequests) return;
+    this._hasRequests = false;
+    this._abort.abort();
+    this._abort = newAbortController();
   }
 
   private async _score(item: BatchItem, request: ScoreRequest): Promise<void> {
     const startedMs = this._context.clock.nowMs();
-    const { signal } = this._asking;
+    const { signal } = this._abort;
     const routed = this._ports.configuration.route(request.host, request.path);
     const end: ScoreEnd =
       routed.kind === 'routed'
-        ? await this._ask(request, routed.route, signal)
+        ? await this._request(request, routed.route, signal)
         : { kind: 'not-scored', reason: 'no route' };
     if (this._isStopped) return;
     if (signal.aborted) {
@@ -110,7 +110,7 @@
     this._settle(item.id, end, Math.max(maxFailures, this._maxItemFailures));
   }
 
-  private async _ask(request: ScoreRequest, route: Route, signal: AbortSignal): Promise<ScoreEnd> {
+  private async _request(request: ScoreRequest, route: Route, signal: AbortSignal): Promise<ScoreEnd> {
     const call: CallerRequest = {
       id: request.id,
       caller: this._ledger.batch.accountName ?? '',
@@ -137,10 +137,10 @@
         break;
       case 'not-scored':
         this._ledger.scoringInterrupted(itemId);
-        this._pauses.attemptFailed(itemId);
+        this._backoff.attemptFailed(itemId);
         return;
     }
-    this._ended();
+    this._onResult();
   }
 
   private _log(item: BatchItem, request: ScoreRequest, end: ScoreEnd, tookMs: number): void {
@@ -162,7 +162,7 @@
 }
 
 /** Each request that is under way listens: a batch has as many as items end at a time. */
-function newAborter(): AbortController {
+function newAbortController(): AbortController {
   const aborter = new AbortController();
   setMaxListeners(0, aborter.signal);
   return aborter;
--- a/packages/gateway/src/orphanRecovery.ts
+++ b/packages/gateway/src/orphanRecovery.ts
@@ -18,7 +18,7 @@
 const SETTLE_MS = 500;
 const STORE_TIMEOUT_MS = 1000;
 /** A store that is away comes back within seconds; its mirror then tells again who lives. */
-const TRIES = 5;
+const MAX_TRIES = 5;
 const RETRY_MS = 700;
 /** Taking a batch over is a question to its owner, two calls to the store and one read of it. */
 const ADOPT_TIMEOUT_MS = 2200;
@@ -27,48 +27,48 @@
   private readonly _context: GatewayContext;
   private readonly _store: BatchStore;
   private readonly _hosts: Hosts;
-  private readonly _adoptHere: (batchId: string, from: Owner) => Promise<unknown>;
-  private _isLooking = false;
-  private _isAsked = false;
+  private readonly _adoptLocally: (batchId: string, from: Owner) => Promise<unknown>;
+  private _isRunning = false;
+  private _isRequested = false;
 
   /** `adoptHere`: takes a batch over at this host. */
   constructor(
     context: GatewayContext,
     store: BatchStore,
     hosts: Hosts,
-    adoptHere: (batchId: string, from: Owner) => Promise<unknown>,
+    adoptLocally: (batchId: string, from: Owner) => Promise<unknown>,
   ) {
     this._context = context;
     this._store = store;
     this._hosts = hosts;
-    this._adoptHere = adoptHere;
+    this._adoptLocally = adoptLocally;
   }
 
   /** A host is gone. Several that go together are looked for at once. */
   hostRemoved(): void {
-    this._isAsked = true;
-    if (!this._isLooking) void this._look();
+    this._isRequested = true;
+    if (!this._isRunning) void this._run();
   }
 
-  private async _look(): Promise<void> {
+  private async _run(): Promise<void> {
     const { clock, stopped } = this._context;
-    this._isLooking = true;
-    while (this._isAsked && !stopped.aborted) {
+    this._isRunning = true;
+    while (this._isRequested && !stopped.aborted) {
       await sleep(clock, SETTLE_MS, stopped);
-      this._isAsked = false;
-      if (this._isLowest()) await this._findOwners();
+      this._isRequested = false;
+      if (this._hasLowestHostId()) await this._reassignOrphans();
     }
-    this._isLooking = false;
+    this._isRunning = false;
   }
 
-  private _isLowest(): boolean {
+  private _hasLowestHostId(): boolean {
     const { hostId } = this._hosts.self();
     return this._hosts.peers().every(peer => hostId < peer.hostId);
   }
 
-  private async _findOwners(): Promise<void> {
+  private async _reassignOrphans(): Promise<void> {
     const { clock, stopped, log } = this._context;
-    for (let i = 0; i < TRIES && !stopped.aborted; i++) {
+    for (let i = 0; i < MAX_TRIES && !stopped.aborted; i++) {
       const open = await this._store.openClaims(Deadline.after(clock, STORE_TIMEOUT_MS));
       if (!open.ok) {
         await sleep(clock, RETRY_MS, stopped);
@@ -76,20 +76,20 @@
       }
       const orphans = open.value.filter(({ claim }) => this._hosts.isGone(claim.owner));
       log.info('orphaned batches', { open: open.value.length, orphaned: orphans.length });
-      await Promise.all(orphans.map(({ batchId, claim }) => this._findOwner(batchId, claim.owner)));
+      await Promise.all(orphans.map(({ batchId, claim }) => this._reassign(batchId, claim.owner)));
       return;
     }
-    log.warn('orphaned batches could not be looked for', { tries: TRIES });
+    log.warn('orphaned batches could not be looked for', { tries: MAX_TRIES });
   }
 
   /** Asks a host drawn at random; takes the batch itself if that one doesn't. */
-  private async _findOwner(batchId: string, from: Owner): Promise<void> {
+  private async _reassign(batchId: string, from: Owner): Promise<void> {
     const peers = this._hosts.peers();
     const drawn = this._context.random.below(peers.length + 1);
     const peer = peers[drawn];
     const request = { batchId, from, isGivenUp: false, unfinished: [] };
     const reply = peer && (await this._hosts.call(peer.address, calls.batchAdopt, request, ADOPT_TIMEOUT_MS));
     const isAdopted = reply?.ok === true && reply.value.isAdopted;
-    if (!isAdopted) await this._adoptHere(batchId, from);
+    if (!isAdopted) await this._adoptLocally(batchId, from);
   }
 }
--- a/packages/gateway/src/paceUpdates.ts
+++ b/packages/gateway/src/paceUpdates.ts
@@ -22,7 +22,7 @@
   }
 
   serve(server: CallRegistry): void {
-    server.handle(calls.pacesSeen, news => this._heard(news));
+    server.handle(calls.pacesSeen, update => this._receive(update));
   }
 
   /** Tells what this host has found a moment ago, and not what it has heard. */
@@ -37,7 +37,7 @@
       void this._hosts.call(address, calls.pacesSeen, { paces }, PEER_TIMEOUT_MS);
   }
 
-  private _heard({ paces }: PacesSeen): Readonly<Record<string, never>> {
+  private _receive({ paces }: PacesSeen): Readonly<Record<string, never>> {
     for (const { endpointId, startWallMs, paceMs } of paces) {
       const endpoint = this._endpoints.get(endpointId);
       if (endpoint?.info().startWallMs === startWallMs) endpoint.heardPace(paceMs);
--- a/packages/gateway/src/poisonItemFilter.ts
+++ b/packages/gateway/src/poisonItemFilter.ts
@@ -18,19 +18,19 @@
   private readonly _context: GatewayContext;
   private readonly _poison: PoisonGuard;
   private readonly _ledger: BatchLedger;
-  private readonly _claimed: () => void;
+  private readonly _onTrialClaimed: () => void;
   private readonly _identities = new Map<string, RequestIdentity>();
   /** Items whose trial this host has claimed. */
   private readonly _trials = new Map<string, number>();
-  private readonly _asksAgainMs = new Map<string, number>();
-  private readonly _told = new Map<string, PoisonVerdict['kind']>();
+  private readonly _nextClaimMs = new Map<string, number>();
+  private readonly _loggedVerdicts = new Map<string, PoisonVerdict['kind']>();
 
   /** `claimed`: called when an item may be sent that could not before. */
-  constructor(context: GatewayContext, poison: PoisonGuard, ledger: BatchLedger, claimed: () => void) {
+  constructor(context: GatewayContext, poison: PoisonGuard, ledger: BatchLedger, onTrialClaimed: () => void) {
     this._context = context;
     this._poison = poison;
     this._ledger = ledger;
-    this._claimed = claimed;
+    this._onTrialClaimed = onTrialClaimed;
   }
 
   /** Those of the items that may be sent. Asks for a trial of each that may be sent by its trial only. */
@@ -69,32 +69,32 @@
   private _isReady(item: BatchItem): boolean {
     if (this._trials.has(item.id)) return true;
     const { kind } = this._poison.verdict(this._identity(item));
-    this._note(item, kind);
+    this._logVerdict(item, kind);
     if (kind === 'trial') void this._claim(item);
     return kind === 'free';
   }
 
   private async _claim(item: BatchItem): Promise<void> {
     const nowMs = this._context.clock.nowMs();
-    if (nowMs < (this._asksAgainMs.get(item.id) ?? 0)) return;
-    this._asksAgainMs.set(item.id, nowMs + CLAIM_PAUSE_MS);
+    if (nowMs < (this._nextClaimMs.get(item.id) ?? 0)) return;
+    this._nextClaimMs.set(item.id, nowMs + CLAIM_PAUSE_MS);
     const verdict = await this._poison.admit(this._identity(item));
     if (verdict.kind !== 'trial') return;
     this._trials.set(item.id, verdict.number);
-    this._claimed();
+    this._onTrialClaimed();
   }
 
-  private _note(item: BatchItem, kind: PoisonVerdict['kind']): void {
-    const before = this._told.get(item.id) ?? 'free';
+  private _logVerdict(item: BatchItem, kind: PoisonVerdict['kind']): void {
+    const before = this._loggedVerdicts.get(item.id) ?? 'free';
     if (kind === before) return;
-    this._told.set(item.id, kind);
+    this._loggedVerdicts.set(item.id, kind);
     const { id: batchId } = this._ledger.batch;
     this._context.log.warn('item under which endpoints ended', { batchId, itemId: item.id, verdict: kind });
   }
 
   private _identity(item: BatchItem): RequestIdentity {
-    const known = this._identities.get(item.id);
-    if (known) return known;
+    const cached = this._identities.get(item.id);
+    if (cached) return cached;
     const identity = new ItemIdentity(this._ledger.batch, item);
     this._identities.set(item.id, identity);
     return identity;
--- a/packages/gateway/src/priorProgress.ts
+++ b/packages/gateway/src/priorProgress.ts
@@ -33,9 +33,9 @@
   async fromPreviousOwners(batchId: string, { claim }: HeldClaim): Promise<readonly ItemEvents[]> {
     if (claim.takeovers === 0) return [];
     const deadline = Deadline.after(this._context.clock, STORE_TIMEOUT_MS);
-    const kept = await this._store.progress(batchId, deadline);
-    if (kept.ok) return kept.value;
-    this._context.log.warn('progress could not be read', { batchId, error: kept.error.kind });
+    const recorded = await this._store.progress(batchId, deadline);
+    if (recorded.ok) return recorded.value;
+    this._context.log.warn('progress could not be read', { batchId, error: recorded.error.kind });
     return [];
   }
 
@@ -43,45 +43,45 @@
   async fromPreviousSteps(batch: Batch, isSingleVersion: boolean): Promise<CarryOver> {
     const deadline = Deadline.after(this._context.clock, CARRY_OVER_TIMEOUT_MS);
     const [older, newer] = await Promise.all([
-      this._ofStep(batch, isSingleVersion, 2, deadline),
-      this._ofStep(batch, isSingleVersion, 1, deadline),
+      this._fromStep(batch, isSingleVersion, 2, deadline),
+      this._fromStep(batch, isSingleVersion, 1, deadline),
     ]);
     return joinCarryOver(older, newer);
   }
 
-  private async _ofStep(
+  private async _fromStep(
     batch: Batch,
     isSingleVersion: boolean,
     stepsBack: number,
     deadline: Deadline,
   ): Promise<CarryOver> {
     const earlierId = await this._store.previousStepBatchId(batch, stepsBack, deadline);
-    if (!earlierId.ok) return this._without(batch.id, earlierId.error.kind);
+    if (!earlierId.ok) return this._skipStep(batch.id, earlierId.error.kind);
     if (earlierId.value === undefined) return NO_CARRY_OVER;
     const earlier = await this._store.submittedBatch(earlierId.value, deadline);
-    if (!earlier.ok) return this._without(batch.id, earlier.error.kind);
+    if (!earlier.ok) return this._skipStep(batch.id, earlier.error.kind);
     // Texts are ten times the size of what was submitted, and most steps need none.
     if (!hasSharedItems(batch, earlier.value)) return NO_CARRY_OVER;
     const [results, progress] = await Promise.all([
       this._store.results(earlierId.value, deadline),
       this._store.progress(earlierId.value, deadline),
     ]);
-    if (!results.ok) return this._without(batch.id, results.error.kind);
-    if (!progress.ok) return this._without(batch.id, progress.error.kind);
+    if (!results.ok) return this._skipStep(batch.id, results.error.kind);
+    if (!progress.ok) return this._skipStep(batch.id, progress.error.kind);
     const texts = { batch: earlier.value, results: results.value, progress: progress.value };
-    const before = carryOver(batch, texts, isSingleVersion);
+    const carried = carryOver(batch, texts, isSingleVersion);
     this._context.log.info('batch carried over', {
       batchId: batch.id,
       from: earlierId.value,
       stepsBack,
-      groups: before.groups.size,
-      results: before.results.length,
-      unfinished: before.unfinished.length,
+      groups: carried.groups.size,
+      results: carried.results.length,
+      unfinished: carried.unfinished.length,
     });
-    return before;
+    return carried;
   }
 
-  private _without(batchId: string, error: string): CarryOver {
+  private _skipStep(batchId: string, error: string): CarryOver {
     this._context.log.warn('an earlier step could not be read', { batchId, error });
     return NO_CARRY_OVER;
   }
--- a/packages/gateway/src/progressRecorder.ts
+++ b/packages/gateway/src/progressRecorder.ts
@@ -11,10 +11,10 @@
 import type { GatewayContext } from './gatewayContext.js';
 
 /** What is lost with an owner: at most this much of each item's work, for one write of the store a second. */
-const KEEP_INTERVAL_MS = 1000;
+const RECORD_INTERVAL_MS = 1000;
 const STORE_TIMEOUT_MS = 1000;
 
-interface Writing {
+interface PendingWrite {
   readonly events: readonly ItemEvents[];
   readonly texts: ReadonlyMap<string, number>;
 }
@@ -24,10 +24,10 @@
   private readonly _store: BatchStore;
   private readonly _batchId: string;
   private readonly _lease: ClaimLease;
-  private readonly _kept: KeptEvents;
+  private readonly _recorded: KeptEvents;
   private _records = 0;
   /** A write that was not confirmed is repeated as it was: it may have taken effect. */
-  private _unsettled: Writing | undefined;
+  private _pendingWrite: PendingWrite | undefined;
   private _isStopped = false;
 
   constructor(context: GatewayContext, store: BatchStore, ledger: BatchLedger, lease: ClaimLease) {
@@ -35,7 +35,7 @@
     this._store = store;
     this._batchId = ledger.batch.id;
     this._lease = lease;
-    this._kept = new KeptEvents(ledger);
+    this._recorded = new KeptEvents(ledger);
   }
 
   start(): void {
@@ -49,27 +49,27 @@
   /** The batch has ended, and its claim stands at another revision: keeps all that later steps may take up. */
   async finish(): Promise<void> {
     this.stop();
-    this._unsettled = undefined;
+    this._pendingWrite = undefined;
     this._records = 0;
-    await this._keep(1);
+    await this._record(1);
   }
 
   private async _run(): Promise<void> {
     const { clock, stopped } = this._context;
-    await sleep(clock, KEEP_INTERVAL_MS, stopped);
+    await sleep(clock, RECORD_INTERVAL_MS, stopped);
     while (!this._isStopped && !stopped.aborted) {
-      await this._keep();
-      await sleep(clock, KEEP_INTERVAL_MS, stopped);
+      await this._record();
+      await sleep(clock, RECORD_INTERVAL_MS, stopped);
     }
   }
 
-  private async _keep(minEvents?: number): Promise<void> {
-    const writing = this._unsettled ?? this._next(minEvents);
-    if (!writing) return;
-    this._unsettled = writing;
+  private async _record(minEvents?: number): Promise<void> {
+    const write = this._pendingWrite ?? this._nextWrite(minEvents);
+    if (!write) return;
+    this._pendingWrite = write;
     const askedMs = this._context.clock.nowMs();
     const deadline = Deadline.after(this._context.clock, STORE_TIMEOUT_MS);
-    const { events, texts } = writing;
+    const { events, texts } = write;
     const done = await this._store.appendProgress(
       this._batchId,
       this._lease.held,
@@ -78,19 +78,19 @@
       deadline,
     );
     if (done.kind === 'out-of-reach') return;
-    this._unsettled = undefined;
+    this._pendingWrite = undefined;
     if (done.kind === 'lost') {
       this._lease.reportLost();
       return;
     }
     this._lease.markConfirmed(askedMs);
     this._records += 1;
-    this._kept.keep(events, texts);
+    this._recorded.keep(events, texts);
     this._context.log.debug('progress kept', { batchId: this._batchId, items: events.length });
   }
 
-  private _next(minEvents?: number): Writing | undefined {
-    const events = this._kept.missing(minEvents);
-    return events.length > 0 ? { events, texts: this._kept.texts(events) } : undefined;
+  private _nextWrite(minEvents?: number): PendingWrite | undefined {
+    const events = this._recorded.missing(minEvents);
+    return events.length > 0 ? { events, texts: this._recorded.texts(events) } : undefined;
   }
 }
--- a/packages/gateway/src/resultLister.ts
+++ b/packages/gateway/src/resultLister.ts
@@ -22,14 +22,14 @@
   private readonly _ledger: BatchLedger;
   private readonly _startedMs: number;
   private readonly _lease: ClaimLease;
-  private readonly _listed: () => void;
+  private readonly _onListed: () => void;
   private readonly _policy: ListingPolicy;
   private _isListing = false;
   private _wake: () => void = () => undefined;
   private _isStopped = false;
   /** A write that was not confirmed is repeated as it was: it may have taken effect. */
-  private _unsettled: readonly ItemResult[] | undefined;
-  private _unsettledSinceMs = 0;
+  private _pendingWrite: readonly ItemResult[] | undefined;
+  private _pendingSinceMs = 0;
 
   /** `startedMs`: when this host began to run the batch. `listed`: told of results that were not listed before. */
   constructor(
@@ -38,7 +38,7 @@
     ledger: BatchLedger,
     startedMs: number,
     lease: ClaimLease,
-    listed: () => void,
+    onListed: () => void,
     policy: ListingPolicy = new ListWholeGroups(),
   ) {
     this._policy = policy;
@@ -47,7 +47,7 @@
     this._ledger = ledger;
     this._startedMs = startedMs;
     this._lease = lease;
-    this._listed = listed;
+    this._onListed = onListed;
   }
 
   /** Lists what has ended, if there is anything. */
@@ -63,12 +63,12 @@
 
   /** How long a write has waited for its answer, over all its repetitions; 0 if none waits. */
   pendingWriteMs(): number {
-    return this._unsettled ? this._context.clock.nowMs() - this._unsettledSinceMs : 0;
+    return this._pendingWrite ? this._context.clock.nowMs() - this._pendingSinceMs : 0;
   }
 
   /** False while a write is under way or was not answered: the store may have results that are not listed here. */
   isSettled(): boolean {
-    return this._unsettled === undefined;
+    return this._pendingWrite === undefined;
   }
 
   /** One write at a time, until nothing is left. */
@@ -76,7 +76,7 @@
     this._isListing = true;
     const { clock, stopped } = this._context;
     while (this._ledger.unconfirmed().length > 0 && !this._isStopped && !stopped.aborted) {
-      await this._rest(clock.nowMs());
+      await this._waitForMore(clock.nowMs());
       const isDone = await this._listOnce();
       if (!isDone) await sleep(clock, LIST_RETRY_MS, stopped);
     }
@@ -84,34 +84,34 @@
   }
 
   /** Waits for results that share the write, asking again how long at each that ends meanwhile. */
-  private async _rest(sinceMs: number): Promise<void> {
+  private async _waitForMore(sinceMs: number): Promise<void> {
     const { clock } = this._context;
     for (;;) {
       const leftMs = sinceMs + this._policy.intervalMs(this._ledger) - clock.nowMs();
       if (leftMs <= 0 || this._isStopped) return;
-      await this._nextResult(leftMs);
+      await this._waitForResult(leftMs);
     }
   }
 
-  private async _nextResult(mostMs: number): Promise<void> {
+  private async _waitForResult(maxWaitMs: number): Promise<void> {
     const woken = new AbortController();
     this._wake = () => woken.abort();
-    await sleep(this._context.clock, mostMs, woken.signal);
+    await sleep(this._context.clock, maxWaitMs, woken.signal);
     this._wake = () => undefined;
   }
 
   private async _listOnce(): Promise<boolean> {
     if (this._isStopped) return true;
-    if (!this._unsettled) this._unsettledSinceMs = this._context.clock.nowMs();
-    const results = this._unsettled ?? this._next();
-    this._unsettled = results;
+    if (!this._pendingWrite) this._pendingSinceMs = this._context.clock.nowMs();
+    const results = this._pendingWrite ?? this._nextResults();
+    this._pendingWrite = results;
     const position = this._ledger.listed().length;
     const askedMs = this._context.clock.nowMs();
     const deadline = Deadline.after(this._context.clock, STORE_TIMEOUT_MS);
     const { id } = this._ledger.batch;
     const done = await this._store.append(id, this._lease.held, position, results, deadline);
     if (done.kind === 'out-of-reach') return false;
-    this._unsettled = undefined;
+    this._pendingWrite = undefined;
     if (done.kind === 'lost') {
       this._lease.reportLost();
       return true;
@@ -119,11 +119,11 @@
     this._lease.markConfirmed(askedMs);
     this._ledger.confirm(results.length);
     this._log(position, results);
-    this._listed();
+    this._onListed();
     return true;
   }
 
-  private _next(): readonly ItemResult[] {
+  private _nextResults(): readonly ItemResult[] {
     const pending = this._ledger.unconfirmed();
     return pending.slice(0, countThatFits(pending));
   }
--- a/packages/gateway/src/storedBatchReader.ts
+++ b/packages/gateway/src/storedBatchReader.ts
@@ -11,14 +11,14 @@
 /** How often a batch whose owner can't be reached is read from the store while a reader waits. */
 const STORED_POLL_MS = 400;
 /** Batches that are kept in memory for their readers, about a quarter of a megabyte each; the rest is read from the store. */
-const KEPT = 8;
+const MAX_CACHED = 8;
 
 export class StoredBatchReader {
   private readonly _context: GatewayContext;
   private readonly _store: BatchStore;
   private readonly _isEnded: (batchId: string) => boolean;
-  private readonly _batches = new KeptReads<Batch>();
-  private readonly _endedResults = new KeptReads<readonly ItemResult[]>();
+  private readonly _batches = new ReadCache<Batch>();
+  private readonly _endedResults = new ReadCache<readonly ItemResult[]>();
 
   /** `isEnded`: whether a batch has ended by its claim as last read. */
   constructor(context: GatewayContext, store: BatchStore, isEnded: (batchId: string) => boolean) {
@@ -74,23 +74,23 @@
 }
 
 /** Reads of what never changes, made once for all who ask meanwhile and kept for those who ask later. */
-class KeptReads<T> {
-  private readonly _kept = new Map<string, Promise<T | undefined>>();
+class ReadCache<T> {
+  private readonly _entries = new Map<string, Promise<T | undefined>>();
 
   /** Undefined, and not kept, if it can't be read. */
   async read(key: string, load: () => Promise<T | undefined>): Promise<T | undefined> {
-    const known = this._kept.get(key);
-    if (known) return known;
+    const cached = this._entries.get(key);
+    if (cached) return cached;
     const reading = load();
-    this._keep(key, reading);
+    this._add(key, reading);
     const value = await reading;
-    if (value === undefined && this._kept.get(key) === reading) this._kept.delete(key);
+    if (value === undefined && this._entries.get(key) === reading) this._entries.delete(key);
     return value;
   }
 
-  private _keep(key: string, reading: Promise<T | undefined>): void {
-    this._kept.set(key, reading);
-    const [oldest] = this._kept.keys();
-    if (this._kept.size > KEPT && oldest !== undefined) this._kept.delete(oldest);
+  private _add(key: string, reading: Promise<T | undefined>): void {
+    this._entries.set(key, reading);
+    const [oldest] = this._entries.keys();
+    if (this._entries.size > MAX_CACHED && oldest !== undefined) this._entries.delete(oldest);
   }
 }
