--- a/packages/gateway/src/batchService.ts
+++ b/packages/gateway/src/batchService.ts
@@ -1,8 +1,8 @@
 /**
- * Batches at this host: acceptance, reading, bodies, ends, for batches that it owns and for all others.
+ * Serves calls about batches: submission, reading of results and item bodies, and ends.
  *
- * Any host takes any call. The claim in the store says who owns a batch; the owner is asked, and if it is gone
- * this host takes the batch over and goes on with it. So what drives a takeover is the trainer that reads.
+ * Any host takes any call. The claim in the store names the owner of a batch, and calls are forwarded to it. If the
+ * owner's process has terminated, the host that received the call takes the batch over, so reads drive takeovers.
  */
 import { Deadline, err, type Result } from '@fuchsiahitch/base';
 import type {
@@ -25,7 +25,7 @@
 import { PaceUpdates } from './paceUpdates.js';
 import { StoredBatchReader } from './storedBatchReader.js';
 
-/** Where a batch stands, as far as this host could learn. */
+/** Where a batch is served, as far as this host can determine. */
 type BatchLocation =
   | { readonly kind: 'here'; readonly owner: BatchOwner }
   | { readonly kind: 'peer'; readonly held: HeldClaim }
@@ -34,23 +34,18 @@
   | { readonly kind: 'unsure' };
 
 const STORE_TIMEOUT_MS = 1000;
-/** A peer that does not answer a call, beyond the time that the call itself waits. */
+/** Time for a peer's answer, in addition to the time that the call itself waits. */
 const PEER_TIMEOUT_MS = 700;
-/**
- * A process whose lease has ended is asked once more, for so long: a lease may also be revoked, and a living owner keeps
- * its batch. Without this a reader waits for a dead owner as long as it would for a result: 1.7 s.
- */
+/** A lease may also lapse while its process is alive, so the owner is probed before its batch is taken over. */
 const OWNER_PROBE_TIMEOUT_MS = 300;
-/** Taking a batch over is two calls to the store and one read of it. */
+/** A takeover costs two calls to the store and one read of the batch. */
 const ADOPT_TIMEOUT_MS = 1500;
 const MAX_SUCCESSORS = 3;
-/** So long after it began to run a batch, a host knows how quick its endpoints are. */
+/** By then the owner of a new batch has measured the pace of its endpoints. */
 const PACE_UPDATE_DELAY_MS = 2000;
-/** A refused batch may come back after this: an outage of the store lasts seconds. */
 const RETRY_AFTER_MS = 1000;
-/** Ended batches that are kept in memory for their readers; the rest is read from the store. */
+/** Older ended batches are read from the store. */
 const MAX_ENDED_IN_MEMORY = 4;
-/** Claims that are remembered: some hundred bytes each. */
 const MAX_CACHED_CLAIMS = 2000;
 
 export class BatchService {
@@ -61,7 +56,7 @@
   private readonly _owned = new Map<string, BatchOwner>();
   private readonly _submits = new Map<string, Promise<SubmitOutcome>>();
   private readonly _takeovers = new Map<string, Promise<BatchLocation>>();
-  /** Claims as last read: where to ask first. The owner itself says if it is one no more. */
+  /** Claims as last read. A stale entry is harmless: a former owner answers `not-owner`. */
   private readonly _claims = new Map<string, HeldClaim>();
   private readonly _storedBatches: StoredBatchReader;
   private readonly _paceUpdates: PaceUpdates;
@@ -85,16 +80,15 @@
       isRun: this._owned.get(batchId)?.maySend() ?? false,
     }));
     this._paceUpdates.serve(server);
-    server.handle(calls.batchClaimed, news => this._receiveClaim(news));
+    server.handle(calls.batchClaimed, update => this._receiveClaim(update));
     server.handle(calls.batchEnd, request => this._endLocally(request.batchId));
   }
 
-  /** Batches that this host runs. */
   ownedCount(): number {
     return this._owned.size;
   }
 
-  /** Items that run or wait at this host. */
+  /** Number of items that are running or waiting at this host. */
   openItems(): number {
     let count = 0;
     for (const owner of this._owned.values())
@@ -102,7 +96,7 @@
     return count;
   }
 
-  /** Accepts a batch once, however often and wherever it is submitted. */
+  /** Accepts a batch exactly once, even if it is submitted repeatedly and to several hosts. */
   async submit(batch: Batch, deadline: Deadline): Promise<SubmitOutcome> {
     if (this._owned.has(batch.id)) return { kind: 'accepted' };
     const running = this._submits.get(batch.id) ?? this._accept(batch, deadline);
@@ -154,7 +148,7 @@
     }
   }
 
-  /** Ends a batch at its owner, or in the store where its owner does not answer: a batch is not begun in order to end it. */
+  /** Ends a batch at its owner, or in the store if the owner does not answer. Does not start the batch to end it. */
   async end(batchId: string): Promise<EndOutcome> {
     const located = await this._locate(batchId, false, false);
     const reply = await this._endAt(batchId, located);
@@ -166,7 +160,7 @@
     return held.value.claim.isEnded ? 'ended' : this._endStored(batchId, held.value);
   }
 
-  /** Ends a batch where it was found. `unsure` also where that is no longer its owner. */
+  /** Ends a batch at a location. Returns `unsure` also if the host there is no longer its owner. */
   private async _endAt(batchId: string, located: BatchLocation): Promise<EndOutcome> {
     switch (located.kind) {
       case 'here':
@@ -185,14 +179,14 @@
     }
   }
 
-  /** Stops every run where it is, as the end of the process does. */
+  /** Stops all batches without handing them over, as a crash of the process would. */
   stopAll(): void {
-    for (const owner of this._owned.values()) owner.stop('this process ends');
+    for (const owner of this._owned.values()) owner.stop('process is terminating');
   }
 
   /**
-   * Gives every open batch to another host. A batch that merely stops here would stand still until its trainer
-   * happens to read it at another host, and what runs would be generated anew.
+   * Hands every open batch over to another host. Without it a batch would make no progress until its trainer reads it
+   * elsewhere, and the output of running items would be generated again.
    */
   async handOver(): Promise<void> {
     this._isShuttingDown = true;
@@ -202,7 +196,7 @@
   }
 
   private async _handOver(owner: BatchOwner): Promise<void> {
-    owner.stop('this host shuts down');
+    owner.stop('host is shutting down');
     const { batchId } = owner;
     this._claims.delete(batchId);
     if (owner.isEnded()) return;
@@ -217,7 +211,7 @@
     }
   }
 
-  /** Hosts that are asked to take a batch: a few, drawn at random, so that one does not get all. */
+  /** A few peers drawn at random, so that the batches of a host are spread over the fleet. */
   private _successors(): readonly Owner[] {
     const peers = [...this._hosts.peers()];
     const successors: Owner[] = [];
@@ -226,7 +220,7 @@
     return successors;
   }
 
-  /** Takes over a batch whose owner's process was seen to be gone. */
+  /** Takes over a batch whose owner's process has terminated. */
   async adoptFrom(batchId: string, from: Owner): Promise<void> {
     await this._adopt({ batchId, from, isGivenUp: false, unfinished: [] });
   }
@@ -239,14 +233,13 @@
   }
 
   /**
-   * True if the owner, whose lease has ended, answers that it runs the batch. What goes wrong without the question: an owner
-   * that is short of processor time renews its lease too late and loses its batch, the next one gets short of processor
-   * time by taking it, and so on; one sees a batch with a `batch takeover` every two seconds.
+   * True if an owner whose host lease has expired answers that it runs the batch. An owner that is short of processor time
+   * may renew its lease too late; taking its batches over would overload the next host in the same way.
    */
   private async _isRunByOwner(batchId: string, owner: Owner): Promise<boolean> {
     const reply = await this._hosts.call(owner.address, calls.batchRuns, { batchId }, OWNER_PROBE_TIMEOUT_MS);
     const isRun = reply.ok && reply.value.isRun;
-    if (isRun) this._context.log.info('batch left to its owner', { batchId, owner: owner.hostId });
+    if (isRun) this._context.log.info('batch is still run by its owner', { batchId, owner: owner.hostId });
     return isRun;
   }
 
@@ -283,13 +276,13 @@
     }
   }
 
-  /** Takes up an open batch that this process has accepted and does not run: an acceptance whose answer was lost. */
+  /** Starts an open batch that this process accepted but does not run, because the store's answer was lost. */
   private _resume(batchId: string, { claim }: HeldClaim): void {
     const isOwn = this._isSelf(claim.owner) && !claim.isEnded;
     if (isOwn && !this._owned.has(batchId)) void this._replaceOwner(batchId, claim.owner, true);
   }
 
-  /** Runs a batch here. What was generated of its items before is read first: it is a few calls to the store. */
+  /** Runs a batch at this host, after reading the output that previous owners and steps have generated for it. */
   private async _startBatch(
     held: HeldClaim,
     stored: StoredBatch,
@@ -297,13 +290,13 @@
   ): Promise<BatchOwner> {
     const owner = this._createOwner(held, stored);
     const { id } = stored.batch;
-    const [before, kept] = await Promise.all([
+    const [carried, recorded] = await Promise.all([
       this._priorProgress.fromPreviousSteps(stored.batch, owner.isSingleVersion()),
       this._priorProgress.fromPreviousOwners(id, held),
     ]);
-    owner.ledger.carry(before);
-    owner.ledger.resume([...kept, ...unfinished]);
-    this._context.log.info('batch begun', {
+    owner.ledger.carry(carried);
+    owner.ledger.resume([...recorded, ...unfinished]);
+    this._context.log.info('batch started', {
       batchId: id,
       claimRevision: held.revision,
       claimAgeMs: Math.round(this._context.clock.nowMs() - held.requestedAtMs),
@@ -314,14 +307,14 @@
     owner.start();
     this._announceClaim(id, held);
     this._context.clock.after(PACE_UPDATE_DELAY_MS, () => this._paceUpdates.send());
-    // A host that shuts down still takes what arrives, and passes it on at once.
+    // A takeover may complete while this host shuts down: hand the batch over at once.
     if (this._isShuttingDown && this._owned.delete(id)) void this._handOver(owner);
     return owner;
   }
 
   /**
-   * Tells the other hosts who runs the batch: readers come to any of them, and each would read the claim from the store. It is
-   * a hint like any claim that was read before; a host that is not told reads it.
+   * Announces the owner of a batch to all hosts, so that they need not read the claim from the store when a reader
+   * connects. The announcement is only a hint: hosts that miss it read the claim.
    */
   private _announceClaim(batchId: string, { claim, revision }: HeldClaim): void {
     for (const { address } of this._hosts.peers())
@@ -329,9 +322,9 @@
   }
 
   private _receiveClaim({ batchId, claim, revision }: ClaimNews): Readonly<Record<string, never>> {
-    const known = this._claims.get(batchId);
-    // The teller asked the store before it told, and nobody here knows when.
-    if (!known || known.revision < revision)
+    const cached = this._claims.get(batchId);
+    // The time of the sender's request to the store is unknown here.
+    if (!cached || cached.revision < revision)
       this._cacheClaim(batchId, { claim, revision, requestedAtMs: -Infinity });
     return {};
   }
@@ -339,15 +332,15 @@
   private _createOwner(held: HeldClaim, stored: StoredBatch): BatchOwner {
     const { id } = stored.batch;
     this._evictEnded();
-    // Whoever ran the batch in this process before has lost it, though it may not have heard: it would run each item a
-    // second time, unseen.
+    // A previous owner object in this process has lost the claim, though it may not have noticed. If it continued, it would
+    // run each item a second time.
     this._owned.get(id)?.claimLost();
     const owner = new BatchOwner(this._context, this._ports, held, stored, () => this._release(owner));
     this._owned.set(id, owner);
     return owner;
   }
 
-  /** A batch that is lost is no longer listed as this host's, unless another owner of this process runs it by now. */
+  /** Removes an owner that has lost its batch, unless a newer owner in this process has replaced it. */
   private _release(owner: BatchOwner): void {
     const { batchId } = owner;
     if (this._owned.get(batchId) !== owner) return;
@@ -355,80 +348,80 @@
     this._claims.delete(batchId);
   }
 
-  /** Ended batches can be read from the store: only the newest are kept in memory. */
+  /** Evicts the oldest ended batches from memory. */
   private _evictEnded(): void {
     const ended = [...this._owned].filter(([, owner]) => owner.isEnded());
     for (const [id] of ended.slice(0, Math.max(0, ended.length - MAX_ENDED_IN_MEMORY)))
       this._owned.delete(id);
   }
 
-  /** Does something at the owner of a batch, wherever that is; takes the batch over if its owner is gone. */
+  /** Runs an operation at the owner of a batch, locally or at a peer. Takes the batch over if its owner has terminated. */
   private async _atOwner<A extends { readonly kind: string }>(
     batchId: string,
-    here: (owner: BatchOwner) => Promise<A> | A,
-    there: (address: string) => Promise<Result<A, unknown>>,
+    local: (owner: BatchOwner) => Promise<A> | A,
+    remote: (address: string) => Promise<Result<A, unknown>>,
   ): Promise<A | Exclude<BatchLocation, { readonly kind: 'here' | 'peer' }>> {
     for (let tries = 0; tries < 3; tries++) {
       const located = await this._locate(batchId, tries > 0);
       if (located.kind === 'here') {
-        const reply = await here(located.owner);
+        const reply = await local(located.owner);
         if (reply.kind !== 'not-owner') return reply;
         continue;
       }
       if (located.kind !== 'peer') return located;
       const { owner } = located.held.claim;
-      const reply = await this._callOwner(owner, there);
-      // An owner that is unsure may have lost its lease while it could not reach the store.
-      const isOpen = reply.ok && reply.value.kind === 'unsure' && !this._hosts.isAlive(owner);
-      if (reply.ok && reply.value.kind !== 'not-owner' && !isOpen) return reply.value;
+      const reply = await this._callOwner(owner, remote);
+      // An owner that can't reach the store may have lost its host lease.
+      const isDoubtful = reply.ok && reply.value.kind === 'unsure' && !this._hosts.isAlive(owner);
+      if (reply.ok && reply.value.kind !== 'not-owner' && !isDoubtful) return reply.value;
       this._claims.delete(batchId);
-      const deniedIt = reply.ok && reply.value.kind === 'not-owner';
-      const next = await this._replaceOwner(batchId, owner, deniedIt);
+      const isDenied = reply.ok && reply.value.kind === 'not-owner';
+      const next = await this._replaceOwner(batchId, owner, isDenied);
       if (next.kind !== 'here' && next.kind !== 'peer') return next;
     }
     return { kind: 'unsure' };
   }
 
-  /** Asks the owner; as soon as its process is seen to be gone, its answer is not waited for. */
+  /** Calls the owner. Fails early if its process is found to have terminated. */
   private async _callOwner<A>(
     owner: Owner,
-    ask: (address: string) => Promise<Result<A, unknown>>,
+    call: (address: string) => Promise<Result<A, unknown>>,
   ): Promise<Result<A, unknown>> {
     let cancel = (): void => undefined;
-    const gone = new Promise<Result<A, unknown>>(resolve => {
+    const terminated = new Promise<Result<A, unknown>>(resolve => {
       cancel = this._hosts.onGone(owner, () => resolve(err('gone')));
     });
-    const reply = await Promise.race([gone, ask(owner.address)]);
+    const reply = await Promise.race([terminated, call(owner.address)]);
     cancel();
     return reply;
   }
 
-  /** `mayTakeOver`: whether a batch that this process owns by its claim, and does not run, is taken up. */
-  private async _locate(batchId: string, isAgain: boolean, mayTakeOver = true): Promise<BatchLocation> {
+  /** `mayTakeOver`: whether to start a batch that this process owns according to its claim, but does not run. */
+  private async _locate(batchId: string, isRetry: boolean, mayTakeOver = true): Promise<BatchLocation> {
     const owner = await this._localOwner(batchId);
     if (owner) return { kind: 'here', owner };
-    const known = this._claims.get(batchId);
-    if (known && !isAgain) return toLocation(known);
+    const cached = this._claims.get(batchId);
+    if (cached && !isRetry) return toLocation(cached);
     const held = await this._ports.store.readClaim(batchId, this._storeDeadline());
-    if (!held.ok) return known ? toLocation(known) : { kind: 'unsure' };
+    if (!held.ok) return cached ? toLocation(cached) : { kind: 'unsure' };
     if (!held.value) return { kind: 'no-batch' };
     this._cacheClaim(batchId, held.value);
-    const { owner: named } = held.value.claim;
-    if (!this._isSelf(named)) return toLocation(held.value);
-    return mayTakeOver ? this._replaceOwner(batchId, named, true) : { kind: 'stored', held: held.value };
+    const { owner: claimOwner } = held.value.claim;
+    if (!this._isSelf(claimOwner)) return toLocation(held.value);
+    return mayTakeOver ? this._replaceOwner(batchId, claimOwner, true) : { kind: 'stored', held: held.value };
   }
 
   /**
-   * Takes over a batch whose owner is gone. `deniedIt`: the process itself said that it does not run the batch.
-   * An owner that merely can't be reached from here, and whose lease stands, keeps the batch.
+   * Takes over a batch whose owner has terminated. `isDenied`: the owner itself answered that it does not run the batch.
+   * An owner that is only unreachable from this host and has a valid lease keeps the batch.
    */
   private async _replaceOwner(
     batchId: string,
     owner: Owner,
-    deniedIt: boolean,
+    isDenied: boolean,
     unfinished: readonly ItemEvents[] = [],
   ): Promise<BatchLocation> {
-    const running = this._takeovers.get(batchId) ?? this._takeOver(batchId, owner, deniedIt, unfinished);
+    const running = this._takeovers.get(batchId) ?? this._takeOver(batchId, owner, isDenied, unfinished);
     this._takeovers.set(batchId, running);
     const located = await running;
     this._takeovers.delete(batchId);
@@ -438,7 +431,7 @@
   private async _takeOver(
     batchId: string,
     from: Owner,
-    deniedIt: boolean,
+    isDenied: boolean,
     unfinished: readonly ItemEvents[],
   ): Promise<BatchLocation> {
     const { store } = this._ports;
@@ -450,17 +443,20 @@
     const isSame = claim.owner.hostId === from.hostId && claim.owner.incarnation === from.incarnation;
     if (!isSame) return this._cacheAndLocate(batchId, held.value);
     if (this._isShuttingDown) return { kind: 'unsure' };
-    const isGone = deniedIt || (this._hosts.isSynced() && !this._hosts.isAlive(claim.owner));
-    if (!isGone) return { kind: 'stored', held: held.value };
-    if (!deniedIt && (await this._isRunByOwner(batchId, from))) return { kind: 'stored', held: held.value };
+    const isTerminated = isDenied || (this._hosts.isSynced() && !this._hosts.isAlive(claim.owner));
+    if (!isTerminated) return { kind: 'stored', held: held.value };
+    if (!isDenied && (await this._isRunByOwner(batchId, from))) return { kind: 'stored', held: held.value };
     const change = { owner: this._hosts.self(), takeovers: claim.takeovers + 1 };
     const done = await store.changeClaim(batchId, held.value, change, this._storeDeadline());
-    this._logTakeover(batchId, from, deniedIt, done.kind);
+    this._logTakeover(batchId, from, isDenied, done.kind);
     if (done.kind === 'out-of-reach') return { kind: 'unsure' };
     if (done.kind === 'lost') return { kind: 'unsure' };
     const stored = await store.load(batchId, this._storeDeadline());
     if (!stored.ok) {
-      this._context.log.error('batch could not be loaded', { batchId, error: stored.error.kind });
+      this._context.log.error('loading the batch from the store failed', {
+        batchId,
+        error: stored.error.kind,
+      });
       return { kind: 'unsure' };
     }
     return { kind: 'here', owner: await this._startBatch(done.value, stored.value, unfinished) };
@@ -471,14 +467,14 @@
     return toLocation(held);
   }
 
-  private _logTakeover(batchId: string, from: Owner, deniedIt: boolean, outcome: string): void {
+  private _logTakeover(batchId: string, from: Owner, isDenied: boolean, outcome: string): void {
     if (outcome === 'done') this._context.metrics.takeovers.inc();
     this._context.log.info('batch takeover', {
       batchId,
       outcome,
       from: from.hostId,
       fromIncarnation: from.incarnation,
-      reason: deniedIt ? 'its owner does not run it' : 'its owner is gone',
+      reason: isDenied ? 'the owner does not run it' : 'the owner has terminated',
     });
   }
 
@@ -512,9 +508,8 @@
   }
 
   /**
-   * The batch, if this host runs it, or is about to. What goes wrong without the wait: the claim names this host, but
-   * the batch is still being read from a slow store; asked meanwhile, this host denies it, and whoever asked takes
-   * it over, and so on from host to host. One sees many `batch takeover` lines of one batch in a row.
+   * Returns the owner if this host runs the batch. Waits for a takeover or submission that is under way: a host that
+   * answered `not-owner` while it still reads the batch from a slow store would lose it to the next host, and so on.
    */
   private async _localOwner(batchId: string): Promise<BatchOwner | undefined> {
     await (this._takeovers.get(batchId) ?? this._submits.get(batchId));
--- a/packages/gateway/src/batchStore.ts
+++ b/packages/gateway/src/batchStore.ts
@@ -1,9 +1,8 @@
 /**
- * A batch's records in the store: accepted once, owned by one host at a time, results added in order.
+ * Reads and writes the records of batches in the store.
  *
- * Every write names the revision of the claim. A write whose answer was lost, and that may be carried out
- * seconds later, is therefore harmless: it takes effect only if nothing has changed hands, and then it is the
- * very write that was meant. Its outcome is read back before anything depends on it.
+ * Every write to an accepted batch is conditional on the revision of its claim, so an unanswered write that takes effect
+ * late is harmless: it fails once the batch has another owner. Outcomes of unanswered writes are read back before use.
  */
 import { err, ok, sleep, type Deadline, type Result } from '@fuchsiahitch/base';
 import {
@@ -34,27 +33,26 @@
 import type { RevisionedStore, StoreError, Write } from '@fuchsiahitch/clients';
 import type { GatewayContext } from './gatewayContext.js';
 
-/** A claim with the revision that writes to the batch must name. */
+/** A claim and the revision that writes to the batch are conditional on. */
 export interface HeldClaim {
   readonly claim: Claim;
   readonly revision: number;
-  /** When the store was asked for the answer that told it: nothing is known of the claim after that. */
+  /** When the store was asked for the claim. It may have changed at any time after that. */
   readonly requestedAtMs: number;
 }
 
-/** A batch that has not ended, and who runs it. */
+/** The claim of a batch that has not ended. */
 export interface OpenClaim {
   readonly batchId: string;
   readonly claim: Claim;
 }
 
-/** A batch as it stands in the store. */
 export interface StoredBatch {
   readonly batch: Batch;
   readonly results: readonly ItemResult[];
 }
 
-/** Why a batch could not be read or written. `damaged`: a record does not fit, which is a defect. */
+/** `damaged`: a record is malformed or out of sequence, which is a defect. */
 export type BatchStoreError =
   | { readonly kind: 'out-of-reach'; readonly error: StoreError }
   | { readonly kind: 'damaged'; readonly key: string }
@@ -62,22 +60,21 @@
 
 export type AcceptOutcome =
   | { readonly kind: 'accepted'; readonly held: HeldClaim }
-  /** Another acceptance came first, of this or another host. */
+  /** The batch was accepted before, by this or another host. */
   | { readonly kind: 'known'; readonly held: HeldClaim }
-  /** Nothing was written, and nothing will be. */
+  /** Nothing was written, and no pending write remains. */
   | { readonly kind: 'not-done'; readonly error: StoreError }
   | { readonly kind: 'too-large' }
   | { readonly kind: 'unknown' };
 
-/** `lost`: the claim has changed hands. */
+/** `lost`: the claim has changed, usually because another host owns the batch. */
 export type WriteOutcome<T> =
   | { readonly kind: 'done'; readonly value: T }
   | { readonly kind: 'lost' }
   | { readonly kind: 'out-of-reach'; readonly error: StoreError };
 
-/** The platform's store takes 32 entries in one transaction; one is the claim, and one names the step's batch. */
+/** The platform's store accepts 32 writes per transaction. Two of them are the claim and the step record. */
 const MAX_PARTS = 30;
-/** Pause between two tries of a write that found the store away: many tries fit an outage of seconds. */
 const RETRY_MS = 200;
 
 export class BatchStore {
@@ -89,7 +86,7 @@
     this._store = store;
   }
 
-  /** Writes a batch that no host has accepted yet. Tries until the deadline while the store is away. */
+  /** Writes a batch unless a host has already accepted it. Retries until the deadline while the store is unavailable. */
   async accept(batch: Batch, owner: Owner, deadline: Deadline): Promise<AcceptOutcome> {
     const parts = splitBatch(batch);
     if (parts.length > MAX_PARTS) return { kind: 'too-large' };
@@ -119,7 +116,7 @@
     }
   }
 
-  /** The claim of a batch; undefined when no such batch was accepted. */
+  /** Returns undefined if no such batch was accepted. */
   async readClaim(
     batchId: string,
     deadline: Deadline,
@@ -134,7 +131,6 @@
     return ok({ claim: claim.value, revision: stored.value.version, requestedAtMs });
   }
 
-  /** The claims of all batches that have not ended. */
   async openClaims(deadline: Deadline): Promise<Result<readonly OpenClaim[], BatchStoreError>> {
     const claims = await this._store.list(CLAIMS, deadline);
     if (!claims.ok) return err({ kind: 'out-of-reach', error: claims.error });
@@ -147,7 +143,7 @@
     return ok(open);
   }
 
-  /** Changes a claim that still stands at the revision. */
+  /** Changes a claim if it is still at the given revision. */
   async changeClaim(
     batchId: string,
     held: HeldClaim,
@@ -169,7 +165,7 @@
     }
   }
 
-  /** Adds results at a position. One try; a repeated call finds what an earlier one has done. */
+  /** Adds results at a position. Tries once; repeating an unanswered call is safe. */
   async append(
     batchId: string,
     held: HeldClaim,
@@ -180,7 +176,7 @@
     return this._createOnce(batchId, held, resultKey(batchId, position), JSON.stringify(results), deadline);
   }
 
-  /** Adds the `record`th list of generated events of this owner, as `append` adds results. */
+  /** Adds the progress record with this number of the current owner. Tries once, like `append`. */
   async appendProgress(
     batchId: string,
     held: HeldClaim,
@@ -192,7 +188,7 @@
     return this._createOnce(batchId, held, key, JSON.stringify(events), deadline);
   }
 
-  /** What all owners have kept of unfinished items, in the order in which it was generated. */
+  /** Returns the events that all owners have recorded, in the order in which they were generated. */
   async progress(
     batchId: string,
     deadline: Deadline,
@@ -208,7 +204,7 @@
     return ok(events);
   }
 
-  /** The batch of the step that is `stepsBack` before a batch's, if the store still names it. */
+  /** Returns the batch of the step `stepsBack` steps earlier, or undefined if the store has no record of it. */
   async previousStepBatchId(
     batch: Batch,
     stepsBack: number,
@@ -225,7 +221,7 @@
     return ok(record.value.step === step ? record.value.batchId : undefined);
   }
 
-  /** Reads the whole batch. What is read after a claim was taken is complete: former owners can't add. */
+  /** Reads a batch and its results. After a takeover the results are complete: previous owners can no longer append. */
   async load(batchId: string, deadline: Deadline): Promise<Result<StoredBatch, BatchStoreError>> {
     const batch = await this.submittedBatch(batchId, deadline);
     if (!batch.ok) return batch;
@@ -233,7 +229,6 @@
     return results.ok ? ok({ batch: batch.value, results: results.value }) : results;
   }
 
-  /** The batch as it was submitted. */
   async submittedBatch(batchId: string, deadline: Deadline): Promise<Result<Batch, BatchStoreError>> {
     const parts = await this._store.list(partPrefix(batchId), deadline);
     if (!parts.ok) return err({ kind: 'out-of-reach', error: parts.error });
@@ -242,7 +237,7 @@
     return batch.ok ? ok(batch.value) : err({ kind: 'damaged', key: batch.error.key });
   }
 
-  /** All results that the store has, in the order of their positions. */
+  /** Returns all stored results in the order of their positions. */
   async results(
     batchId: string,
     deadline: Deadline,
@@ -258,7 +253,7 @@
     return ok(results);
   }
 
-  /** Removes every record of a batch. */
+  /** Removes all records of a batch. The claim goes last, so that an interrupted removal is repeated. */
   async remove(batchId: string, deadline: Deadline): Promise<boolean> {
     if (!(await this._removeStep(batchId, deadline))) return false;
     for (const prefix of [progressPrefix(batchId), resultPrefix(batchId), partPrefix(batchId)]) {
@@ -274,9 +269,8 @@
   }
 
   /**
-   * Writes a new key, as long as the claim stands. A write that finds its own value in place has been made by an earlier
-   * try, but says nothing of the claim since then: without a look at it an owner that lost its batch takes the old write
-   * for a confirmation that the batch is still its own, and tells readers that there is nothing more.
+   * Creates a key if the claim is unchanged. If the key already has this value, an earlier try has written it; the claim is
+   * then checked separately, since it may have changed after that write.
    */
   private async _createOnce(
     batchId: string,
@@ -300,7 +294,7 @@
     return stored.value?.value === value ? { kind: 'done', value: undefined } : { kind: 'lost' };
   }
 
-  /** Removes the key that names the batch of its step, unless a later step has it by now. */
+  /** Removes the record of the batch's step, unless it names another batch by now. */
   private async _removeStep(batchId: string, deadline: Deadline): Promise<boolean> {
     const submitted = await this.submittedBatch(batchId, deadline);
     if (!submitted.ok) return submitted.error.kind === 'damaged';
@@ -316,8 +310,8 @@
   }
 
   /**
-   * The claim exists. An earlier try of this very call may have written it: then it stands as it was written. Any other is
-   * known already, also one of this process: it may have ended, or have results, and beginning it anew would hide them.
+   * Decides whether an existing claim was written by an earlier try of the same call: it is then unchanged. Any other claim
+   * is `known`, even if this process owns it, since the batch may have ended or have results.
    */
   private async _resolveExistingClaim(
     batchId: string,
@@ -347,13 +341,11 @@
   }
 }
 
-/** True if the claim is the one that was written, and has not changed since. */
 function isUnchanged(claim: Claim, written: Claim): boolean {
   const isSame = isSameOwner(claim.owner, written.owner) && claim.acceptedWallMs === written.acceptedWallMs;
   return isSame && claim.takeovers === written.takeovers && claim.isEnded === written.isEnded;
 }
 
-/** A batch that is a step of a model's trainer. */
 function isTrainerStep(batch: Batch): batch is Batch & { readonly step: number } {
   return batch.step !== undefined && batch.model !== '';
 }
--- a/packages/gateway/src/batchSweeper.ts
+++ b/packages/gateway/src/batchSweeper.ts
@@ -1,8 +1,6 @@
 /**
- * Removes the records of old batches.
- *
- * What goes wrong without it: the store holds every batch that was ever submitted, and one day refuses writes. Every
- * host sweeps at its own time, so that it needs no agreement; removing a record twice does no harm.
+ * Removes the records of batches that have passed their retention time. All hosts sweep without coordination: removing a
+ * record twice is harmless.
  */
 import { Deadline, sleep } from '@fuchsiahitch/base';
 import { CLAIMS, readClaim } from '@fuchsiahitch/batches';
@@ -10,14 +8,13 @@
 import type { BatchStore } from './batchStore.js';
 import type { GatewayContext } from './gatewayContext.js';
 
-/** The pause between two sweeps of one host: a listing of the claims is one call. */
 const SWEEP_INTERVAL_MS = 120_000;
 const CALL_TIMEOUT_MS = 3000;
-/** Removals of one sweep: each is a few calls, and the rest waits for the next. */
+/** Batches removed per sweep; the next sweep removes the rest. */
 const MAX_REMOVALS = 50;
-/** Results are read for the promised time after the submission; hosts' clocks and slow trainers get as much again. */
+/** Ended batches are retained for a multiple of the guaranteed time, to allow for clock skew and slow trainers. */
 const ENDED_BATCH_FACTOR = 2;
-/** A batch that was never ended may still run; no route keeps items for longer than this. */
+/** A batch that was never ended may still be running. No route retains items for longer than this. */
 const OPEN_BATCH_FACTOR = 10;
 
 export class BatchSweeper {
@@ -26,7 +23,7 @@
   private readonly _batches: BatchStore;
   private readonly _readableMs: number;
 
-  /** `readableMs`: how long after its submission a batch must be readable. */
+  /** `readableMs`: how long a batch must be readable after its submission. */
   constructor(context: GatewayContext, store: RevisionedStore, batches: BatchStore, readableMs: number) {
     this._context = context;
     this._store = store;
@@ -61,13 +58,13 @@
       removed += 1;
       await this._batches.remove(key.slice(CLAIMS.length), this._deadline());
     }
-    this._context.log.info('old batches swept', { claims: claims.value.length, removed });
+    this._context.log.info('expired batches removed', { claims: claims.value.length, removed });
   }
 
   private _isExpired(key: string, value: string): boolean {
     const claim = readClaim(key, value);
     if (!claim.ok) {
-      this._context.log.warn('unreadable claim', { key });
+      this._context.log.warn('invalid claim record', { key });
       return false;
     }
     const ageMs = this._context.clock.wallMs() - claim.value.acceptedWallMs;
--- a/packages/gateway/src/claimLease.ts
+++ b/packages/gateway/src/claimLease.ts
@@ -1,45 +1,33 @@
 /**
- * The claim of a batch as its owner holds it: a lease that each answer of the store renews.
+ * Lease on the claim of a batch. Each answer of the store that confirms the claim renews it.
  *
- * What goes wrong without a bound in time: the owner can't reach the store, or is answered so late that it gives up
- * waiting; meanwhile another host takes the batch over, or ends it, and tells the trainer so. The owner goes on to send
- * items for as long as its trouble lasts. One notices it as runs that begin at endpoints seconds after the end of their
- * batch was confirmed, all from one host. A look at the claim now and then does not help, since the look is what fails.
- * So nothing new is sent unless the store has confirmed the claim within the lease, counted from when the store was
- * asked: whatever happened to the claim since then, it was confirmed to others at most that long ago. Runs that have
- * begun go on, and their results are listed when the store answers again.
+ * An owner that can't reach the store does not learn that another host has taken its batch over or ended it. It sends
+ * nothing new once the store has not confirmed the claim within the lease, counted from when the store was asked. This
+ * bounds how long items are sent after another host has confirmed the end of the batch. Attempts that an endpoint has
+ * answered continue, and their results are listed once the store answers again.
  */
 import { Deadline, sleep, type Clock } from '@fuchsiahitch/base';
 import type { BatchStore, HeldClaim } from './batchStore.js';
 import type { GatewayContext } from './gatewayContext.js';
 
-/**
- * The store is asked once it has confirmed nothing for so long. An owner whose items run writes what they generate every
- * second, and each write confirms the claim: this is a little longer, so that it costs no call of its own.
- */
+/** Slightly longer than the interval of progress records, which renew the lease of a running batch without extra calls. */
 const RENEW_AFTER_MS = 1100;
-/** A short lease is renewed after this part of it, so that a question and its repetition fit in. */
+/** A short lease is renewed after this fraction of it, which leaves time for one retry. */
 const RENEW_FRACTION = 0.6;
-/**
- * Part of the time in which an item may still arrive, for what was written just before the lease ran out. What was begun and
- * is not answered by then is taken back.
- */
+/** Time for requests that were written just before the lease expired to reach their endpoints. */
 const SEND_MARGIN_MS = 1000;
-/** How often it is looked at whether the store must be asked. Also the pause after a question that got no answer. */
+/** Also the pause before a failed renewal is retried. */
 const CHECK_INTERVAL_MS = 125;
-/**
- * A question has this long: a slow store answers in 0.3 s, and one that is silent must be given up early enough that a second
- * question, by way of a peer, is answered about when the lease runs out.
- */
+/** Short enough that a retry, relayed by a peer, can still be answered about when the lease expires. */
 const RENEW_TIMEOUT_MS = 700;
 /**
- * A reader is told that there is nothing yet only by an owner that the store has confirmed this recently; a result read
- * elsewhere must be shown by everybody within a second.
+ * An owner returns an empty page only if the store confirmed its claim this recently: a result that was read at one host
+ * must be readable at all hosts within a second.
  */
 export const READ_CONFIRMATION_MAX_AGE_MS = 600;
 const CONFIRM_TIMEOUT_MS = 1000;
 
-/** The lease of a claim, from how long after the end of a batch was confirmed its items may still reach endpoints. */
+/** Computes the lease from the time that items may still reach endpoints after the end of their batch was confirmed. */
 export function claimLeaseMs(batchEndMs: number): number {
   return Math.max(batchEndMs - SEND_MARGIN_MS, batchEndMs / 2);
 }
@@ -52,12 +40,12 @@
   private readonly _renewAfterMs: number;
   private readonly _onLost: () => void;
   private _held: HeldClaim;
-  /** The wall clock less the monotonic one, when the claim was last confirmed. */
+  /** Wall clock minus monotonic clock when the claim was last confirmed. */
   private _wallOffsetMs: number;
   private _isStopped = false;
   private _isExpired = false;
 
-  /** `leaseMs`: how long after a confirmation the claim may be acted on. `lost`: another host has it, or has ended the batch. */
+  /** `onLost`: called when another host has taken the batch over or ended it. */
   constructor(
     context: GatewayContext,
     store: BatchStore,
@@ -76,14 +64,13 @@
     this._wallOffsetMs = wallOffsetMs(context.clock);
   }
 
-  /** The claim with its revision, which every write names. */
   get held(): HeldClaim {
     return this._held;
   }
 
   /**
-   * Time since the store was asked for the answer that last confirmed the claim. The monotonic clock stands still while a
-   * machine is suspended, and the wall clock does not: whichever says more counts.
+   * Time since the store was asked for its last confirmation of the claim. The monotonic clock stops while the machine is
+   * suspended and the wall clock may be set back, so the larger of the two ages is used.
    */
   ageMs(): number {
     const { clock } = this._context;
@@ -91,12 +78,12 @@
     return nowMs - this._held.requestedAtMs;
   }
 
-  /** True while something new may be sent for the batch. */
+  /** True while new requests may be sent for the batch. */
   isValid(): boolean {
     return !this._isStopped && this.ageMs() < this._leaseMs;
   }
 
-  /** Keeps the lease renewed until it is stopped. */
+  /** Renews the lease until `stop` is called. */
   start(): void {
     void this._run();
   }
@@ -105,7 +92,7 @@
     this._isStopped = true;
   }
 
-  /** The store confirmed the claim when it was asked at that time. */
+  /** Renews the lease after an answer of the store to a request that was sent at the given time. */
   markConfirmed(askedMs: number): void {
     if (askedMs > this._held.requestedAtMs) {
       this._held = { ...this._held, requestedAtMs: askedMs };
@@ -113,20 +100,20 @@
     }
     if (!this._isExpired || !this.isValid()) return;
     this._isExpired = false;
-    this._log('claim confirmed again');
+    this._log('claim lease regained');
   }
 
-  /** The store refused a write that named the claim. */
+  /** Reports that the store rejected a write conditional on the claim. */
   reportLost(): void {
     this._onLost();
   }
 
-  /** The batch stands at another revision by this owner's own change. */
+  /** Replaces the claim after this owner changed it. */
   changed(held: HeldClaim): void {
     this._held = held;
   }
 
-  /** True if the store has confirmed a moment ago, or does so now, that this host still owns the batch. */
+  /** True if the store confirmed recently, or confirms now, that this host owns the batch. */
   async confirmOwnership(): Promise<boolean> {
     return this.ageMs() < READ_CONFIRMATION_MAX_AGE_MS || this._readClaim(CONFIRM_TIMEOUT_MS);
   }
@@ -154,7 +141,7 @@
   private _checkExpiry(): void {
     if (this._isStopped || this._isExpired || this.isValid()) return;
     this._isExpired = true;
-    this._log('claim unconfirmed');
+    this._log('claim lease expired');
   }
 
   private _log(text: string): void {
--- a/packages/gateway/src/itemScoring.ts
+++ b/packages/gateway/src/itemScoring.ts
@@ -57,13 +57,13 @@
     ports: ScoringPorts,
     ledger: BatchLedger,
     maxItemFailures: number,
-    onResult: () => void,
+    ended: () => void,
   ) {
     this._context = context;
     this._ports = ports;
     this._ledger = ledger;
     this._maxItemFailures = maxItemFailures;
-    this._onResult = onResult;
+    this._onResult = ended;
     this._backoff = new ItemBackoff(context, ledger.batch.id, 'scoring');
   }
 
--- a/packages/gateway/src/orphanRecovery.ts
+++ b/packages/gateway/src/orphanRecovery.ts
@@ -1,11 +1,10 @@
 /**
- * Finds owners for the open batches of hosts that are gone, without waiting for a reader.
+ * Reassigns the open batches of terminated hosts without waiting for a reader to trigger a takeover.
  *
- * What goes wrong without it: a failure domain is cut off, and its trainer's readers reach hosts of that domain only. The
- * batches stand with owners there, which can't list results, and nobody else hears a reader: steps that were under way
- * are lost or late by the length of the cut. One notices it as batches whose `batch takeover` comes seconds after the
- * host's `gone`. One host, the one with the lowest identifier that lives, looks through the claims, so that a death
- * costs the fleet one read of the store however large it is; it shares the batches out among all.
+ * When a failure domain is cut off, its trainers may reach only hosts of that domain, so no host elsewhere receives a read
+ * and the steps under way would be late by the length of the outage. Only the live host with the lowest identifier lists
+ * the claims, so that a lost host costs one read of the store regardless of fleet size. It spreads the batches over all
+ * hosts.
  */
 import { Deadline, sleep } from '@fuchsiahitch/base';
 import type { Owner } from '@fuchsiahitch/batches';
@@ -14,13 +13,13 @@
 import type { GatewayContext } from './gatewayContext.js';
 import type { Hosts } from './hostDirectory.js';
 
-/** Hosts of a domain go together, and a reader that drives a takeover does so within half a second. */
+/** Hosts of a domain tend to fail together, and readers trigger most takeovers within this time. */
 const SETTLE_MS = 500;
 const STORE_TIMEOUT_MS = 1000;
-/** A store that is away comes back within seconds; its mirror then tells again who lives. */
+/** After a longer outage of the store, the mirror of live hosts triggers another run. */
 const MAX_TRIES = 5;
 const RETRY_MS = 700;
-/** Taking a batch over is a question to its owner, two calls to the store and one read of it. */
+/** A takeover costs a call to the owner, two calls to the store and one read of the batch. */
 const ADOPT_TIMEOUT_MS = 2200;
 
 export class OrphanRecovery {
@@ -31,7 +30,7 @@
   private _isRunning = false;
   private _isRequested = false;
 
-  /** `adoptHere`: takes a batch over at this host. */
+  /** `adoptLocally`: takes a batch over at this host. */
   constructor(
     context: GatewayContext,
     store: BatchStore,
@@ -44,7 +43,7 @@
     this._adoptLocally = adoptLocally;
   }
 
-  /** A host is gone. Several that go together are looked for at once. */
+  /** Schedules a run after a host was removed. Hosts that are removed together share one run. */
   hostRemoved(): void {
     this._isRequested = true;
     if (!this._isRunning) void this._run();
@@ -79,14 +78,14 @@
       await Promise.all(orphans.map(({ batchId, claim }) => this._reassign(batchId, claim.owner)));
       return;
     }
-    log.warn('orphaned batches could not be looked for', { tries: MAX_TRIES });
+    log.warn('listing the claims of orphaned batches failed', { tries: MAX_TRIES });
   }
 
-  /** Asks a host drawn at random; takes the batch itself if that one doesn't. */
+  /** Offers the batch to a random host and adopts it locally if that host does not take it. */
   private async _reassign(batchId: string, from: Owner): Promise<void> {
     const peers = this._hosts.peers();
-    const drawn = this._context.random.below(peers.length + 1);
-    const peer = peers[drawn];
+    const index = this._context.random.below(peers.length + 1);
+    const peer = peers[index];
     const request = { batchId, from, isGivenUp: false, unfinished: [] };
     const reply = peer && (await this._hosts.call(peer.address, calls.batchAdopt, request, ADOPT_TIMEOUT_MS));
     const isAdopted = reply?.ok === true && reply.value.isAdopted;
--- a/packages/gateway/src/paceUpdates.ts
+++ b/packages/gateway/src/paceUpdates.ts
@@ -1,15 +1,12 @@
 /**
- * Tells other hosts how quick endpoints are.
- *
- * Each step may have another owner. Without this news it begins the longest items anywhere, and finds out after a second and a
- * half which of them have to move; one sees them as `item attempt` lines that were cancelled after 1.7 s.
+ * Sends the measured pace of endpoints to other hosts. The next step may have another owner, which then can place its
+ * longest items at fast endpoints from the start instead of moving them later.
  */
 import type { PacesSeen } from '@fuchsiahitch/batches';
 import { calls } from '@fuchsiahitch/protocol';
 import type { EndpointDirectory } from './endpointDirectory.js';
 import type { CallRegistry, Hosts } from './hostDirectory.js';
 
-/** News for a peer that takes longer is old by then. */
 const PEER_TIMEOUT_MS = 500;
 
 export class PaceUpdates {
@@ -25,7 +22,7 @@
     server.handle(calls.pacesSeen, update => this._receive(update));
   }
 
-  /** Tells what this host has found a moment ago, and not what it has heard. */
+  /** Sends paces that this host has measured recently, but not those received from peers. */
   send(): void {
     const paces = this._endpoints.all().flatMap(endpoint => {
       const paceMs = endpoint.freshPaceMs();
--- a/packages/gateway/src/priorProgress.ts
+++ b/packages/gateway/src/priorProgress.ts
@@ -1,7 +1,6 @@
 /**
- * What was generated of a batch's items before its owner began: by former owners, and in earlier steps.
- *
- * Without it the items begin anew, which only costs time: so whatever can't be read is logged and left out.
+ * Loads output that previous owners or earlier steps have generated for a batch's items, so that they need not restart.
+ * Records that can't be read are logged and skipped.
  */
 import { Deadline } from '@fuchsiahitch/base';
 import {
@@ -16,7 +15,7 @@
 import type { BatchStore, HeldClaim } from './batchStore.js';
 import type { GatewayContext } from './gatewayContext.js';
 
-/** A new batch waits this long for what earlier steps have generated; it usually takes two calls of the store. */
+/** Bounds the delay of a new batch. Loading a carry-over usually takes two calls to the store. */
 const CARRY_OVER_TIMEOUT_MS = 300;
 const STORE_TIMEOUT_MS = 1000;
 
@@ -29,17 +28,20 @@
     this._store = store;
   }
 
-  /** What former owners kept of unfinished items. */
+  /** Returns the recorded output of unfinished items of the batch. */
   async fromPreviousOwners(batchId: string, { claim }: HeldClaim): Promise<readonly ItemEvents[]> {
     if (claim.takeovers === 0) return [];
     const deadline = Deadline.after(this._context.clock, STORE_TIMEOUT_MS);
     const recorded = await this._store.progress(batchId, deadline);
     if (recorded.ok) return recorded.value;
-    this._context.log.warn('progress could not be read', { batchId, error: recorded.error.kind });
+    this._context.log.warn('reading progress of previous owners failed', {
+      batchId,
+      error: recorded.error.kind,
+    });
     return [];
   }
 
-  /** What the two steps before have generated of the batch's items: where steps overlap, groups come again in the second. */
+  /** Returns the carry-over of the two previous steps: where steps overlap, a group may reappear two steps later. */
   async fromPreviousSteps(batch: Batch, isSingleVersion: boolean): Promise<CarryOver> {
     const deadline = Deadline.after(this._context.clock, CARRY_OVER_TIMEOUT_MS);
     const [older, newer] = await Promise.all([
@@ -60,7 +62,7 @@
     if (earlierId.value === undefined) return NO_CARRY_OVER;
     const earlier = await this._store.submittedBatch(earlierId.value, deadline);
     if (!earlier.ok) return this._skipStep(batch.id, earlier.error.kind);
-    // Texts are ten times the size of what was submitted, and most steps need none.
+    // Texts are about ten times the size of the submitted batch, and most steps share no items.
     if (!hasSharedItems(batch, earlier.value)) return NO_CARRY_OVER;
     const [results, progress] = await Promise.all([
       this._store.results(earlierId.value, deadline),
@@ -82,7 +84,7 @@
   }
 
   private _skipStep(batchId: string, error: string): CarryOver {
-    this._context.log.warn('an earlier step could not be read', { batchId, error });
+    this._context.log.warn('reading a previous step failed', { batchId, error });
     return NO_CARRY_OVER;
   }
 }
--- a/packages/gateway/src/progressRecorder.ts
+++ b/packages/gateway/src/progressRecorder.ts
@@ -1,8 +1,5 @@
 /**
- * Keeps what the items of one batch have generated so far in the store, for the next owner.
- *
- * Without it the items of an owner that dies begin anew. Read from the logs of a fleet that lost power: five of 80 items
- * had made 79 to 102 events when their trainer went on, 4 s of a step's 7.5 s for the second time.
+ * Records the output that a batch's items have generated so far, so that the next owner can resume them after a crash.
  */
 import { Deadline, sleep } from '@fuchsiahitch/base';
 import { KeptEvents, type BatchLedger, type ItemEvents } from '@fuchsiahitch/batches';
@@ -10,7 +7,7 @@
 import type { ClaimLease } from './claimLease.js';
 import type { GatewayContext } from './gatewayContext.js';
 
-/** What is lost with an owner: at most this much of each item's work, for one write of the store a second. */
+/** A crash of the owner loses at most this much of each item's output. */
 const RECORD_INTERVAL_MS = 1000;
 const STORE_TIMEOUT_MS = 1000;
 
@@ -26,7 +23,7 @@
   private readonly _lease: ClaimLease;
   private readonly _recorded: KeptEvents;
   private _records = 0;
-  /** A write that was not confirmed is repeated as it was: it may have taken effect. */
+  /** An unanswered write may have taken effect, so it is retried unchanged. */
   private _pendingWrite: PendingWrite | undefined;
   private _isStopped = false;
 
@@ -46,7 +43,7 @@
     this._isStopped = true;
   }
 
-  /** The batch has ended, and its claim stands at another revision: keeps all that later steps may take up. */
+  /** Records all remaining output for later steps. Call after the end of the batch, which changes the claim's revision. */
   async finish(): Promise<void> {
     this.stop();
     this._pendingWrite = undefined;
@@ -86,7 +83,7 @@
     this._lease.markConfirmed(askedMs);
     this._records += 1;
     this._recorded.keep(events, texts);
-    this._context.log.debug('progress kept', { batchId: this._batchId, items: events.length });
+    this._context.log.debug('progress recorded', { batchId: this._batchId, items: events.length });
   }
 
   private _nextWrite(minEvents?: number): PendingWrite | undefined {
--- a/packages/gateway/src/resultLister.ts
+++ b/packages/gateway/src/resultLister.ts
@@ -1,5 +1,5 @@
 /**
- * Writes the finished results of one batch to the store, in the order in which they ended.
+ * Appends the results of one batch to its list in the store, in the order in which the items ended.
  */
 import { Deadline, sleep } from '@fuchsiahitch/base';
 import {
@@ -27,11 +27,11 @@
   private _isListing = false;
   private _wake: () => void = () => undefined;
   private _isStopped = false;
-  /** A write that was not confirmed is repeated as it was: it may have taken effect. */
+  /** An unanswered write may have taken effect, so it is retried unchanged. */
   private _pendingWrite: readonly ItemResult[] | undefined;
   private _pendingSinceMs = 0;
 
-  /** `startedMs`: when this host began to run the batch. `listed`: told of results that were not listed before. */
+  /** `startedMs`: when this host started to run the batch. `onListed`: called after results were listed. */
   constructor(
     context: GatewayContext,
     store: BatchStore,
@@ -50,7 +50,7 @@
     this._onListed = onListed;
   }
 
-  /** Lists what has ended, if there is anything. */
+  /** Lists results that have become available. */
   list(): void {
     this._wake();
     if (!this._isListing) void this._run();
@@ -61,17 +61,16 @@
     this._wake();
   }
 
-  /** How long a write has waited for its answer, over all its repetitions; 0 if none waits. */
+  /** How long the pending write has been unanswered, retries included; 0 if there is none. */
   pendingWriteMs(): number {
     return this._pendingWrite ? this._context.clock.nowMs() - this._pendingSinceMs : 0;
   }
 
-  /** False while a write is under way or was not answered: the store may have results that are not listed here. */
+  /** False while a write is unanswered: the store may then have results that are not listed here. */
   isSettled(): boolean {
     return this._pendingWrite === undefined;
   }
 
-  /** One write at a time, until nothing is left. */
   private async _run(): Promise<void> {
     this._isListing = true;
     const { clock, stopped } = this._context;
@@ -83,7 +82,7 @@
     this._isListing = false;
   }
 
-  /** Waits for results that share the write, asking again how long at each that ends meanwhile. */
+  /** Waits for more results to share the write. Each new result updates the wait that the policy allows. */
   private async _waitForMore(sinceMs: number): Promise<void> {
     const { clock } = this._context;
     for (;;) {
--- a/packages/gateway/src/storedBatchReader.ts
+++ b/packages/gateway/src/storedBatchReader.ts
@@ -1,5 +1,5 @@
 /**
- * Reads batches that nobody runs from the store: they have ended, or their owners can't be reached.
+ * Reads batches from the store that have ended or whose owner is unreachable.
  */
 import { Deadline, sleep } from '@fuchsiahitch/base';
 import { pageFrom, type Batch, type ItemResult } from '@fuchsiahitch/batches';
@@ -8,9 +8,9 @@
 import type { GatewayContext } from './gatewayContext.js';
 
 const STORE_TIMEOUT_MS = 1000;
-/** How often a batch whose owner can't be reached is read from the store while a reader waits. */
+/** Poll interval while a reader waits for results of an open batch. */
 const STORED_POLL_MS = 400;
-/** Batches that are kept in memory for their readers, about a quarter of a megabyte each; the rest is read from the store. */
+/** Cached batches, about 250 KB each. */
 const MAX_CACHED = 8;
 
 export class StoredBatchReader {
@@ -20,14 +20,14 @@
   private readonly _batches = new ReadCache<Batch>();
   private readonly _endedResults = new ReadCache<readonly ItemResult[]>();
 
-  /** `isEnded`: whether a batch has ended by its claim as last read. */
+  /** `isEnded`: whether a batch has ended according to its claim as last read. */
   constructor(context: GatewayContext, store: BatchStore, isEnded: (batchId: string) => boolean) {
     this._context = context;
     this._store = store;
     this._isEnded = isEnded;
   }
 
-  /** Results from a position on. While there is none and the batch is open, waits for one until the deadline. */
+  /** Returns results from a position on. If the batch is open, waits for the first one until the deadline. */
   async read(batchId: string, held: HeldClaim, after: number, deadline: Deadline): Promise<ReadOutcome> {
     for (;;) {
       const results = await this._results(batchId, held);
@@ -40,7 +40,7 @@
     }
   }
 
-  /** What an item was submitted with. */
+  /** Returns the request body of an item. */
   async item(batchId: string, itemId: string): Promise<ItemOutcome> {
     const batch = await this._batches.read(batchId, () => this._readBatch(batchId));
     if (!batch) return { kind: 'unsure' };
@@ -49,8 +49,8 @@
   }
 
   /**
-   * Undefined if the store can't be read. The results of an ended batch never change again. It must have ended before they were
-   * read: a read that overlaps the end may find fewer results than readers elsewhere are shown, for good.
+   * Returns undefined if the store can't be read. Results are cached only if the batch had ended before the read: a read that
+   * overlaps the end may miss results.
    */
   private async _results(batchId: string, held: HeldClaim): Promise<readonly ItemResult[] | undefined> {
     const read = (): Promise<readonly ItemResult[] | undefined> => this._readResults(batchId);
@@ -73,11 +73,11 @@
   }
 }
 
-/** Reads of what never changes, made once for all who ask meanwhile and kept for those who ask later. */
+/** Caches reads of immutable data. Concurrent reads of a key share one load. */
 class ReadCache<T> {
   private readonly _entries = new Map<string, Promise<T | undefined>>();
 
-  /** Undefined, and not kept, if it can't be read. */
+  /** Returns undefined if the load fails; failures are not cached. */
   async read(key: string, load: () => Promise<T | undefined>): Promise<T | undefined> {
     const cached = this._entries.get(key);
     if (cached) return cached;
--- a/tests/endedReads.spec.ts
+++ b/tests/endedReads.spec.ts
@@ -376,7 +376,7 @@
   const { lines } = host.context.log;
   const before = lines.length;
   host.storeClient.mode = 'well';
-  const heard = new Set(['results listed', 'progress kept', 'batch stopped']);
+  const heard = new Set(['results listed', 'progress recorded', 'batch stopped']);
   const isHeard = (): boolean => lines.slice(before).some(line => heard.has(line.text));
   for (let ms = 0; ms < 2500 && !isHeard(); ms += 10) await world.clock.advance(10);
   return isHeard();
