--- a/packages/gateway/src/attemptReason.ts
+++ b/packages/gateway/src/attemptReason.ts
@@ -1,15 +1,15 @@
 /**
- * Why an attempt at an endpoint did not succeed, for the log.
+ * Extracts the reason of a failed attempt for the log.
  */
 
-/** An end of an attempt: a refusal has a reason of a few, a broken connection its error's text. */
+/** A refusal has a `reason` from a fixed set, a broken connection the `text` of its error. */
 interface AttemptFailure {
   readonly kind: string;
   readonly reason?: string;
   readonly text?: string;
 }
 
-/** Undefined for an end that needs none. */
+/** Returns undefined for an end without a reason. */
 export function reasonOf({ reason, text }: AttemptFailure): string | undefined {
   return reason ?? text;
 }
--- a/packages/gateway/src/batchOutcomes.ts
+++ b/packages/gateway/src/batchOutcomes.ts
@@ -1,11 +1,11 @@
 /**
- * How the calls of a trainer about its batches end.
+ * Outcomes of a trainer's calls about its batches.
  */
 import type { ResultPage } from '@fuchsiahitch/batches';
 
 export type SubmitOutcome =
   | { readonly kind: 'accepted' }
-  /** Nothing of the batch runs, now or later. */
+  /** No item of the batch runs, now or later. */
   | { readonly kind: 'not-run'; readonly reason: string; readonly retryAfterMs: number }
   | { readonly kind: 'unknown' };
 
--- a/packages/gateway/src/batchRoute.ts
+++ b/packages/gateway/src/batchRoute.ts
@@ -1,17 +1,17 @@
 /**
- * The routes of a batch's items, as the configuration has them at this moment.
+ * Looks up the routes of a batch's items in the current configuration.
  */
 import type { Batch, BatchItem } from '@fuchsiahitch/batches';
 import type { Route } from '@fuchsiahitch/rules';
 import type { ConfigurationService } from './configurationService.js';
 
-/** The route of the batch's items; they share one. Undefined if the configuration has none for them. */
+/** Returns the route that all items of the batch share, or undefined if there is none. */
 export function batchRoute(configuration: ConfigurationService, batch: Batch): Route | undefined {
   const [item] = batch.items;
   return item && itemRoute(configuration, batch, item);
 }
 
-/** The route of one item by its own path. Undefined if the configuration has none for it. */
+/** Returns the route of a single item, or undefined if there is none. */
 export function itemRoute(
   configuration: ConfigurationService,
   batch: Batch,
--- a/packages/gateway/src/batchService.ts
+++ b/packages/gateway/src/batchService.ts
@@ -290,11 +290,11 @@
   ): Promise<BatchOwner> {
     const owner = this._createOwner(held, stored);
     const { id } = stored.batch;
-    const [carried, recorded] = await Promise.all([
+    const [before, recorded] = await Promise.all([
       this._priorProgress.fromPreviousSteps(stored.batch, owner.isSingleVersion()),
       this._priorProgress.fromPreviousOwners(id, held),
     ]);
-    owner.ledger.carry(carried);
+    owner.ledger.carry(before);
     owner.ledger.resume([...recorded, ...unfinished]);
     this._context.log.info('batch started', {
       batchId: id,
--- a/packages/gateway/src/itemAttempt.ts
+++ b/packages/gateway/src/itemAttempt.ts
@@ -1,5 +1,5 @@
 /**
- * One attempt to run an item at one endpoint.
+ * A single attempt to run an item at an endpoint.
  */
 import { silenceBounds, type BatchItem, type BatchLedger, type GeneratedEvent } from '@fuchsiahitch/batches';
 import type { CancelTimer } from '@fuchsiahitch/base';
@@ -7,12 +7,12 @@
 import type { GatewayContext } from './gatewayContext.js';
 import type { EndpointClient, EndpointLoad, ItemEnd, ItemListener } from './ports.js';
 
-/** `stalled`: nothing came for too long. `old-version`: the endpoint's weights are older than allowed. */
+/** `stalled`: no event arrived in time. `old-version`: the weights are too old or don't match the text so far. */
 export type AttemptEnd = ItemEnd | { readonly kind: 'stalled' } | { readonly kind: 'old-version' };
 
-/** How often an item at a suspect endpoint looks for a free place elsewhere. */
+/** How often an item at an unresponsive endpoint checks for a free place elsewhere. */
 const SUSPECT_RECHECK_MS = 100;
-/** No item runs longer than this: a bound for the endpoint, not a goal. */
+/** Upper bound for a run, sent to the endpoint. */
 const MAX_RUN_MS = 30_000;
 
 export class ItemAttempt implements ItemListener {
@@ -27,11 +27,11 @@
   private _decidedEnd: AttemptEnd | undefined;
   private _isAnswered = false;
   private _lastEventMs: number | undefined;
-  /** When the endpoint showed last that it works on this attempt, by this host's wall clock. */
+  /** Wall time of the last sign that the endpoint works on this attempt. */
   private _lastActivityWallMs: number;
   private _stallTimer: CancelTimer | undefined;
 
-  /** `mayLeave`: whether a place is free elsewhere, asked when the endpoint is suspect. */
+  /** `canMove`: whether another endpoint has a free place. Checked while the endpoint is unresponsive. */
   constructor(
     context: GatewayContext,
     client: EndpointClient,
@@ -54,18 +54,17 @@
     return this._item.id;
   }
 
-  /** Ends the attempt from outside; the endpoint drops the run when its connection closes. */
+  /** Cancels the attempt. The endpoint aborts the run when its connection closes. */
   stop(): void {
     this._decidedEnd ??= { kind: 'cancelled' };
     this._abort.abort();
   }
 
-  /** True once the endpoint has begun to answer: the item has reached it. */
+  /** True once the endpoint has started to answer. */
   isAnswered(): boolean {
     return this._isAnswered;
   }
 
-  /** How long the attempt has run. */
   elapsedMs(): number {
     return this._context.clock.nowMs() - this._startedMs;
   }
@@ -75,10 +74,10 @@
     stats.began(true);
     this._armStallTimer();
     const span = this._context.tracing.begin('endpoint', undefined);
-    const replaced = (): void => this._endpointRestarted();
-    this.endpoint.replaced.addEventListener('abort', replaced);
+    const onReplaced = (): void => this._endpointRestarted();
+    this.endpoint.replaced.addEventListener('abort', onReplaced);
     const end = await this._client.runItem(this._call(), this, this._abort.signal);
-    this.endpoint.replaced.removeEventListener('abort', replaced);
+    this.endpoint.replaced.removeEventListener('abort', onReplaced);
     this._stallTimer?.();
     const verdict = this._decidedEnd ?? this._rejectEmpty(end);
     const batchId = this._ledger.batch.id;
@@ -92,12 +91,12 @@
     const { model, minVersion } = this._ledger.batch;
     this._isAnswered = true;
     if (load) this.endpoint.loaded(load);
-    // An endpoint that goes on after a text's last event generates nothing, and names no version.
+    // An endpoint that resumes after the last event of a text generates nothing and reports no version.
     if (version === undefined) return true;
     if (model !== '') this.endpoint.answeredVersion(model, version);
     const progress = this._ledger.progress(this._item.id);
     if (version >= minVersion && progress.mayContinueWith(version)) return true;
-    // The text so far can't go on under this version. A version that is too old says nothing against the text.
+    // The text so far can't be continued with this version. It is kept if the version is merely too old.
     if (version >= minVersion) progress.clear();
     this._decidedEnd = { kind: 'old-version' };
     return false;
@@ -105,7 +104,7 @@
 
   event(event: GeneratedEvent): boolean {
     const nowMs = this._context.clock.nowMs();
-    // Two events that a late loop reads at once, or late, tell nothing of the endpoint's pace.
+    // Events that were read late because of event loop lag don't show the endpoint's pace.
     if (this._lastEventMs !== undefined && this._context.loop.isPunctualSince(this._lastEventMs))
       this.endpoint.paced(nowMs - this._lastEventMs);
     this._lastEventMs = nowMs;
@@ -113,13 +112,13 @@
     this._armStallTimer();
     const effect = this._ledger.event(this._item.id, event);
     if (effect === 'added' || effect === 'repeated') return true;
-    this._decidedEnd = { kind: 'broken', text: `event ${event.number} at the wrong place (${effect})` };
+    this._decidedEnd = { kind: 'broken', text: `event ${event.number} is out of sequence (${effect})` };
     return false;
   }
 
   /**
-   * A run of a former start is lost, and nothing says so where the endpoint lost its power: the item would wait for the
-   * time-out between events. A run that showed life after the restart belongs to the new start, and goes on.
+   * Ends a run that was lost in a restart of the endpoint. After a power failure the connection is not closed, and the item
+   * would wait for the stall timeout. A run with activity after the restart belongs to the new process and continues.
    */
   private _endpointRestarted(): void {
     if (this._lastActivityWallMs >= this.endpoint.nextStartWallMs()) return;
@@ -127,7 +126,7 @@
     this._abort.abort();
   }
 
-  /** A stream that ended well before its first event was no text. */
+  /** Treats a stream that completed without any event as broken. */
   private _rejectEmpty(end: ItemEnd): AttemptEnd {
     const isEmpty = end.kind === 'done' && this._ledger.progress(this._item.id).lastEvent() === 0;
     return isEmpty ? { kind: 'broken', text: 'the stream ended without an event' } : end;
@@ -141,22 +140,21 @@
     this._watchForStall(suspectMs, this._context.clock.nowMs() + giveUpMs);
   }
 
-  /** Waits, lets the loop read what has arrived, and decides. An event on the way puts an end to all three. */
-  private _watchForStall(waitMs: number, giveUpAtMs: number): void {
+  /** Waits, lets the event loop read pending I/O, then checks for a stall. An event meanwhile cancels the check. */
+  private _watchForStall(waitMs: number, abandonAtMs: number): void {
     const { clock, loop } = this._context;
     const sinceMs = this._lastEventMs ?? this._startedMs;
     this._stallTimer?.();
     this._stallTimer = clock.after(waitMs, () => {
-      this._stallTimer = loop.afterReading(sinceMs, () => this._checkStall(giveUpAtMs));
+      this._stallTimer = loop.afterReading(sinceMs, () => this._checkStall(abandonAtMs));
     });
   }
 
-  /** Nothing came for a while. */
-  private _checkStall(giveUpAtMs: number): void {
-    const leftMs = giveUpAtMs - this._context.clock.nowMs();
-    const isOver = leftMs <= 0 || this._canMove(this);
-    if (!isOver) {
-      this._watchForStall(Math.min(leftMs, SUSPECT_RECHECK_MS), giveUpAtMs);
+  private _checkStall(abandonAtMs: number): void {
+    const leftMs = abandonAtMs - this._context.clock.nowMs();
+    const isStalled = leftMs <= 0 || this._canMove(this);
+    if (!isStalled) {
+      this._watchForStall(Math.min(leftMs, SUSPECT_RECHECK_MS), abandonAtMs);
       return;
     }
     this._decidedEnd ??= { kind: 'stalled' };
@@ -178,7 +176,7 @@
   }
 }
 
-/** True if the end speaks against the endpoint. A refusal is its right, and an impossible item its answer. */
+/** True if the end counts as a failure of the endpoint. A refusal or an impossible item does not. */
 function isFailure(end: AttemptEnd): boolean {
   return end.kind === 'broken' || end.kind === 'stalled' || end.kind === 'failed';
 }
--- a/packages/gateway/src/itemBackoff.ts
+++ b/packages/gateway/src/itemBackoff.ts
@@ -1,10 +1,9 @@
 /**
- * The pauses of one batch's items whose tries bring nothing, and the log line that tells of them.
+ * Backoff for items of a batch whose attempts make no progress. Logs such items.
  */
 import { isWorthTelling, retryPauseMs, type BatchItem } from '@fuchsiahitch/batches';
 import type { GatewayContext } from './gatewayContext.js';
 
-/** What the items are tried for. */
 export type ItemStage = 'generation' | 'scoring';
 
 export class ItemBackoff {
@@ -12,7 +11,6 @@
   private readonly _batchId: string;
   private readonly _stage: ItemStage;
   private readonly _fruitlessCounts = new Map<string, number>();
-  /** Items that made no progress wait until then. */
   private readonly _pausedUntilMs = new Map<string, number>();
 
   constructor(context: GatewayContext, batchId: string, stage: ItemStage) {
@@ -21,13 +19,13 @@
     this._stage = stage;
   }
 
-  /** Those of the items that don't wait at this moment. */
+  /** Returns the items that are not paused. */
   ready(items: readonly BatchItem[]): readonly BatchItem[] {
     const nowMs = this._context.clock.nowMs();
     return items.filter(item => nowMs >= (this._pausedUntilMs.get(item.id) ?? 0));
   }
 
-  /** One more try of the item brought nothing. */
+  /** Records an attempt without progress. */
   attemptFailed(itemId: string): void {
     const fruitless = (this._fruitlessCounts.get(itemId) ?? 0) + 1;
     this._fruitlessCounts.set(itemId, fruitless);
@@ -35,7 +33,7 @@
     if (isWorthTelling(fruitless)) this._log({ itemId, fruitless });
   }
 
-  /** As `tried`, for an item whose tries in a row the ledger counts. A text that was dropped is always told. */
+  /** Like `attemptFailed`, for items whose fruitless attempts the ledger counts. A dropped text is always logged. */
   versionMismatched(itemId: string, fruitless: number, isTextDropped: boolean): void {
     this._pause(itemId, fruitless);
     if (isTextDropped || isWorthTelling(fruitless)) this._log({ itemId, fruitless, isTextDropped });
--- a/packages/gateway/src/itemPlacer.ts
+++ b/packages/gateway/src/itemPlacer.ts
@@ -1,5 +1,5 @@
 /**
- * Chooses the endpoints at which the items of one batch run.
+ * Chooses endpoints for the items of one batch.
  */
 import { shouldMove, type Batch, type BatchItem, type BatchLedger } from '@fuchsiahitch/batches';
 import type { Route } from '@fuchsiahitch/rules';
@@ -17,24 +17,19 @@
   readonly configuration: ConfigurationService;
 }
 
-/** Endpoints in the order in which they are asked: those of a later tier only if no earlier one has a place. */
+/** In order of preference: a tier is used only if no earlier one has a free place. */
 export type EndpointTiers = readonly EndpointTier[];
 
-/** Lengths have a long tail: about a tenth of the items is several times as long as the rest, and estimates err. */
+/** About a tenth of the items are several times longer than the rest; the margin allows for estimation errors. */
 const LONG_ITEM_FRACTION = 0.25;
-/**
- * How often a quicker place is looked for; a pace follows an endpoint within half a second. Looked for at every turn of
- * the owner, every 25 ms and at each end of an attempt, it took two fifths of the processor time of a batch's first 3 s,
- * which a small host does not have. Measured with 144 items at 34 endpoints over sockets: 1379 -> 829 ms of the first 3 s in
- * a process that has just started, 1002 -> 651 ms in its second batch.
- */
+/** The search for faster places is too expensive to run at every placement. */
 const MOVE_INTERVAL_MS = 250;
 
-/** An endpoint with free places, and its pace; Infinity before any is known. */
+/** An endpoint with free places. `paceMs` is Infinity until a pace is known. */
 interface PacedPlace {
   readonly endpoint: Endpoint;
   readonly paceMs: number;
-  /** Places that no item has left for yet. */
+  /** Free places not yet reserved by a move. */
   left: number;
 }
 
@@ -44,7 +39,7 @@
   private readonly _ledger: BatchLedger;
   private readonly _groupEndpoints = new Map<string, string>();
   private readonly _avoided = new Map<string, Set<string>>();
-  /** Items of this many expected tokens and more are long. */
+  /** Items with at least this many expected tokens count as long. */
   private readonly _longTokens: number;
   private _nextMoveCheckMs = -Infinity;
 
@@ -55,14 +50,14 @@
     this._longTokens = longTokens(ledger.batch);
   }
 
-  /** The endpoints for the batch's items as they stand now; none if the items have no route. */
+  /** Returns the current endpoints for the batch's items; none if the items have no route. */
   tiers(): EndpointTiers {
     const route = this._routeOfBatch();
     const tiers = route ? this._tiersOf(route) : [];
     return tiers.map(endpoints => new EndpointTier(endpoints));
   }
 
-  /** An endpoint that has a place for the item, which begins there at once. `isAlone`: it does not follow its group. */
+  /** Reserves a place for the item at an endpoint. `ignoresGroup`: does not prefer the endpoint of the item's group. */
   choose(item: BatchItem, tiers: EndpointTiers, ignoresGroup = false): Endpoint | undefined {
     const avoid = this._avoided.get(item.id) ?? new Set<string>();
     const request = {
@@ -75,18 +70,18 @@
       const endpoint = tier.take(request);
       if (endpoint) return endpoint;
     }
-    // All were tried: the item may go anywhere again.
+    // All endpoints were tried: allow them again.
     const tried = tiers.reduce((sum, tier) => sum + tier.size, 0);
     if (avoid.size > 0 && avoid.size >= tried) avoid.clear();
     return undefined;
   }
 
-  /** The item begins at the endpoint: the others of its group follow it there. */
+  /** Records the endpoint of a started item, which the rest of its group will prefer. */
   recordStart(item: BatchItem, endpoint: Endpoint): void {
     this._groupEndpoints.set(item.group, endpoint.id);
   }
 
-  /** The item is not to run at the endpoint again, until all others were tried. */
+  /** Excludes the endpoint for the item until all others were tried. */
   avoid(item: BatchItem, endpoint: Endpoint): void {
     const avoided = this._avoided.get(item.id) ?? new Set<string>();
     avoided.add(endpoint.id);
@@ -94,15 +89,15 @@
     if (this._groupEndpoints.get(item.group) === endpoint.id) this._groupEndpoints.delete(item.group);
   }
 
-  /** True if another endpoint, at which the item has not failed of late, has a place for it. */
+  /** True if another endpoint that the item does not avoid has a free place. */
   hasFreePlaceElsewhere(item: BatchItem, attempt: ItemAttempt): boolean {
     const route = this._routeOfBatch();
     return route !== undefined && this._freeElsewhere(route, item, attempt).length > 0;
   }
 
   /**
-   * The attempts whose items should move: another endpoint is so much quicker and has a place. Looked for now and then
-   * only; empty in between.
+   * Returns attempts whose items should move to a sufficiently faster endpoint with a free place. The search is throttled
+   * by `MOVE_INTERVAL_MS`; calls in between return nothing.
    */
   dueMoves(attempts: readonly ItemAttempt[]): readonly ItemAttempt[] {
     const nowMs = this._context.clock.nowMs();
@@ -117,7 +112,6 @@
     return moving;
   }
 
-  /** The endpoints with a free place whose paces are known. */
   private _pacedPlaces(): readonly PacedPlace[] {
     const route = this._routeOfBatch();
     const candidates = route ? this._candidates(route) : [];
@@ -127,8 +121,8 @@
   }
 
   /**
-   * Takes a place at a quicker endpoint for the attempt's item, if there is one. The places are counted down: without that
-   * every item of a slow endpoint leaves for the same place, and all but one of them then wait for another.
+   * Reserves a place at a faster endpoint for the attempt's item, if there is one. Without the reservation, all items of a
+   * slow endpoint would move for the sake of the same place.
    */
   private _reserveFasterPlace(attempt: ItemAttempt, places: readonly PacedPlace[]): boolean {
     const { endpoint, itemId } = attempt;
@@ -153,8 +147,8 @@
   }
 
   /**
-   * The endpoints in the order in which they are asked: first those that load this model's versions, then the
-   * others. Without that the owners of two trainers' batches fill the same endpoints, and neither sees it in time.
+   * Returns the endpoints that load this model's versions, then all others. Without the split the owners of two trainers'
+   * batches would fill the same endpoints.
    */
   private _tiersOf(route: Route): readonly (readonly Endpoint[])[] {
     const candidates = this._candidates(route);
@@ -170,7 +164,7 @@
     ];
   }
 
-  /** Endpoints of the route's pools whose weights are new enough. */
+  /** Endpoints of the route's pools that are not leaving and whose weights are new enough. */
   private _candidates(route: Route): readonly Endpoint[] {
     const { model, minVersion } = this._ledger.batch;
     return route.pools
@@ -180,7 +174,7 @@
       .filter(endpoint => model === '' || endpoint.versionOf(model) >= minVersion);
   }
 
-  /** Endpoints with a free place, besides the attempt's own, at which the item has not failed of late. */
+  /** Endpoints with a free place, except the attempt's own and those that the item avoids. */
   private _freeElsewhere(route: Route, item: BatchItem, attempt: ItemAttempt): readonly Endpoint[] {
     const avoid = this._avoided.get(item.id);
     return this._candidates(route)
@@ -188,13 +182,13 @@
       .filter(other => other.freePlaces() > 0 && !avoid?.has(other.id));
   }
 
-  /** An item that was moved, or that its owner before left: what is left of it should go quickly. */
+  /** True for items that were moved or inherited from a previous owner. They are treated as long, to finish quickly. */
   private _isStarted(item: BatchItem): boolean {
     return this._ledger.progress(item.id).lastEvent() > 0;
   }
 }
 
-/** The longest quarter of the items by their estimates; Infinity when there are none. */
+/** Returns the estimate from which items count as long; Infinity if there are no estimates. */
 function longTokens(batch: Batch): number {
   const estimates = batch.items.map(item => item.expectedTokens).sort((a, b) => b - a);
   const limit = estimates[Math.floor(estimates.length * LONG_ITEM_FRACTION)] ?? 0;
--- a/packages/gateway/src/itemScoring.ts
+++ b/packages/gateway/src/itemScoring.ts
@@ -1,9 +1,9 @@
 /**
- * Asks for the scores of a batch's whole texts.
+ * Requests scores for the complete texts of a batch.
  *
- * A request for a score goes by the rules, limits and retries of a caller's request, and leaves places of each endpoint
- * to callers. It may be repeated, so that no answer but a whole success counts, and a broken or late one is asked for
- * again elsewhere. It is never sent before its text is whole: the ledger gives out whole texts only.
+ * Score requests follow the rules, limits and retries of caller requests, and leave some places of each endpoint to
+ * callers. They are idempotent: broken or late requests are repeated at other endpoints, and only a complete successful
+ * answer counts.
  */
 import { setMaxListeners } from 'node:events';
 import type { BatchItem, BatchLedger, ScoreRequest } from '@fuchsiahitch/batches';
@@ -21,10 +21,7 @@
   readonly forwarder: Forwarder;
 }
 
-/**
- * How a request for a score ended. `failed`: scoring services answered so often with a failure of their own.
- * `not-scored` says nothing about the text.
- */
+/** `failed`: scoring services failed on this text `failures` times. `not-scored`: no verdict about the text. */
 export type ScoreEnd =
   | { readonly kind: 'scored'; readonly score: string }
   | { readonly kind: 'failed'; readonly failures: number; readonly status: number }
@@ -33,10 +30,6 @@
 const FIRST_SUCCESS = 200;
 const LAST_SUCCESS = 299;
 const SERVER_ERROR = 500;
-/**
- * A score takes some 43 ms, and up to 220: one that is not there by then is asked for anew, at endpoints that were not
- * tried. Trainers read their results twice a second.
- */
 const SCORE_TIMEOUT_MS = 1000;
 
 export class ItemScoring {
@@ -46,12 +39,12 @@
   private readonly _maxItemFailures: number;
   private readonly _onResult: () => void;
   private _abort = newAbortController();
-  /** True if something was asked for since the last interruption. */
+  /** True if scores were requested since the last interruption. */
   private _hasRequests = false;
   private _isStopped = false;
   private readonly _backoff: ItemBackoff;
 
-  /** `maxItemFailures`: the failures after which the route of the items lets one go. `ended`: a result is there. */
+  /** `maxItemFailures`: failures after which the items' route terminates one. `ended`: called when a result is available. */
   constructor(
     context: GatewayContext,
     ports: ScoringPorts,
@@ -67,7 +60,7 @@
     this._backoff = new ItemBackoff(context, ledger.batch.id, 'scoring');
   }
 
-  /** Asks for every score that is missing and not paused. */
+  /** Requests all missing scores that are not paused. */
   run(): void {
     if (this._isStopped) return;
     for (const item of this._backoff.ready(this._ledger.unscored())) {
@@ -78,13 +71,13 @@
     }
   }
 
-  /** Drops what is being asked for: endpoints stop when their connections close. */
+  /** Aborts all requests. Endpoints stop when their connections close. */
   stop(): void {
     this._isStopped = true;
     this._abort.abort();
   }
 
-  /** As `stop`, for the time being: `run` asks again. */
+  /** Aborts all requests. `run` sends them again. */
   interrupt(): void {
     if (this._isStopped || !this._hasRequests) return;
     this._hasRequests = false;
@@ -161,14 +154,14 @@
   }
 }
 
-/** Each request that is under way listens: a batch has as many as items end at a time. */
+/** Returns a controller without a listener limit: every request in flight listens to its signal. */
 function newAbortController(): AbortController {
   const aborter = new AbortController();
   setMaxListeners(0, aborter.signal);
   return aborter;
 }
 
-/** What an answer to a request for a score says. Only a whole success with its proof of origin is a score. */
+/** Interprets the answer to a score request. Only a complete success with proof of origin is a score. */
 export function toScoreEnd(outcome: ForwardOutcome): ScoreEnd {
   if (outcome.kind !== 'answered') {
     const reason = 'reason' in outcome ? outcome.reason : outcome.kind;
--- a/packages/gateway/src/modelShares.ts
+++ b/packages/gateway/src/modelShares.ts
@@ -1,5 +1,5 @@
 /**
- * How the endpoints of a pool are divided among its models, as every host computes it from its own view.
+ * Divides the endpoints of a pool among its models. Every host computes this from its own view of the pool.
  */
 import { shareEndpoints, type ModelTargets, type SharedEndpoint } from '@fuchsiahitch/batches';
 import type { ConfigurationService } from './configurationService.js';
@@ -9,9 +9,9 @@
 export interface ModelShares {
   /** The endpoints of the pool that are not leaving. */
   readonly endpoints: readonly Endpoint[];
-  /** The newest version of each model by its name. */
+  /** The newest version of each model, by model name. */
   readonly targets: ModelTargets;
-  /** The identifiers of each model's endpoints. */
+  /** Endpoint identifiers by model name. */
   readonly shares: ReadonlyMap<string, readonly string[]>;
 }
 
--- a/packages/gateway/src/poisonItemFilter.ts
+++ b/packages/gateway/src/poisonItemFilter.ts
@@ -1,8 +1,8 @@
 /**
- * Which items of one batch may be sent, as far as endpoints have ended under them.
+ * Holds back items of a batch that are suspected to be poison requests, under which endpoints have terminated.
  *
- * A held item stays in its batch until the batch ends or its route lets it go: it has not failed by its trainer's rules, and
- * the rest of its step goes on without it.
+ * A held item does not count as failed. It stays in its batch until the batch ends or the route's retention expires, and
+ * the rest of the step continues without it.
  */
 import type { Batch, BatchItem, BatchLedger } from '@fuchsiahitch/batches';
 import type { PoisonVerdict, RequestIdentity } from '@fuchsiahitch/requests';
@@ -11,7 +11,7 @@
 import type { AttemptEnd } from './itemAttempt.js';
 import type { PoisonGuard } from './poisonGuard.js';
 
-/** While a host asks the store for a trial of an item, and after it was not given. */
+/** Minimum time between two requests for a trial of the same item. */
 const CLAIM_PAUSE_MS = 1000;
 
 export class PoisonItemFilter {
@@ -20,12 +20,12 @@
   private readonly _ledger: BatchLedger;
   private readonly _onTrialClaimed: () => void;
   private readonly _identities = new Map<string, RequestIdentity>();
-  /** Items whose trial this host has claimed. */
+  /** Numbers of the trials that this host has claimed, by item. */
   private readonly _trials = new Map<string, number>();
   private readonly _nextClaimMs = new Map<string, number>();
   private readonly _loggedVerdicts = new Map<string, PoisonVerdict['kind']>();
 
-  /** `claimed`: called when an item may be sent that could not before. */
+  /** `onTrialClaimed`: called when a held item may be sent. */
   constructor(context: GatewayContext, poison: PoisonGuard, ledger: BatchLedger, onTrialClaimed: () => void) {
     this._context = context;
     this._poison = poison;
@@ -33,18 +33,18 @@
     this._onTrialClaimed = onTrialClaimed;
   }
 
-  /** Those of the items that may be sent. Asks for a trial of each that may be sent by its trial only. */
+  /** Returns the items that may be sent. Requests trials for items that may only be sent as a trial. */
   ready(items: readonly BatchItem[]): readonly BatchItem[] {
     if (this._poison.isIdle()) return items;
     return items.filter(item => this._isReady(item));
   }
 
-  /** True if some endpoint has ended under the item. */
+  /** True if an endpoint has terminated while it ran the item. */
   isSuspectItem(item: BatchItem): boolean {
     return !this._poison.isIdle() && this._poison.isSuspect(this._identity(item));
   }
 
-  /** Takes in how an attempt ended; resolves once it is known what that says of the item. */
+  /** Records the end of an attempt. Resolves once its effect on the item's verdict is known. */
   async ended(item: BatchItem, endpoint: Endpoint, end: AttemptEnd): Promise<void> {
     const trial = this._trials.get(item.id);
     this._trials.delete(item.id);
@@ -89,7 +89,7 @@
     if (kind === before) return;
     this._loggedVerdicts.set(item.id, kind);
     const { id: batchId } = this._ledger.batch;
-    this._context.log.warn('item under which endpoints ended', { batchId, itemId: item.id, verdict: kind });
+    this._context.log.warn('poison verdict of item changed', { batchId, itemId: item.id, verdict: kind });
   }
 
   private _identity(item: BatchItem): RequestIdentity {
@@ -101,7 +101,7 @@
   }
 }
 
-/** An item as a request. Its body is decoded only where a fingerprint is needed: most items are told apart by their paths. */
+/** Adapts an item to a request. The body is decoded lazily, since most items are distinguished by their paths. */
 class ItemIdentity implements RequestIdentity {
   readonly caller: string;
   readonly method = 'POST';
