--- a/packages/gateway/src/batchOwner.ts
+++ b/packages/gateway/src/batchOwner.ts
@@ -1,28 +1,27 @@
 /**
- * Runs one batch on the host that owns it: sends its items to endpoints, and has their results listed in the store.
+ * Runs one batch on the host that owns it: sends its items to endpoints and lists their results in the store.
  */
 import { Deadline, type CancelTimer } from '@fuchsiahitch/base';
 import { BatchLedger, pageFrom, type BatchItem, type BatchReadReply } from '@fuchsiahitch/batches';
 import { reasonOf } from './attemptReason.js';
 import { batchRoute } from './batchRoute.js';
 import type { BatchStore, HeldClaim, StoredBatch } from './batchStore.js';
-import { ClaimLease, SURE_MS } from './claimLease.js';
+import { ClaimLease, READ_CONFIRMATION_MAX_AGE_MS } from './claimLease.js';
 import type { ConfigurationService } from './configurationService.js';
 import type { Endpoint } from './endpoint.js';
 import type { EndpointDirectory } from './endpointDirectory.js';
 import type { Forwarder } from './forwarder.js';
 import type { GatewayContext } from './gatewayContext.js';
 import { ItemAttempt, type AttemptEnd } from './itemAttempt.js';
-import { ItemPauses } from './itemPauses.js';
+import { ItemBackoff } from './itemBackoff.js';
 import { ItemPlacer, type EndpointTiers } from './itemPlacer.js';
 import { ItemScoring } from './itemScoring.js';
-import { ItemSuspects } from './itemSuspects.js';
+import { PoisonItemFilter } from './poisonItemFilter.js';
 import type { PoisonGuard } from './poisonGuard.js';
 import type { EndpointClient } from './ports.js';
-import { ProgressKeeper } from './progressKeeper.js';
+import { ProgressRecorder } from './progressRecorder.js';
 import { ResultLister } from './resultLister.js';
 
-/** What the owner of a batch works with. */
 export interface BatchPorts {
   readonly store: BatchStore;
   readonly endpoints: EndpointDirectory;
@@ -30,64 +29,60 @@
   readonly client: EndpointClient;
   readonly forwarder: Forwarder;
   readonly poison: PoisonGuard;
-  /** How long after a confirmation by the store an owner may act on its claim. */
+  /** How long an owner may act on its claim after the store confirmed it. */
   readonly claimLeaseMs: number;
 }
 
-/** What the log tells of an attempt beside its end. */
-interface AttemptFacts {
-  /** The attempts of the item so far, this one included. */
+/** Details of an attempt that are logged besides its end. */
+interface AttemptDetails {
+  /** Counted from 1 for each item. */
   readonly number: number;
   readonly tookMs: number;
-  /** The claim on which it began. */
+  /** Revision of the claim when the attempt started. */
   readonly claimRevision: number;
-  /** When it began: the time since the store was asked for its last confirmation that this host owns the batch. */
+  /** Age of the store's last confirmation of the claim when the attempt started. */
   readonly claimAgeMs: number;
 }
 
 const STORE_TIMEOUT_MS = 1000;
-/** How often items that found no place look again. */
+/** Retry interval for items that no endpoint had a free place for. */
 const PLACE_INTERVAL_MS = 25;
-/**
- * Runs that begin in one turn of the loop. Each takes a third to half of a millisecond of processor time, and a host with
- * a third of a core reads nothing meanwhile: with all 144 in one turn its loop was late by 267 and 303 ms (first and second
- * batch, means of three runs over sockets), with 16 by 197 and 170; without a limit by 87 and 49, and 44 and 15.
- */
-const MAX_BEGUN = 16;
-/** An endpoint that refused an item gets none for this long: it is full or loads weights. */
-const REFUSED_PAUSE_MS = 250;
-/** Wall clocks of hosts are near true time; a generous bound for the difference of two. */
-const CLOCK_SKEW_MS = 5000;
+/** Attempts started in one turn of the event loop. Bounds event loop lag on hosts with a fraction of a core. */
+const MAX_STARTS_PER_TURN = 16;
+/** An endpoint that refused an item receives none for this long: it is full or loading weights. */
+const REFUSAL_PAUSE_MS = 250;
+/** Bound for the difference between the wall clocks of two hosts. */
+const MAX_CLOCK_SKEW_MS = 5000;
 
 export class BatchOwner {
   readonly ledger: BatchLedger;
   private readonly _context: GatewayContext;
   private readonly _ports: BatchPorts;
-  private readonly _lost: () => void;
+  private readonly _onClaimLost: () => void;
   private readonly _attempts = new Map<string, ItemAttempt>();
-  private readonly _keeper: ProgressKeeper;
-  private readonly _lister: ResultLister;
+  private readonly _progressRecorder: ProgressRecorder;
+  private readonly _resultLister: ResultLister;
   private readonly _scoring: ItemScoring;
-  private readonly _pauses: ItemPauses;
-  private readonly _suspects: ItemSuspects;
+  private readonly _backoff: ItemBackoff;
+  private readonly _poisonFilter: PoisonItemFilter;
   private readonly _lease: ClaimLease;
   private readonly _placer: ItemPlacer;
   private _isStopped = false;
   private _isEnding = false;
-  private _isLost = false;
+  private _isClaimLost = false;
   private _placeTimer: CancelTimer | undefined;
-  private _wake: (() => void)[] = [];
+  private _readerWakeups: (() => void)[] = [];
 
   constructor(
     context: GatewayContext,
     ports: BatchPorts,
     held: HeldClaim,
     stored: StoredBatch,
-    lost: () => void,
+    onClaimLost: () => void,
   ) {
     this._context = context;
     this._ports = ports;
-    this._lost = lost;
+    this._onClaimLost = onClaimLost;
     const { store } = ports;
     const { batch } = stored;
     const startedMs = context.clock.nowMs();
@@ -97,15 +92,17 @@
       maxAttempts,
       isSingleVersion: route?.isSingleVersion ?? false,
     });
-    this._lease = new ClaimLease(context, store, batch.id, held, ports.claimLeaseMs, () => this.lose());
+    this._lease = new ClaimLease(context, store, batch.id, held, ports.claimLeaseMs, () => this.claimLost());
     this._placer = new ItemPlacer(context, ports, this.ledger);
-    this._pauses = new ItemPauses(context, batch.id, 'generation');
-    this._suspects = new ItemSuspects(context, ports.poison, this.ledger, () => this._place());
-    this._scoring = new ItemScoring(context, ports, this.ledger, maxAttempts, () => this._lister.list());
-    this._lister = new ResultLister(context, store, this.ledger, startedMs, this._lease, () =>
+    this._backoff = new ItemBackoff(context, batch.id, 'generation');
+    this._poisonFilter = new PoisonItemFilter(context, ports.poison, this.ledger, () => this._placeItems());
+    this._scoring = new ItemScoring(context, ports, this.ledger, maxAttempts, () =>
+      this._resultLister.list(),
+    );
+    this._resultLister = new ResultLister(context, store, this.ledger, startedMs, this._lease, () =>
       this._wakeReaders(),
     );
-    this._keeper = new ProgressKeeper(context, store, this.ledger, this._lease);
+    this._progressRecorder = new ProgressRecorder(context, store, this.ledger, this._lease);
   }
 
   get batchId(): string {
@@ -116,28 +113,28 @@
     return this._lease.held.claim.isEnded;
   }
 
-  /** True if each text must be of one weight version. */
+  /** True if each text must be generated by a single weight version. */
   isSingleVersion(): boolean {
     return this.ledger.isSingleVersion();
   }
 
-  /** Begins to run what is not listed yet. */
+  /** Starts to run the items that have no listed result. */
   start(): void {
     if (this.isEnded() || this._isStopped) return;
     this._armExpiry();
     this._lease.start();
-    this._keeper.start();
-    this._lister.list();
-    this._place();
+    this._progressRecorder.start();
+    this._resultLister.list();
+    this._placeItems();
   }
 
-  /** Stops all attempts: the batch has ended, or another host runs it. */
+  /** Stops all attempts. */
   stop(reason: string): void {
     if (this._isStopped) return;
     this._isStopped = true;
     this._lease.stop();
-    this._keeper.stop();
-    this._lister.stop();
+    this._progressRecorder.stop();
+    this._resultLister.stop();
     this._scoring.stop();
     this._placeTimer?.();
     for (const attempt of this._attempts.values()) attempt.stop();
@@ -146,36 +143,36 @@
     this._context.log.info('batch stopped', { batchId, reason, listed: this.ledger.listed().length });
   }
 
-  /** Results from a position on; waits for one up to `waitMs` if there is none. */
+  /** Returns results from a position on. Waits up to `waitMs` for the first one. */
   async read(after: number, waitMs: number): Promise<BatchReadReply> {
     const deadline = Deadline.after(this._context.clock, waitMs);
-    while (this._hasNothingAfter(after) && !deadline.isOver()) await this._changed(deadline);
-    if (this._hasNothingAfter(after) && this._lister.unansweredMs() >= SURE_MS)
+    while (this._hasNoResultAfter(after) && !deadline.isOver()) await this._waitForChange(deadline);
+    if (this._hasNoResultAfter(after) && this._resultLister.pendingWriteMs() >= READ_CONFIRMATION_MAX_AGE_MS)
       return this._readStored(after);
-    if (this._hasNothingAfter(after) && !(await this._lease.isSure())) return { kind: 'unsure' };
-    if (this._isLost) return { kind: 'not-owner' };
+    if (this._hasNoResultAfter(after) && !(await this._lease.confirmOwnership())) return { kind: 'unsure' };
+    if (this._isClaimLost) return { kind: 'not-owner' };
     return { kind: 'page', ...pageFrom(this.ledger.listed(), this.ledger.total(), after) };
   }
 
   /**
-   * What the store has, while an append waits for its answer. The append may have taken effect, and hosts that can't reach
-   * this one then show its results: a confirmed claim alone does not allow to say that there is nothing more.
+   * Reads results from the store while an append is unanswered. The append may have taken effect, and hosts that can't
+   * reach this one then show its results, so a confirmed claim is not enough to return an empty page.
    */
   private async _readStored(after: number): Promise<BatchReadReply> {
     const results = await this._ports.store.results(this.batchId, this._storeDeadline());
     if (!results.ok) return { kind: 'unsure' };
-    if (this._isLost) return { kind: 'not-owner' };
+    if (this._isClaimLost) return { kind: 'not-owner' };
     return { kind: 'page', ...pageFrom(results.value, this.ledger.total(), after) };
   }
 
-  /** True while something new may be sent for the batch. */
-  mayAct(): boolean {
-    return !this._isEnding && !this._isStopped && this._lease.mayAct();
+  /** True while new requests may be sent for the batch. */
+  maySend(): boolean {
+    return !this._isEnding && !this._isStopped && this._lease.isValid();
   }
 
   /**
-   * Ends the batch for good. Nothing is sent from the moment in which the end is asked, also where it can't be agreed with
-   * the store: the trainer wants no more, and asks again.
+   * Ends the batch for good. Nothing new is sent from this call on, even if the store can't be reached: the trainer then
+   * repeats the request.
    */
   async end(): Promise<'ended' | 'lost' | 'out-of-reach'> {
     if (this.isEnded()) return 'ended';
@@ -185,38 +182,38 @@
     const done = await store.changeClaim(this.batchId, this._lease.held, { isEnded: true }, deadline);
     if (done.kind === 'out-of-reach') return 'out-of-reach';
     if (done.kind === 'lost') {
-      this.lose();
+      this.claimLost();
       return 'lost';
     }
     this._lease.changed(done.value);
-    // Results whose append is not answered may stand in the store, where hosts that can't ask this one read them. So that
-    // no reader is shown fewer here, the store alone is read from now on.
-    this._isLost = !this._lister.isSettled();
+    // An unanswered append may have taken effect, and other hosts then read its results from the store. This host then
+    // drops its ownership, so that its readers are served from the store too and never see fewer results.
+    this._isClaimLost = !this._resultLister.isSettled();
     this.stop('ended by the trainer');
-    if (this._isLost) this._lost();
-    void this._keeper.finish();
+    if (this._isClaimLost) this._onClaimLost();
+    void this._progressRecorder.finish();
     return 'ended';
   }
 
-  /** Another owner has the claim. */
-  lose(): void {
-    // After an end of its own the claim is at another revision, and nothing is lost.
+  /** Stops the batch because another host holds the claim. */
+  claimLost(): void {
+    // Ending the batch here also changes the revision of the claim.
     if (this._isStopped) return;
-    this._isLost = true;
+    this._isClaimLost = true;
     this.stop('another host owns the batch');
-    this._lost();
+    this._onClaimLost();
   }
 
-  private _hasNothingAfter(after: number): boolean {
-    const isMore = after < this.ledger.listed().length;
-    return !isMore && !this.ledger.isDone() && !this._isStopped;
+  private _hasNoResultAfter(after: number): boolean {
+    const hasMore = after < this.ledger.listed().length;
+    return !hasMore && !this.ledger.isDone() && !this._isStopped;
   }
 
-  /** Resolves at the next listed result, or when the deadline is over. */
-  private async _changed(deadline: Deadline): Promise<void> {
+  /** Resolves at the next listed result or at the deadline. */
+  private async _waitForChange(deadline: Deadline): Promise<void> {
     await new Promise<void>(resolve => {
       const cancel = this._context.clock.after(deadline.remainingMs(), resolve);
-      this._wake.push(() => {
+      this._readerWakeups.push(() => {
         cancel();
         resolve();
       });
@@ -224,78 +221,78 @@
   }
 
   private _wakeReaders(): void {
-    const wake = this._wake;
-    this._wake = [];
+    const wake = this._readerWakeups;
+    this._readerWakeups = [];
     for (const run of wake) run();
   }
 
-  /** Sends what may be sent, and looks again in a moment. */
-  private _place(): void {
+  /** Starts attempts for waiting items and schedules the next round. */
+  private _placeItems(): void {
     if (this._isStopped) return;
     this._placeTimer?.();
-    const isMoreToBegin = this.mayAct() ? this._sendWaiting() : this._holdBack();
-    if (!this.ledger.isFinished()) this._placeTimer = this._again(isMoreToBegin);
+    const hasMoreToStart = this.maySend() ? this._sendWaiting() : this._cancelUnanswered();
+    if (!this.ledger.isFinished()) this._placeTimer = this._schedulePlacement(hasMoreToStart);
   }
 
   /**
-   * Takes back what was begun and may not be written yet: a connection takes up to a second, and a process that is held up
-   * writes seconds later. Runs that an endpoint has answered go on.
+   * Cancels attempts that no endpoint has answered, since their requests may not be written yet: connecting takes up to a
+   * second, and a stalled process writes even later. Answered attempts continue.
    */
-  private _holdBack(): false {
+  private _cancelUnanswered(): false {
     this._scoring.interrupt();
     for (const attempt of this._attempts.values()) if (!attempt.isAnswered()) attempt.stop();
     return false;
   }
 
   /**
-   * Sends waiting items for which an endpoint has a place, and asks for scores. True if more may begin as soon as the loop
-   * has read.
+   * Sends waiting items to endpoints with a free place and requests missing scores. Returns true if more items may start
+   * as soon as pending I/O was read.
    */
   private _sendWaiting(): boolean {
     this._scoring.run();
-    const waiting = this._suspects.ready(this._pauses.ready(this.ledger.waiting()));
+    const waiting = this._poisonFilter.ready(this._backoff.ready(this.ledger.waiting()));
     const tiers = waiting.length > 0 ? this._placer.tiers() : [];
-    let begun = 0;
+    let started = 0;
     for (const item of waiting) {
-      if (begun === MAX_BEGUN) break;
-      if (this._placeItem(item, tiers)) begun += 1;
+      if (started === MAX_STARTS_PER_TURN) break;
+      if (this._tryStart(item, tiers)) started += 1;
     }
-    this._moveFromSlow();
-    return begun === MAX_BEGUN;
+    this._moveFromSlowEndpoints();
+    return started === MAX_STARTS_PER_TURN;
   }
 
-  private _again(isMoreToBegin: boolean): CancelTimer {
+  private _schedulePlacement(hasMoreToStart: boolean): CancelTimer {
     const { clock, loop } = this._context;
-    const place = (): void => this._place();
-    return isMoreToBegin ? loop.afterOneReading(place) : clock.after(PLACE_INTERVAL_MS, place);
+    const place = (): void => this._placeItems();
+    return hasMoreToStart ? loop.afterOneReading(place) : clock.after(PLACE_INTERVAL_MS, place);
   }
 
-  private _placeItem(item: BatchItem, tiers: EndpointTiers): boolean {
-    const endpoint = this._placer.choose(item, tiers, this._suspects.has(item));
+  private _tryStart(item: BatchItem, tiers: EndpointTiers): boolean {
+    const endpoint = this._placer.choose(item, tiers, this._poisonFilter.isSuspectItem(item));
     if (endpoint) void this._run(item, endpoint);
     return endpoint !== undefined;
   }
 
   private async _run(item: BatchItem, endpoint: Endpoint): Promise<void> {
     const number = this.ledger.beginAttempt(item.id);
-    // Where an endpoint has ended under an item, those of its group that follow it break with the next one.
-    if (!this._suspects.has(item)) this._placer.began(item, endpoint);
-    const mayLeave = (asking: ItemAttempt): boolean =>
-      this.mayAct() && this._placer.hasOtherPlace(item, asking);
+    // A suspected poison item runs apart from its group, so that it can't break the attempts of the others.
+    if (!this._poisonFilter.isSuspectItem(item)) this._placer.recordStart(item, endpoint);
+    const canMove = (current: ItemAttempt): boolean =>
+      this.maySend() && this._placer.hasFreePlaceElsewhere(item, current);
     const { client } = this._ports;
-    const attempt = new ItemAttempt(this._context, client, this.ledger, item, endpoint, mayLeave);
+    const attempt = new ItemAttempt(this._context, client, this.ledger, item, endpoint, canMove);
     this._attempts.set(item.id, attempt);
     const startedMs = this._context.clock.nowMs();
     const claimAgeMs = this._lease.ageMs();
     const claimRevision = this._lease.held.revision;
     const end = await attempt.run();
     const tookMs = this._context.clock.nowMs() - startedMs;
-    await this._suspects.ended(item, endpoint, end);
+    await this._poisonFilter.ended(item, endpoint, end);
     this._attempts.delete(item.id);
     this._logAttempt(item, endpoint, { number, tookMs, claimRevision, claimAgeMs }, end);
     if (this._isStopped) return;
     this._settle(item, endpoint, end);
-    this._place();
+    this._placeItems();
   }
 
   private _settle(item: BatchItem, endpoint: Endpoint, end: AttemptEnd): void {
@@ -312,7 +309,7 @@
         break;
       case 'not-run':
         this._placer.avoid(item, endpoint);
-        endpoint.closeFor(REFUSED_PAUSE_MS);
+        endpoint.closeFor(REFUSAL_PAUSE_MS);
         this.ledger.interrupted(item.id);
         break;
       case 'broken':
@@ -325,37 +322,36 @@
         break;
       case 'old-version':
         this._placer.avoid(item, endpoint);
-        this._contradicted(item);
+        this._versionMismatched(item);
         break;
     }
-    this._lister.list();
+    this._resultLister.list();
   }
 
-  /** The endpoint answered with weights that don't fit: another is asked, and in the end the item begins anew. */
-  private _contradicted(item: BatchItem): void {
+  /** Handles an answer with unsuitable weights: the item tries other endpoints and finally restarts from scratch. */
+  private _versionMismatched(item: BatchItem): void {
     const { fruitless, isTextDropped } = this.ledger.interruptedByEndpoint(item.id);
-    this._pauses.contradicted(item.id, fruitless, isTextDropped);
+    this._backoff.versionMismatched(item.id, fruitless, isTextDropped);
   }
 
-  /** Moves the items of slow endpoints to quick ones that have nothing better to do. */
-  private _moveFromSlow(): void {
+  /** Moves items from slow endpoints to faster ones once no item waits for a place. */
+  private _moveFromSlowEndpoints(): void {
     if (this.ledger.waiting().length > 0) return;
-    for (const attempt of this._placer.movesDue([...this._attempts.values()])) attempt.stop();
+    for (const attempt of this._placer.dueMoves([...this._attempts.values()])) attempt.stop();
   }
 
-  /** An item that is not done when its route lets it go is given up, so that its step has an end. */
+  /** Terminates items that are not done at the end of their route's retention period. */
   private _armExpiry(): void {
     const route = batchRoute(this._ports.configuration, this.ledger.batch);
     if (!route || route.keepMs === 0) return;
     const ageMs = Math.max(0, this._context.clock.wallMs() - this._lease.held.claim.acceptedWallMs);
-    // Wall clocks differ between hosts: an older batch may be a little younger than it seems.
-    const leftMs = Math.max(0, route.keepMs - ageMs) + CLOCK_SKEW_MS;
+    const leftMs = Math.max(0, route.keepMs - ageMs) + MAX_CLOCK_SKEW_MS;
     this._context.clock.after(leftMs, () => {
       if (this._isStopped || this.ledger.isDone()) return;
       this._context.log.warn('batch expired', { batchId: this.batchId, keepMs: route.keepMs });
       for (const attempt of this._attempts.values()) attempt.stop();
       this.ledger.terminateUnfinished();
-      this._lister.list();
+      this._resultLister.list();
     });
   }
 
@@ -366,7 +362,7 @@
   private _logAttempt(
     item: BatchItem,
     endpoint: Endpoint,
-    { number, tookMs, claimRevision, claimAgeMs }: AttemptFacts,
+    { number, tookMs, claimRevision, claimAgeMs }: AttemptDetails,
     end: AttemptEnd,
   ): void {
     this._context.metrics.attempts.inc({ kind: 'item', end: end.kind });
