--- a/packages/entry/src/requestService.ts
+++ b/packages/entry/src/requestService.ts
@@ -122,7 +122,7 @@
 
   async run(request: CallerRequest): Promise<CallerAnswer> {
     const startMs = this._context.clock.nowMs();
-    const hop = this._context.tracing.begin('caller', request.trace);
+    const hop = this._context.tracing.startSpan('caller', request.trace);
     this._inFlight += 1;
     try {
       const answer = await this._decideAndRun({ ...request, trace: hop.traceparent });
@@ -160,7 +160,7 @@
   private async _runKeyed(work: RunningRequest, pool: string, key: string): Promise<RunResult> {
     const { run, deadline, request } = work;
     const attemptId = this._context.random.id();
-    const hop = this._context.tracing.begin('peer', request.trace);
+    const hop = this._context.tracing.startSpan('peer', request.trace);
     const claim = await this._keys.client.claim(key, fingerprintOf(request), attemptId, deadline);
     hop.end({ claim: claim.kind });
     switch (claim.kind) {
@@ -212,7 +212,7 @@
       this._noTurn(work, turn);
       return;
     }
-    const hop = this._context.tracing.begin('endpoint', work.request.trace);
+    const hop = this._context.tracing.startSpan('endpoint', work.request.trace);
     const end = await this._send(work, turn.endpoint, attempt, hop.traceparent);
     hop.end({ endpoint: turn.endpoint.id, attempt, end });
     if (end === 'ended') return;
--- a/packages/entry/src/rolloutService.ts
+++ b/packages/entry/src/rolloutService.ts
@@ -324,7 +324,7 @@
     if (turn.kind !== 'turn') return undefined;
     const { endpoint } = turn;
     const removeYielder = this._dispatcher.addYielder(endpoint.id, () => stop.abort());
-    const hop = this._context.tracing.begin('endpoint', undefined);
+    const hop = this._context.tracing.startSpan('endpoint', undefined);
     const end = await this._engines.generate(
       {
         url: endpoint.url,
@@ -366,7 +366,7 @@
   private async _score(assignment: Assignment, text: string): Promise<number | undefined> {
     if (!this._scorer) return 0;
     const { clock, tracing } = this._context;
-    const hop = tracing.begin('scoring', undefined);
+    const hop = tracing.startSpan('scoring', undefined);
     let mayBeScored = false;
     for (let i = 0; i < SCORE_TRIES; i++) {
       const deadline = Deadline.after(clock, SCORE_TIMEOUT_MS);
--- a/packages/entry/src/stepService.ts
+++ b/packages/entry/src/stepService.ts
@@ -178,7 +178,7 @@
   }
 
   private async _takeHere(step: OwnedStep, request: TakeRequest): Promise<TakeReply> {
-    const hop = this._context.tracing.begin('delivery', undefined);
+    const hop = this._context.tracing.startSpan('delivery', undefined);
     const reply = await step.owner.take(request);
     hop.end({ step: request.key, end: reply.kind });
     if (step.owner.isFenced()) this._owned.delete(request.key);
--- a/packages/gateway/src/batchOwner.ts
+++ b/packages/gateway/src/batchOwner.ts
@@ -265,9 +265,9 @@
   }
 
   private _again(isMoreToBegin: boolean): CancelTimer {
-    const { clock, loop } = this._context;
+    const { clock, eventLoop: loop } = this._context;
     const place = (): void => this._place();
-    return isMoreToBegin ? loop.afterOneReading(place) : clock.after(PLACE_INTERVAL_MS, place);
+    return isMoreToBegin ? loop.afterPollPhase(place) : clock.after(PLACE_INTERVAL_MS, place);
   }
 
   private _placeItem(item: BatchItem, tiers: EndpointTiers): boolean {
@@ -312,7 +312,7 @@
         break;
       case 'not-run':
         this._placer.avoid(item, endpoint);
-        endpoint.closeFor(REFUSED_PAUSE_MS);
+        endpoint.suspendItemsFor(REFUSED_PAUSE_MS);
         this.ledger.interrupted(item.id);
         break;
       case 'broken':
@@ -384,7 +384,7 @@
       paceMs: Math.round(endpoint.paceMs() ?? 0),
       claimRevision,
       claimAgeMs: Math.round(claimAgeMs),
-      loopDelayMs: Math.round(this._context.loop.recentMs()),
+      loopDelayMs: Math.round(this._context.eventLoop.recentLagMs()),
       endpointsAgeMs: Math.round(this._ports.endpoints.ageMs()),
     });
   }
--- a/packages/gateway/src/callerListener.ts
+++ b/packages/gateway/src/callerListener.ts
@@ -23,7 +23,7 @@
 const CONNECTION_CHECK_MS = 500;
 
 /** A request as it came in. */
-export interface Arrival {
+export interface IncomingRequest {
   readonly request: http.IncomingMessage;
   readonly response: http.ServerResponse;
   /** Aborted when the caller has gone before its answer was written. */
@@ -34,7 +34,7 @@
   readonly address: string;
   readonly log: Logger;
   readonly limits: () => CallerLimits | undefined;
-  readonly serve: (arrival: Arrival) => Promise<void>;
+  readonly serve: (arrival: IncomingRequest) => Promise<void>;
 }
 
 export class CallerListener {
--- a/packages/gateway/src/callerRequest.ts
+++ b/packages/gateway/src/callerRequest.ts
@@ -12,7 +12,7 @@
   /** The client account that endpoints are told; undefined where the request is nobody's. */
   readonly accountName?: string | undefined;
   /** False once the caller may no longer send such a request: asked before each send. Absent where nothing can change that. */
-  readonly mayRun?: () => boolean;
+  readonly isStillAuthorized?: () => boolean;
   readonly host: string;
   readonly method: string;
   readonly target: string;
@@ -27,7 +27,7 @@
 }
 
 /** An answer as it is passed on. */
-export interface WholeAnswer {
+export interface CompleteAnswer {
   readonly status: number;
   readonly headers: readonly HeaderPair[];
   readonly body: Buffer;
@@ -48,7 +48,7 @@
  * answered it with a failure of their own.
  */
 export type ForwardOutcome =
-  | { readonly kind: 'answered'; readonly answer: WholeAnswer; readonly failures: number }
+  | { readonly kind: 'answered'; readonly answer: CompleteAnswer; readonly failures: number }
   | { readonly kind: 'streamed' }
   | { readonly kind: 'not-run'; readonly reason: string; readonly retryAfterMs: number }
   /** The caller may no longer send it. No endpoint ran it or will. */
@@ -60,13 +60,13 @@
 
 /** How one attempt ended. */
 export type RequestAttemptEnd =
-  | { readonly kind: 'answered'; readonly answer: WholeAnswer; readonly isFailure: boolean }
+  | { readonly kind: 'answered'; readonly answer: CompleteAnswer; readonly isFailure: boolean }
   | { readonly kind: 'not-run'; readonly reason: NotRunReason }
   | { readonly kind: 'broken'; readonly text: string }
   | { readonly kind: 'cancelled' };
 
 /** What the log tells of an attempt beside its end. */
-export interface RequestAttemptFacts {
+export interface RequestAttemptDetails {
   /** Sends of the request so far, this one included. */
   readonly number: number;
   readonly tookMs: number;
@@ -79,7 +79,7 @@
 /** When every endpoint is full, a place comes free within a few requests' time. */
 export const RETRY_AFTER_MS = 300;
 /** The time that a request has: what its caller waits and what its route allows, whichever is less. */
-export function timeoutOf(request: CallerRequest, route: Route): number {
+export function requestTimeoutMs(request: CallerRequest, route: Route): number {
   const routeMs = route.timeoutMs > 0 ? route.timeoutMs : DEFAULT_TIMEOUT_MS;
   return Math.min(request.waitMs ?? routeMs, routeMs);
 }
--- a/packages/gateway/src/capacityOrders.ts
+++ b/packages/gateway/src/capacityOrders.ts
@@ -92,7 +92,7 @@
 
   private _presentOf(pool: string, { prices }: PoolScaling): ReadonlyMap<string, number> {
     const counts = new Map<string, number>([...prices.keys()].map(domain => [domain, 0]));
-    for (const endpoint of this._ports.endpoints.ofPool(pool))
+    for (const endpoint of this._ports.endpoints.inPool(pool))
       if (!endpoint.isLeaving) counts.set(endpoint.domain, (counts.get(endpoint.domain) ?? 0) + 1);
     return counts;
   }
--- a/packages/gateway/src/configurationService.ts
+++ b/packages/gateway/src/configurationService.ts
@@ -67,7 +67,7 @@
     this._mirror.start();
   }
 
-  isKnown(): boolean {
+  hasConfiguration(): boolean {
     return this._book !== undefined;
   }
 
@@ -123,7 +123,7 @@
   }
 
   /** False once the key that an earlier decision stands on was taken away. */
-  stillGrants(earlier: Access, credential: Credential): boolean {
+  isStillGranted(earlier: Access, credential: Credential): boolean {
     if (earlier.kind !== 'granted') return true;
     const access = decideAccess(this._accounts, credential, false);
     return access.kind !== 'denied';
--- a/packages/gateway/src/callerStore.ts
+++ b/packages/gateway/src/countedStore.ts
@@ -19,7 +19,7 @@
 import type { GatewayMetrics } from './gatewayMetrics.js';
 
 /** The parts of the gateway that call the store. */
-export type StoreCaller =
+export type StoreComponent =
   | 'watch'
   | 'host-lease'
   | 'orders-lease'
@@ -30,15 +30,15 @@
   | 'usage'
   | 'capacity-lease';
 
-export class CallerStore implements RevisionedStore {
+export class CountedStore implements RevisionedStore {
   private readonly _store: RevisionedStore;
-  private readonly _caller: StoreCaller;
-  private readonly _calls: GatewayMetrics['callerStoreCalls'];
+  private readonly _caller: StoreComponent;
+  private readonly _calls: GatewayMetrics['componentStoreCalls'];
 
-  constructor(store: RevisionedStore, caller: StoreCaller, metrics: GatewayMetrics) {
+  constructor(store: RevisionedStore, caller: StoreComponent, metrics: GatewayMetrics) {
     this._store = store;
     this._caller = caller;
-    this._calls = metrics.callerStoreCalls;
+    this._calls = metrics.componentStoreCalls;
   }
 
   async get(key: string, deadline: Deadline): Promise<Result<StoredValue | undefined, StoreError>> {
--- a/packages/gateway/src/endpoint.ts
+++ b/packages/gateway/src/endpoint.ts
@@ -116,29 +116,29 @@
   }
 
   /** The wall time at which the start began that took this one's place; Infinity while this one lives. */
-  nextStartWallMs(): number {
+  successorStartWallMs(): number {
     return this._nextStartWallMs;
   }
 
   /** Another start has taken its place: nothing that is known of this one holds for that. */
-  replacedBy(info: EndpointInfo): void {
+  markReplaced(info: EndpointInfo): void {
     this._saidLeaving = true;
     this._nextStartWallMs = info.startWallMs;
     this._replaced.abort();
   }
 
-  updated(info: EndpointInfo): void {
+  update(info: EndpointInfo): void {
     for (const [model, version] of info.versions)
       if (version !== this._info.versions.get(model)) this._olderVersions.delete(model);
     this._info = { ...info, isLeaving: info.isLeaving || this._info.isLeaving };
   }
 
-  saidLeaving(): void {
+  markLeaving(): void {
     this._saidLeaving = true;
   }
 
   /** The endpoint's own word about its load. */
-  loaded(load: EndpointLoad): void {
+  recordLoad(load: EndpointLoad): void {
     this.limit.reported(load.waiting, this.stats.inFlight());
     this.stats.reported({
       inFlight: load.running,
@@ -156,7 +156,7 @@
     return Math.max(this._info.versions.get(model) ?? 0, this._heardVersions.get(model) ?? 0);
   }
 
-  heardVersion(model: string, version: number): void {
+  recordVersion(model: string, version: number): void {
     this._heardVersions.set(model, Math.max(version, this._heardVersions.get(model) ?? 0));
     if (version > (this._olderVersions.get(model)?.version ?? Infinity)) this._olderVersions.delete(model);
   }
@@ -165,9 +165,9 @@
    * The version that an answer names. One that is older than the endpoint was known to have counts for a while: without
    * that its items come back to it at once, to be refused for their version over and over.
    */
-  answeredVersion(model: string, version: number): void {
+  recordAnsweredVersion(model: string, version: number): void {
     if (version >= this.versionOf(model)) {
-      this.heardVersion(model, version);
+      this.recordVersion(model, version);
       return;
     }
     this._heardVersions.delete(model);
@@ -193,12 +193,12 @@
   }
 
   /** Sends no items for a while: the endpoint refused one, because it is full or loads weights. */
-  closeFor(durationMs: number): void {
+  suspendItemsFor(durationMs: number): void {
     this._closedUntilMs = Math.max(this._closedUntilMs, this._clock.nowMs() + durationMs);
   }
 
   /** Nobody took a connection at its address just now, or it is another start's. */
-  wasUnreachable(): void {
+  markUnreachable(): void {
     this._unreachableUntilMs = this._clock.nowMs() + UNREACHABLE_MS;
   }
 
@@ -208,31 +208,31 @@
   }
 
   /** Items that this host may send now. */
-  freePlaces(): number {
+  freeSlots(): number {
     if (this.isLeaving || !this.stats.isUsable() || this._clock.nowMs() < this._closedUntilMs) return 0;
     return Math.max(0, this._info.slots - this.stats.estimatedLoad());
   }
 
   /** So much time passed between two events of a stream at this endpoint. */
-  paced(pauseMs: number): void {
+  recordEventInterval(pauseMs: number): void {
     this._pace.seen(pauseMs);
     this._pacedMs = this._clock.nowMs();
   }
 
   /** Another host has found the pace. */
-  heardPace(paceMs: number): void {
+  recordReportedPace(paceMs: number): void {
     this._heardPace = { paceMs, untilMs: this._clock.nowMs() + PACE_VALID_MS };
   }
 
   /** The pace that this host found itself a moment ago; undefined where it has not. */
-  freshPaceMs(): number | undefined {
+  recentOwnPaceMs(): number | undefined {
     const isFresh = this._clock.nowMs() - this._pacedMs < PACE_FRESH_MS;
     return isFresh ? this._pace.ms() : undefined;
   }
 
   /** The time between two events of a stream at this endpoint; undefined before enough were seen, here or elsewhere. */
   paceMs(): number | undefined {
-    return this.freshPaceMs() ?? this._heardPaceMs() ?? this._pace.ms();
+    return this.recentOwnPaceMs() ?? this._heardPaceMs() ?? this._pace.ms();
   }
 
   private _heardPaceMs(): number | undefined {
@@ -241,7 +241,7 @@
   }
 
   /** As `paceMs`, from the first two events on. */
-  roughPaceMs(): number | undefined {
+  provisionalPaceMs(): number | undefined {
     return this._pace.roughMs();
   }
 }
--- a/packages/gateway/src/endpointDirectory.ts
+++ b/packages/gateway/src/endpointDirectory.ts
@@ -68,7 +68,7 @@
   }
 
   /** Every endpoint of the pool, leaving ones too. */
-  ofPool(pool: string): readonly Endpoint[] {
+  inPool(pool: string): readonly Endpoint[] {
     return [...this._endpoints.values()].filter(endpoint => endpoint.pool === pool);
   }
 
@@ -81,7 +81,7 @@
   }
 
   /** An endpoint's own word, before its record says so, that it has started again. */
-  restarted(id: string, startWallMs: number, versions: ReadonlyMap<string, number>): void {
+  recordRestart(id: string, startWallMs: number, versions: ReadonlyMap<string, number>): void {
     const known = this._endpoints.get(id);
     if (!known || startWallMs <= known.info().startWallMs) return;
     this._take({ ...known.info(), startWallMs, versions, isLeaving: false });
@@ -115,12 +115,12 @@
     const known = this._endpoints.get(id);
     if (known?.info().startWallMs === startWallMs) {
       if (info.isLeaving && !known.isLeaving) this._logChange('leaving', known);
-      known.updated(info);
+      known.update(info);
       return;
     }
     const endpoint = new Endpoint(info, this._context.clock);
     this._endpoints.set(id, endpoint);
-    known?.replacedBy(info);
+    known?.markReplaced(info);
     if (known) this._restarted(known.info().address);
     this._logChange(known ? 'restarted' : 'new', endpoint);
   }
@@ -146,7 +146,7 @@
     this._missing.delete(endpoint.id);
     // Another start may have taken its place meanwhile.
     if (this._endpoints.get(endpoint.id) === endpoint) this._endpoints.delete(endpoint.id);
-    endpoint.saidLeaving();
+    endpoint.markLeaving();
     this._logChange('gone', endpoint);
   }
 
--- a/packages/gateway/src/endpointTier.ts
+++ b/packages/gateway/src/endpointTier.ts
@@ -44,7 +44,7 @@
   return {
     id: endpoint.id,
     domain: endpoint.domain,
-    freePlaces: endpoint.freePlaces(),
+    freePlaces: endpoint.freeSlots(),
     paceMs: endpoint.paceMs(),
   };
 }
--- a/packages/gateway/src/loopDelay.ts
+++ b/packages/gateway/src/eventLoopMonitor.ts
@@ -25,7 +25,7 @@
 /** The greatest delay is told of one to two such times. */
 const WINDOW_MS = 2500;
 
-export class LoopDelay {
+export class EventLoopMonitor {
   private readonly _clock: Clock;
   private readonly _stopped: AbortSignal;
   private _dueMs: number;
@@ -47,12 +47,12 @@
   }
 
   /** The greatest delay of the last seconds. */
-  recentMs(): number {
+  recentLagMs(): number {
     return Math.max(this._greatestMs, this._greatestBeforeMs, this._overdueMs());
   }
 
   /** True if the loop has been on time from then until now, as far as was measured. */
-  isPunctualSince(sinceMs: number): boolean {
+  isOnTimeSince(sinceMs: number): boolean {
     return sinceMs >= this._punctualSinceMs && this._overdueMs() <= LATE_MS;
   }
 
@@ -60,19 +60,19 @@
    * Calls `decide` once the loop has read what has arrived by now. If it was late since `sinceMs` it gets two ticks more,
    * and reads again after each: what it should have written late may not be answered yet.
    */
-  afterReading(sinceMs: number, decide: () => void): CancelTimer {
+  afterPendingIo(sinceMs: number, decide: () => void): CancelTimer {
     return this._afterReading(sinceMs, GRACE_TICKS, decide);
   }
 
   /** Calls `run` in the next turn of the loop, once it has read. */
-  afterOneReading(run: () => void): CancelTimer {
+  afterPollPhase(run: () => void): CancelTimer {
     const reading = setImmediate(run);
     return () => clearImmediate(reading);
   }
 
   private _afterReading(sinceMs: number, ticksLeft: number, decide: () => void): CancelTimer {
-    let cancel = this.afterOneReading(() => {
-      if (ticksLeft === 0 || this.isPunctualSince(sinceMs)) {
+    let cancel = this.afterPollPhase(() => {
+      if (ticksLeft === 0 || this.isOnTimeSince(sinceMs)) {
         decide();
         return;
       }
--- a/packages/gateway/src/forwardRun.ts
+++ b/packages/gateway/src/forwardRun.ts
@@ -5,14 +5,14 @@
 import type { Route } from '@fuchsiahitch/rules';
 import {
   RETRY_AFTER_MS,
-  timeoutOf,
+  requestTimeoutMs,
   type RequestAttemptEnd,
   type CallerRequest,
   type ForwardOutcome,
-  type WholeAnswer,
+  type CompleteAnswer,
 } from './callerRequest.js';
 import type { Endpoint } from './endpoint.js';
-import { mayRun, type Forwarder } from './forwarder.js';
+import { isSendAllowed, type Forwarder } from './forwarder.js';
 import type { GatewayContext } from './gatewayContext.js';
 import type { PoisonGuard } from './poisonGuard.js';
 
@@ -38,7 +38,7 @@
   /** Sends for which no connection was made: they reached no endpoint. */
   private _unmade = 0;
   private _mayHaveRun = false;
-  private _failure: WholeAnswer | undefined;
+  private _failure: CompleteAnswer | undefined;
   private _failures = 0;
   private _isDenied = false;
 
@@ -56,7 +56,7 @@
     this._request = request;
     this._route = route;
     this._left = left;
-    this._deadline = Deadline.after(context.clock, timeoutOf(request, route));
+    this._deadline = Deadline.after(context.clock, requestTimeoutMs(request, route));
   }
 
   async run(): Promise<ForwardOutcome> {
@@ -93,11 +93,11 @@
     // Where connections that nobody took count as sends, a request is refused after two endpoints that have ended, though
     // a third one of its pool lives.
     const sent = this._sent - this._unmade;
-    if (!mayRun(this._request)) return this._deny();
+    if (!isSendAllowed(this._request)) return this._deny();
     if (sent >= this._route.maxAttempts || this._deadline.isOver()) return false;
     // What ended the endpoints that ran it would end the next one, and with it all that others have there.
     if (sent > 0 && this._poison.verdict(this._request).kind !== 'free') return false;
-    const endpoint = this._forwarder.choose(this._route, this._tried, this._request.isBackground);
+    const endpoint = this._forwarder.chooseEndpoint(this._route, this._tried, this._request.isBackground);
     if (!endpoint) return false;
     this._tried.add(endpoint.id);
     this._sent += 1;
@@ -117,7 +117,7 @@
     const startedMs = this._context.clock.nowMs();
     const end = await this._forwarder.attempt(this._request, endpoint, leftMs, this._stop.signal);
     const tookMs = this._context.clock.nowMs() - startedMs;
-    if (end.kind === 'broken') await this._poison.broke(this._request, endpoint);
+    if (end.kind === 'broken') await this._poison.recordBroken(this._request, endpoint);
     if (end.kind === 'answered') this._poison.answered(this._request);
     this._running -= 1;
     this._events.push(end);
@@ -140,7 +140,7 @@
     return { kind: 'not-run', reason: 'every endpoint refused it', retryAfterMs: RETRY_AFTER_MS };
   }
 
-  private _answered(answer: WholeAnswer): ForwardOutcome {
+  private _answered(answer: CompleteAnswer): ForwardOutcome {
     return { kind: 'answered', answer, failures: this._failures };
   }
 
@@ -158,7 +158,7 @@
     // A late loop that sent before it read would send what is answered already, and be later still. What falls due only
     // after the deadline by that is not sent: `_start` looks at the time.
     return afterReading(this._context.clock, afterMs, () => {
-      if (this._running === 1 && this._forwarder.mayHedge()) this._start();
+      if (this._running === 1 && this._forwarder.tryTakeHedge()) this._start();
     });
   }
 }
--- a/packages/gateway/src/forwarder.ts
+++ b/packages/gateway/src/forwarder.ts
@@ -18,9 +18,9 @@
 import { reasonOf } from './attemptReason.js';
 import {
   RETRY_AFTER_MS,
-  timeoutOf,
+  requestTimeoutMs,
   type RequestAttemptEnd,
-  type RequestAttemptFacts,
+  type RequestAttemptDetails,
   type CallerRequest,
   type ForwardOutcome,
   type StreamSink,
@@ -91,7 +91,7 @@
   /** Forwards a request whose answer is passed on whole. */
   async forward(request: CallerRequest, route: Route, left: AbortSignal): Promise<ForwardOutcome> {
     this._hedges.requestBegan();
-    const hop = this._context.tracing.begin('caller', request.trace);
+    const hop = this._context.tracing.startSpan('caller', request.trace);
     const traced = { ...request, trace: hop.traceparent };
     const outcome = await this._fairly(traced, route, () =>
       this._admitted(traced, route, async admitted =>
@@ -109,7 +109,7 @@
     sink: StreamSink,
     left: AbortSignal,
   ): Promise<ForwardOutcome> {
-    const hop = this._context.tracing.begin('caller', request.trace);
+    const hop = this._context.tracing.startSpan('caller', request.trace);
     const traced = { ...request, trace: hop.traceparent };
     const outcome = await this._fairly(traced, route, () =>
       this._admitted(traced, route, admitted => this._stream(traced, admitted, sink, left)),
@@ -158,7 +158,7 @@
       case 'trial': {
         const outcome = await run({ ...route, maxAttempts: 1 });
         if (outcome.kind === 'not-run' || outcome.kind === 'denied')
-          this._poison.trialDropped(request, verdict.number);
+          this._poison.abandonTrial(request, verdict.number);
         return this._noted(request, outcome);
       }
       case 'held':
@@ -174,12 +174,12 @@
       requestId: request.id,
       verdict: verdict.kind,
       leftMs: verdict.kind === 'held' ? Math.round(verdict.leftMs) : undefined,
-      ...this._poison.factsOf(request),
+      ...this._poison.detailsOf(request),
     });
   }
 
   private _noted(request: CallerRequest, outcome: ForwardOutcome): ForwardOutcome {
-    if (outcome.kind !== 'answered') this._poison.gaveUp(request);
+    if (outcome.kind !== 'answered') this._poison.recordUnanswered(request);
     return outcome;
   }
 
@@ -189,15 +189,15 @@
     sink: StreamSink,
     left: AbortSignal,
   ): Promise<ForwardOutcome> {
-    const deadline = Deadline.after(this._context.clock, timeoutOf(request, route));
+    const deadline = Deadline.after(this._context.clock, requestTimeoutMs(request, route));
     const tried = new Set<string>();
     let unmade = 0;
     for (let attempt = 0; attempt - unmade < route.maxAttempts && !deadline.isOver(); attempt++) {
-      if (!mayRun(request)) return { kind: 'denied' };
-      const endpoint = this.choose(route, tried);
+      if (!isSendAllowed(request)) return { kind: 'denied' };
+      const endpoint = this.chooseEndpoint(route, tried);
       if (!endpoint) break;
       tried.add(endpoint.id);
-      const hop = this._context.tracing.begin('endpoint', request.trace);
+      const hop = this._context.tracing.startSpan('endpoint', request.trace);
       const end = await this._streamOnce(request, endpoint, { deadline, number: attempt + 1 }, sink, left);
       hop.end({ requestId: request.id, endpointId: endpoint.id, end: end.kind });
       if (end.kind !== 'not-sent') return end;
@@ -206,14 +206,14 @@
     return { kind: 'not-run', reason: 'no endpoint takes it', retryAfterMs: RETRY_AFTER_MS };
   }
 
-  mayHedge(): boolean {
+  tryTakeHedge(): boolean {
     return this._hedges.take();
   }
 
   /** The endpoint for an attempt; when all are at their limit, the one with the least load. */
-  choose(route: Route, tried: ReadonlySet<string>, isBackground = false): Endpoint | undefined {
+  chooseEndpoint(route: Route, tried: ReadonlySet<string>, isBackground = false): Endpoint | undefined {
     const pool = this._pool(route);
-    const endpoints = reachable(this._endpoints.ofPool(pool), tried).filter(
+    const endpoints = reachable(this._endpoints.inPool(pool), tried).filter(
       endpoint => !isBackground || hasRoomForBackground(endpoint),
     );
     const request: PickRequest = {
@@ -242,7 +242,7 @@
     const isBackground = request.isBackground ?? false;
     endpoint.stats.began(isBackground);
     endpoint.limit.used(endpoint.stats.inFlight());
-    const hop = this._context.tracing.begin('endpoint', request.trace);
+    const hop = this._context.tracing.startSpan('endpoint', request.trace);
     const metered = this._metered(request);
     const end = await this._exchange(request, endpoint, leftMs, signal);
     metered?.ended(end.kind !== 'not-run');
@@ -254,7 +254,7 @@
     return end;
   }
 
-  logAttempt(request: CallerRequest, endpoint: Endpoint, end: LoggedEnd, facts: RequestAttemptFacts): void {
+  logAttempt(request: CallerRequest, endpoint: Endpoint, end: LoggedEnd, facts: RequestAttemptDetails): void {
     this._context.log.info('request attempt', {
       requestId: request.id,
       endpointId: endpoint.id,
@@ -263,7 +263,7 @@
       reason: reasonOf(end),
       status: end.kind === 'answered' ? end.answer.status : undefined,
       // Only of what broke, since hashing takes time: it tells whether the same request comes again, under other identifiers.
-      fingerprint: end.kind === 'broken' ? this._poison.factsOf(request).fingerprint : undefined,
+      fingerprint: end.kind === 'broken' ? this._poison.detailsOf(request).fingerprint : undefined,
       tookMs: Math.round(facts.tookMs),
       leftMs: Math.round(facts.leftMs),
     });
@@ -279,8 +279,8 @@
     const reply = await this._client.send(call, signal);
     if (reply.kind === 'not-run') {
       if (reply.reason === 'refused') endpoint.limit.refused();
-      else endpoint.wasUnreachable();
-      if (reply.load) endpoint.loaded(reply.load);
+      else endpoint.markUnreachable();
+      if (reply.load) endpoint.recordLoad(reply.load);
       return { kind: 'not-run', reason: reply.reason };
     }
     if (reply.kind !== 'answered') return reply;
@@ -325,7 +325,7 @@
     metered?.ended(reply.kind !== 'not-run');
     const tookMs = this._context.clock.nowMs() - startedMs;
     this.logAttempt(request, endpoint, reply, { number, tookMs, leftMs });
-    if (reply.kind === 'broken') await this._poison.broke(request, endpoint);
+    if (reply.kind === 'broken') await this._poison.recordBroken(request, endpoint);
     if (reply.kind !== 'answered') {
       endpoint.stats.ended(false, reply.kind === 'broken');
       if (reply.kind === 'not-run') return notSent(endpoint, reply.reason);
@@ -342,7 +342,7 @@
       // The stream broke off: the caller must see that it is not whole.
       sink.abort();
       endpoint.stats.ended(false, !left.aborted);
-      if (!left.aborted) await this._poison.broke(request, endpoint);
+      if (!left.aborted) await this._poison.recordBroken(request, endpoint);
     }
     return { kind: 'streamed' };
   }
@@ -364,8 +364,8 @@
 }
 
 /** False once the caller may no longer send such a request. */
-export function mayRun(request: CallerRequest): boolean {
-  return request.mayRun?.() ?? true;
+export function isSendAllowed(request: CallerRequest): boolean {
+  return request.isStillAuthorized?.() ?? true;
 }
 
 /** True while the endpoint has places that callers don't need, by its own last word and what this host has there. */
@@ -383,16 +383,16 @@
 }
 
 function notSent(endpoint: Endpoint, reason: NotRunReason): StreamEnd {
-  if (reason !== 'refused') endpoint.wasUnreachable();
+  if (reason !== 'refused') endpoint.markUnreachable();
   return { kind: 'not-sent', reason };
 }
 
 function noteAnswer(endpoint: Endpoint, answer: EndpointAnswer): void {
   if (answer.load) {
-    endpoint.loaded(answer.load);
+    endpoint.recordLoad(answer.load);
     endpoint.limit.reported(answer.load.waiting, answer.load.running);
   }
-  if (answer.isLeaving) endpoint.saidLeaving();
+  if (answer.isLeaving) endpoint.markLeaving();
 }
 
 /** The endpoints that have not just been found out of reach; all of them where none of these is left to try. */
--- a/packages/gateway/src/gateway.ts
+++ b/packages/gateway/src/gateway.ts
@@ -7,7 +7,7 @@
 import { BatchService } from './batchService.js';
 import { BatchStore } from './batchStore.js';
 import { BatchSweeper } from './batchSweeper.js';
-import { CallerStore, type StoreCaller } from './callerStore.js';
+import { CountedStore, type StoreComponent } from './countedStore.js';
 import { claimLeaseMs } from './claimLease.js';
 import { CapacityOrders, LAST_CAPACITY_KEY, type CapacityOptions } from './capacityOrders.js';
 import { ConfigurationService } from './configurationService.js';
@@ -71,7 +71,8 @@
   constructor(context: GatewayContext, options: GatewayOptions) {
     const { client, keys, decoder } = options;
     const store = new RelayedStore(context, options.store);
-    const storeOf = (caller: StoreCaller): CallerStore => new CallerStore(store, caller, context.metrics);
+    const storeOf = (caller: StoreComponent): CountedStore =>
+      new CountedStore(store, caller, context.metrics);
     this._context = context;
     this._store = store;
     this._watch = new SharedWatch(context, storeOf('watch'), watchedPrefixes(keys, decoder));
@@ -81,7 +82,7 @@
     );
     this._watch.useHosts(this.hosts);
     this.endpoints = new EndpointDirectory(context, this._watch, keys, decoder, address =>
-      client.restarted(address),
+      client.dropConnections(address),
     );
     const { hosts: peers } = this;
     store.usePeers({
@@ -134,18 +135,18 @@
   }
 
   /** True if this host reaches neither the store nor another failure domain. */
-  isCutOff(): boolean {
+  isIsolated(): boolean {
     return this._reach.isCutOff();
   }
 
   /** True when callers may be sent here: the configuration and the endpoints are known, and others are in reach. */
   isReady(): boolean {
-    if (this.isCutOff()) return false;
-    return !this._isLeaving && this.configuration.isKnown() && this.endpoints.isSynced();
+    if (this.isIsolated()) return false;
+    return !this._isLeaving && this.configuration.hasConfiguration() && this.endpoints.isSynced();
   }
 
   /** Counts a call of a caller while it runs. */
-  async serving<T>(run: () => Promise<T>): Promise<T> {
+  async countInFlight<T>(run: () => Promise<T>): Promise<T> {
     this._inFlight += 1;
     try {
       return await run();
@@ -203,7 +204,7 @@
     metrics.gauge(
       'fuchsiahitch_event_loop_delay_seconds',
       'Greatest delay of the event loop in the last seconds',
-      () => this._context.loop.recentMs() / 1000,
+      () => this._context.eventLoop.recentLagMs() / 1000,
     );
   }
 }
--- a/packages/gateway/src/gatewayContext.ts
+++ b/packages/gateway/src/gatewayContext.ts
@@ -4,7 +4,7 @@
 import type { Clock, Random } from '@fuchsiahitch/base';
 import type { Logger, Tracing } from '@fuchsiahitch/telemetry';
 import type { GatewayMetrics } from './gatewayMetrics.js';
-import type { LoopDelay } from './loopDelay.js';
+import type { EventLoopMonitor } from './eventLoopMonitor.js';
 
 export interface GatewayContext {
   readonly hostId: string;
@@ -15,7 +15,7 @@
   readonly log: Logger;
   readonly metrics: GatewayMetrics;
   readonly tracing: Tracing;
-  readonly loop: LoopDelay;
+  readonly eventLoop: EventLoopMonitor;
   /** Aborted when the process ends; loops stop by it. */
   readonly stopped: AbortSignal;
 }
--- a/packages/gateway/src/gatewayMetrics.ts
+++ b/packages/gateway/src/gatewayMetrics.ts
@@ -34,7 +34,7 @@
   );
   readonly storeCalls = this.counter('fuchsiahitch_store_calls_total', 'Calls to the store', ['call', 'end']);
   /** What the gateway's parts ask for, also by way of a peer; a listing of several pages counts once. */
-  readonly callerStoreCalls = this.counter(
+  readonly componentStoreCalls = this.counter(
     'fuchsiahitch_store_caller_calls_total',
     'Calls to the store by caller',
     ['caller', 'call'],
--- a/packages/gateway/src/httpExchange.ts
+++ b/packages/gateway/src/httpExchange.ts
@@ -14,7 +14,7 @@
 export class HttpExchange {
   readonly response: http.ServerResponse;
   /** All headers of the request as they came, also those that stand twice. */
-  readonly pairs: readonly HeaderPair[];
+  readonly headerPairs: readonly HeaderPair[];
   private readonly _request: http.IncomingMessage;
   private readonly _isLeaving: () => boolean;
   private readonly _startedMs = performance.now();
@@ -24,7 +24,7 @@
     this._request = request;
     this.response = response;
     this._isLeaving = isLeaving;
-    this.pairs = toPairs(request.rawHeaders);
+    this.headerPairs = toPairs(request.rawHeaders);
   }
 
   method(): string {
@@ -47,12 +47,12 @@
   }
 
   header(name: string): string | undefined {
-    return valueOf(this.pairs, name);
+    return valueOf(this.headerPairs, name);
   }
 
   /** Every value of a header, in the order in which they came. */
   headerValues(name: string): readonly string[] {
-    return this.pairs.filter(([key]) => key.toLowerCase() === name).map(([, value]) => value);
+    return this.headerPairs.filter(([key]) => key.toLowerCase() === name).map(([, value]) => value);
   }
 
   host(): string {
@@ -60,12 +60,12 @@
     return host;
   }
 
-  tookMs(): number {
+  elapsedMs(): number {
     return performance.now() - this._startedMs;
   }
 
   headerBytes(): number {
-    return this.pairs.reduce(
+    return this.headerPairs.reduce(
       (sum, [name, value]) => sum + name.length + value.length + HEADER_EXTRA_BYTES,
       0,
     );
--- a/packages/gateway/src/itemAttempt.ts
+++ b/packages/gateway/src/itemAttempt.ts
@@ -74,7 +74,7 @@
     const { stats } = this.endpoint;
     stats.began(true);
     this._armSilence();
-    const hop = this._context.tracing.begin('endpoint', undefined);
+    const hop = this._context.tracing.startSpan('endpoint', undefined);
     const replaced = (): void => this._endpointRestarted();
     this.endpoint.replaced.addEventListener('abort', replaced);
     const end = await this._client.runItem(this._call(), this, this._abort.signal);
@@ -91,10 +91,10 @@
   began(version: number | undefined, load: EndpointLoad | undefined): boolean {
     const { model, minVersion } = this._ledger.batch;
     this._isAnswered = true;
-    if (load) this.endpoint.loaded(load);
+    if (load) this.endpoint.recordLoad(load);
     // An endpoint that goes on after a text's last event generates nothing, and names no version.
     if (version === undefined) return true;
-    if (model !== '') this.endpoint.answeredVersion(model, version);
+    if (model !== '') this.endpoint.recordAnsweredVersion(model, version);
     const progress = this._ledger.progress(this._item.id);
     if (version >= minVersion && progress.mayContinueWith(version)) return true;
     // The text so far can't go on under this version. A version that is too old says nothing against the text.
@@ -106,8 +106,8 @@
   event(event: GeneratedEvent): boolean {
     const nowMs = this._context.clock.nowMs();
     // Two events that a late loop reads at once, or late, tell nothing of the endpoint's pace.
-    if (this._lastEventMs !== undefined && this._context.loop.isPunctualSince(this._lastEventMs))
-      this.endpoint.paced(nowMs - this._lastEventMs);
+    if (this._lastEventMs !== undefined && this._context.eventLoop.isOnTimeSince(this._lastEventMs))
+      this.endpoint.recordEventInterval(nowMs - this._lastEventMs);
     this._lastEventMs = nowMs;
     this._aliveWallMs = this._context.clock.wallMs();
     this._armSilence();
@@ -122,7 +122,7 @@
    * time-out between events. A run that showed life after the restart belongs to the new start, and goes on.
    */
   private _endpointRestarted(): void {
-    if (this._aliveWallMs >= this.endpoint.nextStartWallMs()) return;
+    if (this._aliveWallMs >= this.endpoint.successorStartWallMs()) return;
     this._verdict ??= { kind: 'broken', text: 'the endpoint has restarted' };
     this._abort.abort();
   }
@@ -136,18 +136,18 @@
   private _armSilence(): void {
     const { suspectMs, giveUpMs } = silenceBounds(
       this._lastEventMs !== undefined,
-      this.endpoint.roughPaceMs(),
+      this.endpoint.provisionalPaceMs(),
     );
     this._watchSilence(suspectMs, this._context.clock.nowMs() + giveUpMs);
   }
 
   /** Waits, lets the loop read what has arrived, and decides. An event on the way puts an end to all three. */
   private _watchSilence(waitMs: number, giveUpAtMs: number): void {
-    const { clock, loop } = this._context;
+    const { clock, eventLoop: loop } = this._context;
     const sinceMs = this._lastEventMs ?? this._beganMs;
     this._stallTimer?.();
     this._stallTimer = clock.after(waitMs, () => {
-      this._stallTimer = loop.afterReading(sinceMs, () => this._suspect(giveUpAtMs));
+      this._stallTimer = loop.afterPendingIo(sinceMs, () => this._suspect(giveUpAtMs));
     });
   }
 
--- a/packages/gateway/src/itemPlacer.ts
+++ b/packages/gateway/src/itemPlacer.ts
@@ -122,7 +122,7 @@
     const route = this._routeOfBatch();
     const candidates = route ? this._candidates(route) : [];
     return candidates
-      .map(endpoint => ({ endpoint, paceMs: endpoint.paceMs() ?? Infinity, left: endpoint.freePlaces() }))
+      .map(endpoint => ({ endpoint, paceMs: endpoint.paceMs() ?? Infinity, left: endpoint.freeSlots() }))
       .filter(({ left }) => left > 0);
   }
 
@@ -175,7 +175,7 @@
     const { model, minVersion } = this._ledger.batch;
     return route.pools
       .filter(share => share.weight > 0)
-      .flatMap(share => this._ports.endpoints.ofPool(share.pool))
+      .flatMap(share => this._ports.endpoints.inPool(share.pool))
       .filter(endpoint => !endpoint.isLeaving)
       .filter(endpoint => model === '' || endpoint.versionOf(model) >= minVersion);
   }
@@ -185,7 +185,7 @@
     const avoid = this._avoided.get(item.id);
     return this._candidates(route)
       .filter(other => other !== attempt.endpoint)
-      .filter(other => other.freePlaces() > 0 && !avoid?.has(other.id));
+      .filter(other => other.freeSlots() > 0 && !avoid?.has(other.id));
   }
 
   /** An item that was moved, or that its owner before left: what is left of it should go quickly. */
--- a/packages/gateway/src/itemScoring.ts
+++ b/packages/gateway/src/itemScoring.ts
@@ -118,7 +118,7 @@
       host: request.host,
       method: 'POST',
       target: request.path,
-      headers: this._ports.client.ownHeaders(request.id, request.host),
+      headers: this._ports.client.internalRequestHeaders(request.id, request.host),
       body: Buffer.from(request.bodyBase64, 'base64'),
       waitMs: SCORE_TIMEOUT_MS,
       isBackground: true,
--- a/packages/gateway/src/itemSuspects.ts
+++ b/packages/gateway/src/itemSuspects.ts
@@ -35,13 +35,13 @@
 
   /** Those of the items that may be sent. Asks for a trial of each that may be sent by its trial only. */
   ready(items: readonly BatchItem[]): readonly BatchItem[] {
-    if (this._poison.isIdle()) return items;
+    if (this._poison.hasNoCases()) return items;
     return items.filter(item => this._isReady(item));
   }
 
   /** True if some endpoint has ended under the item. */
   has(item: BatchItem): boolean {
-    return !this._poison.isIdle() && this._poison.isSuspect(this._identity(item));
+    return !this._poison.hasNoCases() && this._poison.isSuspect(this._identity(item));
   }
 
   /** Takes in how an attempt ended; resolves once it is known what that says of the item. */
@@ -50,14 +50,14 @@
     this._trials.delete(item.id);
     switch (end.kind) {
       case 'broken':
-        return this._poison.broke(this._identity(item), endpoint);
+        return this._poison.recordBroken(this._identity(item), endpoint);
       case 'done':
       case 'failed':
       case 'impossible':
         this._poison.answered(this._identity(item));
         return;
       case 'not-run':
-        if (trial !== undefined) this._poison.trialDropped(this._identity(item), trial);
+        if (trial !== undefined) this._poison.abandonTrial(this._identity(item), trial);
         return;
       case 'cancelled':
       case 'stalled':
--- a/packages/gateway/src/modelShares.ts
+++ b/packages/gateway/src/modelShares.ts
@@ -21,7 +21,7 @@
   directory: EndpointDirectory,
 ): ModelShares {
   const models = configuration.models().get(pool) ?? [];
-  const endpoints = directory.ofPool(pool).filter(endpoint => !endpoint.isLeaving);
+  const endpoints = directory.inPool(pool).filter(endpoint => !endpoint.isLeaving);
   const targets = new Map(models.map(model => [model, configuration.namedVersion(model)]));
   const views = endpoints.map(endpoint => sharedView(endpoint, models));
   return { endpoints, targets, shares: shareEndpoints(views, targets) };
--- a/packages/gateway/src/paceNews.ts
+++ b/packages/gateway/src/paceNews.ts
@@ -28,7 +28,7 @@
   /** Tells what this host has found a moment ago, and not what it has heard. */
   tell(): void {
     const paces = this._endpoints.all().flatMap(endpoint => {
-      const paceMs = endpoint.freshPaceMs();
+      const paceMs = endpoint.recentOwnPaceMs();
       const { id: endpointId, startWallMs } = endpoint.info();
       return paceMs === undefined || paceMs <= 0 ? [] : [{ endpointId, startWallMs, paceMs }];
     });
@@ -40,7 +40,7 @@
   private _heard({ paces }: PacesSeen): Readonly<Record<string, never>> {
     for (const { endpointId, startWallMs, paceMs } of paces) {
       const endpoint = this._endpoints.get(endpointId);
-      if (endpoint?.info().startWallMs === startWallMs) endpoint.heardPace(paceMs);
+      if (endpoint?.info().startWallMs === startWallMs) endpoint.recordReportedPace(paceMs);
     }
     return {};
   }
--- a/packages/gateway/src/poisonPeers.ts
+++ b/packages/gateway/src/poisonAnnouncer.ts
@@ -17,17 +17,17 @@
 ]);
 
 /** What is known of one request; no marks: it was answered. */
-const poisonNewsSchema = z
+const poisonAnnouncementSchema = z
   .strictObject({ fingerprint: z.string(), marks: z.array(markSchema).max(1000).readonly() })
   .readonly();
-export type PoisonNews = z.infer<typeof poisonNewsSchema>;
+export type PoisonAnnouncement = z.infer<typeof poisonAnnouncementSchema>;
 
-export const poisonCall = defineCall('poisonNews', poisonNewsSchema, z.strictObject({}).readonly());
+export const poisonCall = defineCall('poisonNews', poisonAnnouncementSchema, z.strictObject({}).readonly());
 
 /** A host that does not take the news in this time is cut off, and learns from the store later. */
 const TELL_TIMEOUT_MS = 1000;
 
-export class PoisonPeers {
+export class PoisonAnnouncer {
   private readonly _hosts: Pick<Hosts, 'peers' | 'call'>;
 
   constructor(hosts: Pick<Hosts, 'peers' | 'call'>) {
@@ -35,14 +35,14 @@
   }
 
   /** Tells every host that lives. Nobody waits for the answers: whoever is missed hears of it by the store. */
-  tell(fingerprint: string, marks: readonly PoisonMark[]): void {
-    const news: PoisonNews = { fingerprint, marks };
+  announce(fingerprint: string, marks: readonly PoisonMark[]): void {
+    const news: PoisonAnnouncement = { fingerprint, marks };
     for (const { address } of this._hosts.peers())
       void this._hosts.call(address, poisonCall, news, TELL_TIMEOUT_MS);
   }
 
   /** `heard`: told of what others tell. */
-  serve(server: CallRegistry, heard: (news: PoisonNews) => void): void {
+  serve(server: CallRegistry, heard: (news: PoisonAnnouncement) => void): void {
     server.handle(poisonCall, news => {
       heard(news);
       return {};
--- a/packages/gateway/src/poisonGuard.ts
+++ b/packages/gateway/src/poisonGuard.ts
@@ -17,8 +17,8 @@
 import type { Endpoint } from './endpoint.js';
 import type { GatewayContext } from './gatewayContext.js';
 import type { CallRegistry, Hosts, LiveKeys } from './hostDirectory.js';
-import { PoisonPeers, type PoisonNews } from './poisonPeers.js';
-import { POISON_PREFIX, PoisonRecords, readMark } from './poisonRecords.js';
+import { PoisonAnnouncer, type PoisonAnnouncement } from './poisonAnnouncer.js';
+import { POISON_PREFIX, PoisonRecords, parseMark } from './poisonRecords.js';
 import type { EndpointClient } from './ports.js';
 
 /** Ends of one endpoint that are looked into within this time are one: all its requests break at once. */
@@ -38,22 +38,22 @@
 }
 
 /** What is known of a request. */
-export interface PoisonFacts {
+export interface PoisonCaseDetails {
   readonly fingerprint: string;
   /** Endpoints that have ended under it. */
   readonly ends: number;
   /** Since this host last told or heard of it; undefined if it is known here only. */
-  readonly newsAgeMs: number | undefined;
+  readonly lastUpdateAgeMs: number | undefined;
 }
 
 /** What a guard hears the other hosts by. */
-export type PoisonHosts = Pick<Hosts, 'peers' | 'call'> & LiveKeys;
+export type PoisonGuardHosts = Pick<Hosts, 'peers' | 'call'> & LiveKeys;
 
 export class PoisonGuard {
   private readonly _context: GatewayContext;
   private readonly _client: Pick<EndpointClient, 'hasEnded'>;
   private readonly _records: PoisonRecords;
-  private readonly _peers: PoisonPeers;
+  private readonly _peers: PoisonAnnouncer;
   private readonly _cases: PoisonCases;
   private readonly _targets = new WeakMap<RequestIdentity, string>();
   private readonly _fingerprints = new WeakMap<RequestIdentity, string>();
@@ -64,13 +64,13 @@
   constructor(
     context: GatewayContext,
     store: RevisionedStore,
-    hosts: PoisonHosts,
+    hosts: PoisonGuardHosts,
     client: Pick<EndpointClient, 'hasEnded'>,
   ) {
     this._context = context;
     this._client = client;
     this._records = new PoisonRecords(context, store);
-    this._peers = new PoisonPeers(hosts);
+    this._peers = new PoisonAnnouncer(hosts);
     this._cases = new PoisonCases(context.clock);
     hosts.watchKeys(POISON_PREFIX, {
       changed: (key, value) => this._written(key, value),
@@ -86,7 +86,7 @@
   }
 
   /** True if no request is known at all: nothing need be asked of any. */
-  isIdle(): boolean {
+  hasNoCases(): boolean {
     return this._cases.count() === 0;
   }
 
@@ -112,15 +112,15 @@
   }
 
   /** What the log tells of a request that is known. */
-  factsOf(request: RequestIdentity): PoisonFacts {
+  detailsOf(request: RequestIdentity): PoisonCaseDetails {
     const fingerprint = this._fingerprint(request);
     const atMs = this._told.get(fingerprint)?.atMs;
     const newsAgeMs = atMs === undefined ? undefined : Math.round(this._context.clock.nowMs() - atMs);
-    return { fingerprint, ends: this._cases.ends(fingerprint), newsAgeMs };
+    return { fingerprint, ends: this._cases.ends(fingerprint), lastUpdateAgeMs: newsAgeMs };
   }
 
   /** The request broke at the endpoint. Resolves once it is known whether the endpoint has ended. */
-  async broke(request: RequestIdentity, endpoint: Endpoint): Promise<void> {
+  async recordBroken(request: RequestIdentity, endpoint: Endpoint): Promise<void> {
     if (!(await this._hasEnded(endpoint))) return;
     const fingerprint = this._fingerprint(request);
     const ends = this._cases.ended(fingerprint, endpoint.startId());
@@ -139,18 +139,18 @@
     this._log('poison cleared', fingerprint, { marks: marks.length });
     if (!this._told.delete(fingerprint)) return;
     void this._records.remove(fingerprint, marks).then(isDone => {
-      if (!isDone) this._peers.tell(fingerprint, []);
+      if (!isDone) this._peers.announce(fingerprint, []);
     });
   }
 
   /** The request ends here without an answer: from now on the other hosts must know. */
-  gaveUp(request: RequestIdentity): void {
+  recordUnanswered(request: RequestIdentity): void {
     const fingerprint = this._known(request);
     if (fingerprint !== undefined && this._cases.ends(fingerprint) > 0) this._tell(fingerprint);
   }
 
   /** The trial's request did not run after all: it may be made again. */
-  trialDropped(request: RequestIdentity, number: number): void {
+  abandonTrial(request: RequestIdentity, number: number): void {
     const fingerprint = this._fingerprint(request);
     this._cases.trialDropped(fingerprint, number);
     this._told.get(fingerprint)?.names.delete(markName({ kind: 'trial', number, endsBefore: 0 }));
@@ -181,7 +181,7 @@
   private _tellAll(fingerprint: string, marks: readonly PoisonMark[]): void {
     this._noteTold(fingerprint, marks);
     void this._records.add(fingerprint, marks).then(isDone => {
-      if (!isDone) this._peers.tell(fingerprint, marks);
+      if (!isDone) this._peers.announce(fingerprint, marks);
     });
   }
 
@@ -202,7 +202,7 @@
 
   /** The fingerprint of a request that may be known; undefined for any other, whose body is not read. */
   private _known(request: RequestIdentity): string | undefined {
-    if (this.isIdle() || !this._cases.mayConcern(this._target(request))) return undefined;
+    if (this.hasNoCases() || !this._cases.mayConcern(this._target(request))) return undefined;
     return this._fingerprint(request);
   }
 
@@ -235,14 +235,14 @@
 
   /** A host wrote a mark. */
   private _written(key: string, value: string): void {
-    const marked = readMark(key, value);
+    const marked = parseMark(key, value);
     if (marked) this._take(marked.fingerprint, [marked.mark]);
     else this._context.log.warn('unreadable poison record', { key });
   }
 
   /** A mark was removed by the host that had an answer, or has lapsed. */
   private _removed(key: string): void {
-    const marked = readMark(key);
+    const marked = parseMark(key);
     if (!marked) return;
     const { fingerprint, mark } = marked;
     if (mark.kind === 'trial') this._cases.trialDropped(fingerprint, mark.number);
@@ -252,7 +252,7 @@
   }
 
   /** Another host tells directly. */
-  private _heard({ fingerprint, marks }: PoisonNews): void {
+  private _heard({ fingerprint, marks }: PoisonAnnouncement): void {
     if (marks.length > 0) return this._take(fingerprint, marks);
     this._told.delete(fingerprint);
     this._cases.cleared(fingerprint);
--- a/packages/gateway/src/poisonRecords.ts
+++ b/packages/gateway/src/poisonRecords.ts
@@ -173,7 +173,7 @@
  * The mark that stands at a key. Undefined for a key that is none of these, as a later version of the program may write.
  * `value` may be left out where only the key is known: the mark of a trial then counts no ends.
  */
-export function readMark(key: string, value = '{}'): MarkedRequest | undefined {
+export function parseMark(key: string, value = '{}'): MarkedRequest | undefined {
   const parts = /^([0-9a-f]+-[0-9a-f]+)\/(?:end-(.+)|trial-(\d+))$/.exec(key.slice(POISON_PREFIX.length));
   const [, fingerprint, startId, number] = parts ?? [];
   if (fingerprint === undefined) return undefined;
--- a/packages/gateway/src/ports.ts
+++ b/packages/gateway/src/ports.ts
@@ -139,7 +139,7 @@
 
 export interface EndpointClient {
   /** The headers of a request that no caller sent: one that this host makes itself. */
-  ownHeaders(requestId: string, host: string): readonly HeaderPair[];
+  internalRequestHeaders(requestId: string, host: string): readonly HeaderPair[];
   send(call: EndpointCall, signal: AbortSignal): Promise<EndpointReply>;
   runItem(call: ItemCall, listener: ItemListener, signal: AbortSignal): Promise<ItemEnd>;
   report(endpoint: EndpointInfo, timeoutMs: number): Promise<WeightReport | undefined>;
@@ -150,11 +150,11 @@
    */
   hasEnded(endpoint: EndpointInfo): Promise<boolean>;
   /** The endpoint at the address has restarted: connections to its former start are not used again. */
-  restarted(address: string): void;
+  dropConnections(address: string): void;
 }
 
 /** Who performs a duty: calls of holders with lower tokens are out of date. */
-export interface DutyAct {
+export interface DutyHolder {
   readonly holder: string;
   readonly fencingToken: number;
 }
@@ -181,9 +181,9 @@
 /** Calls to the platform that one host makes at a time. */
 export interface PlatformDuties {
   /** The same report again is harmless; another one for its window is not. */
-  reportUsage(act: DutyAct, report: UsageReport, timeouts: DutyTimeouts): Promise<DutyAnswer>;
+  reportUsage(act: DutyHolder, report: UsageReport, timeouts: DutyTimeouts): Promise<DutyAnswer>;
   /** `refused` where the platform has no more endpoints now. */
-  orderCapacity(act: DutyAct, order: CapacityOrder, timeouts: DutyTimeouts): Promise<DutyAnswer>;
+  orderCapacity(act: DutyHolder, order: CapacityOrder, timeouts: DutyTimeouts): Promise<DutyAnswer>;
 }
 
 /** What callers may send, and how long they may take. */
@@ -214,7 +214,7 @@
   /** Undefined for a value that describes no endpoint, as one of another writer may. */
   endpoint(id: string, value: string): EndpointInfo | undefined;
   /** An endpoint's record without what changes at each of its heartbeats: the same text as long as there is no news. */
-  endpointNews(value: string): string;
+  endpointWithoutHeartbeat(value: string): string;
   /** The newest version that a trainer named for a model. */
   namedVersion(value: string): { readonly model: string; readonly version: number } | undefined;
 }
--- a/packages/gateway/src/usageService.ts
+++ b/packages/gateway/src/usageService.ts
@@ -3,7 +3,7 @@
  */
 import { UsageMeter, type MeteredSend } from '@fuchsiahitch/metering';
 import type { RevisionedStore } from '@fuchsiahitch/clients';
-import type { StoreCaller } from './callerStore.js';
+import type { StoreComponent } from './countedStore.js';
 import type { GatewayContext } from './gatewayContext.js';
 import type { CallRegistry, HostDirectory } from './hostDirectory.js';
 import type { PlatformDuties } from './ports.js';
@@ -27,7 +27,7 @@
   /** `storeOf`: the store, with its calls counted under a name. */
   constructor(
     context: GatewayContext,
-    storeOf: (caller: StoreCaller) => RevisionedStore,
+    storeOf: (caller: StoreComponent) => RevisionedStore,
     hosts: HostDirectory,
     options: UsageServiceOptions,
   ) {
--- a/packages/gateway/src/watchedPrefixes.ts
+++ b/packages/gateway/src/watchedPrefixes.ts
@@ -18,7 +18,7 @@
 const ENDPOINT_SPACING_MS = 900;
 
 export function watchedPrefixes(keys: RecordKeys, decoder: RecordDecoder): readonly WatchedPrefix[] {
-  const newsOf = (value: string): string => decoder.endpointNews(value);
+  const newsOf = (value: string): string => decoder.endpointWithoutHeartbeat(value);
   return [
     { prefix: keys.operatorPrefix, ...URGENT, spacingMs: 0 },
     { prefix: keys.endpointPrefix, ...URGENT, spacingMs: ENDPOINT_SPACING_MS, newsOf },
--- a/packages/gateway/src/weightOrders.ts
+++ b/packages/gateway/src/weightOrders.ts
@@ -260,14 +260,14 @@
   private _isOfStart(endpoint: Endpoint, report: WeightReport): boolean {
     const { startWallMs, versions } = report;
     if (startWallMs === undefined || startWallMs === endpoint.info().startWallMs) return true;
-    this._ports.endpoints.restarted(endpoint.id, startWallMs, versions);
+    this._ports.endpoints.recordRestart(endpoint.id, startWallMs, versions);
     return false;
   }
 
   /** Owners of batches must know a new version at once: until then the endpoint stays empty. */
   private _saw(endpoint: Endpoint, model: string, version: number): void {
     if (version <= endpoint.versionOf(model)) return;
-    endpoint.heardVersion(model, version);
+    endpoint.recordVersion(model, version);
     this._tellPeers(calls.versionSeen, newsOf(endpoint, model, version));
   }
 
@@ -287,7 +287,7 @@
 /** Takes in what the hosts that give orders tell. */
 export function serveVersions(server: CallRegistry, endpoints: EndpointDirectory): void {
   server.handle(calls.versionSeen, news => {
-    startOf(endpoints, news)?.heardVersion(news.model, news.version);
+    startOf(endpoints, news)?.recordVersion(news.model, news.version);
     return {};
   });
   server.handle(calls.loadBegan, news => {
--- a/packages/telemetry/src/fileSpans.ts
+++ b/packages/telemetry/src/fileSpanRecorder.ts
@@ -9,11 +9,11 @@
   type ReadableSpan,
   type SpanExporter,
 } from '@opentelemetry/sdk-trace-base';
-import type { Hop, HopName, SpanRecorder } from './tracing.js';
+import type { TraceSpan, SpanName, SpanRecorder } from './tracing.js';
 
 const TRACEPARENT = /^00-([0-9a-f]{32})-([0-9a-f]{16})-([0-9a-f]{2})$/;
 
-export class FileSpans implements SpanRecorder {
+export class FileSpanRecorder implements SpanRecorder {
   private readonly _tracer: Tracer;
 
   constructor(file: string, hostId: string) {
@@ -23,7 +23,7 @@
     this._tracer = provider.getTracer('fuchsiahitch');
   }
 
-  begin(name: HopName, parent: string | undefined): Hop {
+  start(name: SpanName, parent: string | undefined): TraceSpan {
     const parentContext = readTraceparent(parent);
     const base = parentContext ? trace.setSpanContext(context.active(), parentContext) : context.active();
     const span = this._tracer.startSpan(name, {}, base);
--- a/packages/telemetry/src/logger.ts
+++ b/packages/telemetry/src/logger.ts
@@ -1,7 +1,7 @@
 /**
  * Structured logs: one JSON line each, through roarr, to standard output.
  */
-import './roarrSwitch.js';
+import './enableRoarr.js';
 import { ROARR, Roarr } from 'roarr';
 
 export const logLevels = ['debug', 'info', 'warn', 'error'] as const;
@@ -22,7 +22,7 @@
  * Bytes that may wait for the reader of standard output: about 2,000 lines. Beyond it lines are dropped and
  * counted, because a log collector that stalls must not fill the memory of the process.
  */
-const MAX_WAITING_BYTES = 512 * 1024;
+const MAX_PENDING_BYTES = 512 * 1024;
 /** Lines a second in the long run, and at once after a quiet time: about 1% of a small host's core. */
 const LINES_PER_SECOND = 300;
 const BURST_LINES = 2000;
@@ -32,16 +32,16 @@
 export interface LogSink {
   write(text: string): void;
   /** Bytes accepted and not yet taken by the reader. */
-  waitingBytes(): number;
+  pendingBytes(): number;
 }
 
 const standardOutput: LogSink = {
   write: text => void process.stdout.write(text),
-  waitingBytes: () => process.stdout.writableLength,
+  pendingBytes: () => process.stdout.writableLength,
 };
 
 export interface WriterLimits {
-  readonly maxWaitingBytes: number;
+  readonly maxPendingBytes: number;
   readonly linesPerSecond: number;
   readonly burstLines: number;
 }
@@ -70,7 +70,7 @@
 
   write(line: string): void {
     this._fill();
-    if (this._lines < 1 || this._sink.waitingBytes() > this._limits.maxWaitingBytes) {
+    if (this._lines < 1 || this._sink.pendingBytes() > this._limits.maxPendingBytes) {
       this._dropped += 1;
       return;
     }
@@ -104,7 +104,7 @@
     this._lowest = ORDER[level];
     this._roarr = Roarr.child({ ...origin });
     const limits = {
-      maxWaitingBytes: MAX_WAITING_BYTES,
+      maxPendingBytes: MAX_PENDING_BYTES,
       linesPerSecond: LINES_PER_SECOND,
       burstLines: BURST_LINES,
     };
--- a/packages/telemetry/src/tracing.ts
+++ b/packages/telemetry/src/tracing.ts
@@ -3,17 +3,17 @@
  */
 
 /** The hops that have a span of their own. */
-export type HopName = 'caller' | 'peer' | 'endpoint' | 'scoring' | 'delivery' | 'store';
+export type SpanName = 'caller' | 'peer' | 'endpoint' | 'scoring' | 'delivery' | 'store';
 
 /** One running span. `traceparent` is passed to the next hop. */
-export interface Hop {
+export interface TraceSpan {
   readonly traceparent: string | undefined;
   end(attributes?: Readonly<Record<string, string | number>>): void;
 }
 
 /** Where spans go. */
 export interface SpanRecorder {
-  begin(name: HopName, parent: string | undefined): Hop;
+  start(name: SpanName, parent: string | undefined): TraceSpan;
 }
 
 export class Tracing {
@@ -27,11 +27,11 @@
   /** Spans as JSON lines in a file; none for an empty name. The library for spans is loaded where there is a file only. */
   static async open(file: string, hostId: string): Promise<Tracing> {
     if (file === '') return new Tracing();
-    const { FileSpans } = await import('./fileSpans.js');
-    return new Tracing(new FileSpans(file, hostId));
+    const { FileSpanRecorder } = await import('./fileSpanRecorder.js');
+    return new Tracing(new FileSpanRecorder(file, hostId));
   }
 
-  begin(name: HopName, parent: string | undefined): Hop {
-    return this._recorder?.begin(name, parent) ?? { traceparent: parent, end: () => undefined };
+  startSpan(name: SpanName, parent: string | undefined): TraceSpan {
+    return this._recorder?.start(name, parent) ?? { traceparent: parent, end: () => undefined };
   }
 }
--- a/tests/accountFlood.spec.ts
+++ b/tests/accountFlood.spec.ts
@@ -7,7 +7,7 @@
 import { evenShare, FairAdmission } from '@fuchsiahitch/requests';
 import { GatewayFleet } from './gatewayFleet.js';
 import { answer, endpointRecord, keys } from './gatewayWorld.js';
-import { lookup, LOOKUP, NOBODY_LEFT } from './lookups.js';
+import { lookupRequest, LOOKUP_ROUTE, NEVER_ABORTED } from './lookupRequests.js';
 
 const ACCOUNTS = 76;
 const SERVERS = 3;
@@ -63,8 +63,8 @@
     const host = fleet.hosts[random.below(fleet.hosts.length)];
     if (!host) continue;
     add(result.asked, accountName);
-    const request = lookup(random.id(), '/a/x', { accountName });
-    void host.gateway.forwarder.forward(request, LOOKUP, NOBODY_LEFT).then(outcome => {
+    const request = lookupRequest(random.id(), '/a/x', { accountName });
+    void host.gateway.forwarder.forward(request, LOOKUP_ROUTE, NEVER_ABORTED).then(outcome => {
       if (outcome.kind === 'answered') add(result.served, accountName);
     });
     await fleet.clock.advance(1);
--- a/tests/batchService.spec.ts
+++ b/tests/batchService.spec.ts
@@ -389,7 +389,7 @@
   await world.until(a.batches.submit(fresh, Deadline.after(world.clock, 1000)));
   await world.clock.advance(1000);
   t.equal(world.client.items.length, 0);
-  a.endpoints.get('e2')?.heardVersion('m', 2);
+  a.endpoints.get('e2')?.recordVersion('m', 2);
   world.client.script = () => ({ events: 1, end: { kind: 'done' }, version: 2 });
   await world.clock.advance(500);
   t.same(
--- a/tests/fragileEndpoints.ts
+++ b/tests/crashingEndpoints.ts
@@ -14,7 +14,7 @@
 import { answer, endpointRecord, keys, type ScriptedClient } from './gatewayWorld.js';
 
 /** One send that reached an endpoint. */
-export interface Reached {
+export interface ReceivedRequest {
   readonly atMs: number;
   readonly target: string;
   readonly endpointId: string;
@@ -39,22 +39,22 @@
 const EVENTS = 10;
 
 /** The parts of a fleet that the endpoints stand in. */
-export interface EndpointWorld {
+export interface CrashingEndpointsHost {
   readonly clock: VirtualClock;
   readonly store: FakeStore;
   readonly client: ScriptedClient;
 }
 
-export class FragileEndpoints {
-  readonly reached: Reached[] = [];
-  readonly ends: Reached[] = [];
+export class CrashingEndpoints {
+  readonly received: ReceivedRequest[] = [];
+  readonly crashes: ReceivedRequest[] = [];
   /** True for what ends its endpoint. */
-  isDeadly: (call: { readonly target: string; readonly body: Buffer | undefined }) => boolean = () => false;
-  private readonly _world: EndpointWorld;
+  isPoison: (call: { readonly target: string; readonly body: Buffer | undefined }) => boolean = () => false;
+  private readonly _world: CrashingEndpointsHost;
   private readonly _byAddress = new Map<string, LiveEndpoint>();
   private _starts = 0;
 
-  constructor(world: EndpointWorld) {
+  constructor(world: CrashingEndpointsHost) {
     this._world = world;
     const { client } = world;
     client.reply = (call, signal) => this._send(call, signal);
@@ -67,23 +67,23 @@
     this._start(`10.1.0.${this._byAddress.size + 1}:1`, pool);
   }
 
-  ofTarget(target: string): readonly Reached[] {
-    return this.reached.filter(reached => reached.target === target);
+  receivedFor(target: string): readonly ReceivedRequest[] {
+    return this.received.filter(reached => reached.target === target);
   }
 
   /** Ends every endpoint of a pool, for no reason of a request's. */
-  endAll(pool: string): void {
+  crashAll(pool: string): void {
     for (const endpoint of [...this._byAddress.values()]) if (endpoint.pool === pool) this._end(endpoint, '');
   }
 
   /** Ends one endpoint of a pool, that which runs most, for no reason of a request's. */
-  endOne(pool: string): void {
+  crashBusiest(pool: string): void {
     const ofPool = [...this._byAddress.values()].filter(endpoint => endpoint.pool === pool);
     const [busiest] = ofPool.sort((a, b) => b.running.size - a.running.size);
     if (busiest) this._end(busiest, '');
   }
 
-  living(pool: string): number {
+  liveCount(pool: string): number {
     return [...this._byAddress.values()].filter(endpoint => endpoint.pool === pool).length;
   }
 
@@ -99,7 +99,7 @@
     const { clock, store } = this._world;
     if (this._byAddress.get(address)?.id !== id) return;
     this._byAddress.delete(address);
-    this.ends.push({ atMs: clock.nowMs(), target, endpointId: id });
+    this.crashes.push({ atMs: clock.nowMs(), target, endpointId: id });
     for (const breakOff of [...running]) breakOff();
     clock.after(RESTART_MS, () => this._start(address, pool));
     clock.after(LAPSE_MS, () => store.remove(`${keys.endpointPrefix}${id}`));
@@ -137,12 +137,12 @@
     durationMs: number,
     signal: AbortSignal,
   ): Promise<'done' | 'broken' | 'cancelled'> {
-    this.reached.push({
+    this.received.push({
       atMs: this._world.clock.nowMs(),
       target: call.target,
       endpointId: endpoint.id,
     });
-    if (!this.isDeadly(call)) return this._run(endpoint, durationMs, signal);
+    if (!this.isPoison(call)) return this._run(endpoint, durationMs, signal);
     const cancel = this._world.clock.after(UNTIL_END_MS, () => this._end(endpoint, call.target));
     const how = await this._run(endpoint, 2 * UNTIL_END_MS, signal);
     cancel();
--- a/tests/dutyStandIn.ts
+++ b/tests/dutyStandIn.ts
@@ -2,7 +2,7 @@
  * The platform's side of duties in memory: it remembers every call, and which rules of theirs were broken.
  */
 import { sleep, type Clock } from '@fuchsiahitch/base';
-import type { CapacityOrder, DutyAct, DutyAnswer, PlatformDuties } from '@fuchsiahitch/gateway';
+import type { CapacityOrder, DutyHolder, DutyAnswer, PlatformDuties } from '@fuchsiahitch/gateway';
 import { totalOf, type UsageReport } from '@fuchsiahitch/metering';
 
 /** `late`: no answer, and carried out seconds later, as the platform may do with any call. */
@@ -11,7 +11,7 @@
 const ANSWER_MS = 2;
 const SILENT_MS = 1500;
 
-interface Arrival extends DutyAct {
+interface Arrival extends DutyHolder {
   readonly machine: string;
   readonly atMs: number;
 }
@@ -48,7 +48,7 @@
     return [...this.reports.values()].reduce((sum, report) => sum + totalOf(report.counts), 0);
   }
 
-  private async _call(machine: string, act: DutyAct, carryOut: () => void): Promise<DutyAnswer> {
+  private async _call(machine: string, act: DutyHolder, carryOut: () => void): Promise<DutyAnswer> {
     await sleep(this._clock, ANSWER_MS);
     const mode = this.cut.has(machine) ? 'away' : this.mode;
     if (mode === 'away') return 'unreached';
--- a/tests/endpointStarts.spec.ts
+++ b/tests/endpointStarts.spec.ts
@@ -61,16 +61,16 @@
   const former = endpoints.get('e1');
   if (!former) return;
   fail(former);
-  former.heardVersion('m', 9);
+  former.recordVersion('m', 9);
   former.loadBegan('m', 10);
-  former.paced(400);
-  former.saidLeaving();
+  former.recordEventInterval(400);
+  former.markLeaving();
   store.put(E1, endpointRecord({ startWallMs: 2000 }, 5));
   await clock.advance(100);
   const next = endpoints.get('e1');
   t.not(next, former);
   t.same([next?.versionOf('m'), next?.isLoading(), next?.paceMs()], [5, false, undefined]);
-  t.equal(next?.freePlaces(), 4);
+  t.equal(next?.freeSlots(), 4);
   t.notOk(next?.isLeaving);
   t.ok(former.replaced.aborted && former.isLeaving);
   t.same(forgotten, ['10.0.0.1:1'], 'its connections are not used again');
@@ -109,11 +109,11 @@
   // Symptom: an endpoint whose way to the store is cut is ordered by the count of a start that is gone. Sequence: it
   // crashes behind the cut and starts again; its record stays as it was. Cause: only the store asked.
   const { endpoints, stop } = await directory();
-  endpoints.restarted('e1', 500, new Map([['m', 9]]));
+  endpoints.recordRestart('e1', 500, new Map([['m', 9]]));
   t.equal(endpoints.get('e1')?.versionOf('m'), 5, 'an older start');
-  endpoints.restarted('e1', 2000, new Map([['m', 3]]));
+  endpoints.recordRestart('e1', 2000, new Map([['m', 3]]));
   t.equal(endpoints.get('e1')?.versionOf('m'), 3);
-  endpoints.restarted('e9', 2000, new Map());
+  endpoints.recordRestart('e9', 2000, new Map());
   t.equal(endpoints.get('e9'), undefined, 'one that is not known');
   stop.abort();
 });
--- a/tests/forwarder.spec.ts
+++ b/tests/forwarder.spec.ts
@@ -207,10 +207,10 @@
   // Symptom: a process stands still or grows without bound. Sequence: the collector stalls, or a fault makes every
   // request log. Cause: lines without a bound.
   const lines: string[] = [];
-  const sink = { write: (text: string) => void lines.push(text), waitingBytes: () => waitingBytes };
-  let waitingBytes = 0;
+  const sink = { write: (text: string) => void lines.push(text), pendingBytes: () => pendingBytes };
+  let pendingBytes = 0;
   let nowMs = 0;
-  const limits = { maxWaitingBytes: 100, linesPerSecond: 10, burstLines: 5 };
+  const limits = { maxPendingBytes: 100, linesPerSecond: 10, burstLines: 5 };
   const writer = new BoundedWriter(sink, limits, () => nowMs);
   for (let i = 0; i < 20; i++) writer.write(`${i}`);
   t.equal(lines.length, 5);
@@ -219,7 +219,7 @@
   writer.write('later');
   t.match(lines[5], /"lines":15/);
   t.equal(lines[6], 'later\n');
-  waitingBytes = 101;
+  pendingBytes = 101;
   writer.write('stuck');
   t.equal(writer.dropped(), 1);
   t.end();
--- a/tests/gatewayHosts.ts
+++ b/tests/gatewayHosts.ts
@@ -52,7 +52,7 @@
     const records = new PlainRecords();
     this.configuration = new ConfigurationService(this.context, this.storeClient, keys, records);
     this.endpoints = new EndpointDirectory(this.context, this.storeClient, keys, records, address =>
-      world.client.restarted(address),
+      world.client.dropConnections(address),
     );
     const poison = loneGuard(this.context, this.storeClient, world.client);
     const ports = {
--- a/tests/gatewayWorld.ts
+++ b/tests/gatewayWorld.ts
@@ -8,7 +8,7 @@
 import type { RevisionedStore } from '@fuchsiahitch/clients';
 import {
   GatewayMetrics,
-  LoopDelay,
+  EventLoopMonitor,
   PoisonGuard,
   type EndpointAnswer,
   type EndpointCall,
@@ -23,7 +23,7 @@
   type ItemListener,
   type LoadOrder,
   type OrderAnswer,
-  type PoisonHosts,
+  type PoisonGuardHosts,
   type RecordDecoder,
   type RecordKeys,
   type WeightReport,
@@ -74,7 +74,7 @@
     log: new TestLog(),
     metrics: new GatewayMetrics(),
     tracing: new Tracing(),
-    loop: new LoopDelay(clock, stop.signal),
+    eventLoop: new EventLoopMonitor(clock, stop.signal),
     stopped: stop.signal,
     stop,
   };
@@ -82,7 +82,7 @@
 
 /** What one host alone knows of requests under which endpoints end. */
 export function loneGuard(context: TestContext, store: RevisionedStore, client: EndpointClient): PoisonGuard {
-  const nobody: PoisonHosts = {
+  const nobody: PoisonGuardHosts = {
     watchKeys: () => undefined,
     peers: () => [],
     call: () => Promise.resolve(err({ kind: 'not-sent', text: 'no such host' })),
@@ -173,7 +173,7 @@
     return { ...record, id, versions: new Map(Object.entries(record.versions)) };
   }
 
-  endpointNews(value: string): string {
+  endpointWithoutHeartbeat(value: string): string {
     return value.replace(/"beat":\d+/, '');
   }
 
@@ -253,7 +253,7 @@
     this._clock = clock;
   }
 
-  ownHeaders(requestId: string, host: string): readonly HeaderPair[] {
+  internalRequestHeaders(requestId: string, host: string): readonly HeaderPair[] {
     return [
       ['id', requestId],
       ['host', host],
@@ -292,7 +292,7 @@
     return Promise.resolve(this.ended(endpoint));
   }
 
-  restarted(address: string): void {
+  dropConnections(address: string): void {
     this.forgotten.push(address);
   }
 
--- a/tests/lateLoop.spec.ts
+++ b/tests/lateLoop.spec.ts
@@ -158,20 +158,20 @@
 
 await tap.test('should tell how late the loop ran in the last seconds', async t => {
   const world = new GatewayWorld();
-  const { loop } = world.start('a').context;
+  const { eventLoop: loop } = world.start('a').context;
   await world.clock.advance(1000);
-  t.equal(loop.recentMs(), 0);
+  t.equal(loop.recentLagMs(), 0);
   const beforeMs = world.clock.nowMs();
-  t.ok(loop.isPunctualSince(beforeMs));
-  await world.clock.hold(1000, () => t.notOk(loop.isPunctualSince(beforeMs), 'while it reads late'));
-  t.ok(loop.recentMs() >= 950, 'a tick is due each 50 ms');
+  t.ok(loop.isOnTimeSince(beforeMs));
+  await world.clock.hold(1000, () => t.notOk(loop.isOnTimeSince(beforeMs), 'while it reads late'));
+  t.ok(loop.recentLagMs() >= 950, 'a tick is due each 50 ms');
   await world.clock.advance(100);
-  t.notOk(loop.isPunctualSince(beforeMs));
-  t.ok(loop.isPunctualSince(world.clock.nowMs()));
+  t.notOk(loop.isOnTimeSince(beforeMs));
+  t.ok(loop.isOnTimeSince(world.clock.nowMs()));
   await world.clock.advance(2000);
-  t.ok(loop.recentMs() >= 950);
+  t.ok(loop.recentLagMs() >= 950);
   await world.clock.advance(4000);
-  t.equal(loop.recentMs(), 0);
+  t.equal(loop.recentLagMs(), 0);
   world.stop();
 });
 
--- a/tests/lookups.ts
+++ b/tests/lookupRequests.ts
@@ -6,11 +6,11 @@
 import { route } from './gatewayWorld.js';
 
 /** A host that is in touch must know of an end within this time. */
-export const CONTACT_MS = 3000;
+export const ANNOUNCEMENT_BOUND_MS = 3000;
 /** Sends of a request later than that after its third end. */
 export const MAX_LATER_SENDS = 3;
 /** The route of lookups: to one pool, and twice at the most. */
-export const LOOKUP = route({
+export const LOOKUP_ROUTE = route({
   run: 'idempotent',
   pools: [{ pool: 'storefront', weight: 1 }],
   maxAttempts: 2,
@@ -18,10 +18,14 @@
   timeoutMs: 1500,
 });
 /** Of callers that wait for their answers. */
-export const NOBODY_LEFT: AbortSignal = new AbortController().signal;
-setMaxListeners(0, NOBODY_LEFT);
+export const NEVER_ABORTED: AbortSignal = new AbortController().signal;
+setMaxListeners(0, NEVER_ABORTED);
 
-export function lookup(id: string, target: string, overrides: Partial<CallerRequest> = {}): CallerRequest {
+export function lookupRequest(
+  id: string,
+  target: string,
+  overrides: Partial<CallerRequest> = {},
+): CallerRequest {
   return {
     id,
     caller: '',
--- a/tests/meteringCost.spec.ts
+++ b/tests/meteringCost.spec.ts
@@ -21,7 +21,7 @@
 
 /** Calls to the store that usage has made. */
 async function storeCallsOf(hosts: readonly FleetHost[]): Promise<number> {
-  const read = await Promise.all(hosts.map(host => host.context.metrics.callerStoreCalls.get()));
+  const read = await Promise.all(hosts.map(host => host.context.metrics.componentStoreCalls.get()));
   const values = read.flatMap(metric => metric.values);
   return values
     .filter(({ labels }) => String(labels.caller).startsWith('usage'))
--- a/tests/platformHost.ts
+++ b/tests/platformHost.ts
@@ -3,7 +3,13 @@
  */
 import http from 'node:http';
 import { SystemClock, SystemRandom } from '@fuchsiahitch/base';
-import { Gateway, GatewayMetrics, LoopDelay, PeerLinks, type GatewayContext } from '@fuchsiahitch/gateway';
+import {
+  Gateway,
+  GatewayMetrics,
+  EventLoopMonitor,
+  PeerLinks,
+  type GatewayContext,
+} from '@fuchsiahitch/gateway';
 import {
   CallerServer,
   PlatformEndpoints,
@@ -172,7 +178,7 @@
     log: new TestLog(),
     metrics: new GatewayMetrics(),
     tracing: new Tracing(),
-    loop: new LoopDelay(clock, stopped),
+    eventLoop: new EventLoopMonitor(clock, stopped),
     stopped,
   };
 }
--- a/tests/poisonCost.spec.ts
+++ b/tests/poisonCost.spec.ts
@@ -2,9 +2,9 @@
  * What a poison request costs a fleet by its size, in counts.
  */
 import tap from 'tap';
-import { FragileEndpoints } from './fragileEndpoints.js';
+import { CrashingEndpoints } from './crashingEndpoints.js';
 import { GatewayFleet } from './gatewayFleet.js';
-import { LOOKUP, lookup, NOBODY_LEFT } from './lookups.js';
+import { LOOKUP_ROUTE, lookupRequest, NEVER_ABORTED } from './lookupRequests.js';
 
 const SETTLE_MS = 8000;
 const MEASURED_S = 5;
@@ -22,7 +22,11 @@
   const before = { storeCalls: storeCalls(), peerBytes: sentBytes() };
   for (let turn = 0; turn < MEASURED_S; turn++) {
     const host = fleet.hosts[(turn * 7) % fleet.hosts.length];
-    void host?.gateway.forwarder.forward(lookup(`r${turn}`, '/lookup/deadly'), LOOKUP, NOBODY_LEFT);
+    void host?.gateway.forwarder.forward(
+      lookupRequest(`r${turn}`, '/lookup/deadly'),
+      LOOKUP_ROUTE,
+      NEVER_ABORTED,
+    );
     await fleet.clock.advance(1000);
   }
   return {
@@ -40,17 +44,17 @@
     // Two ends and a trial's end, each told by one write under one lease, a claim, and the same again for chance; besides, the
     // domains' watches that hear of three endpoints which go and come. A host may send 2 KB a second.
     const fleet = new GatewayFleet({ hosts, domains, endpoints: 0 });
-    const endpoints = new FragileEndpoints(fleet);
+    const endpoints = new CrashingEndpoints(fleet);
     for (let i = 0; i < 12; i++) endpoints.add('storefront');
     await fleet.start();
     await fleet.clock.advance(SETTLE_MS);
     const sound = await costs(fleet);
-    endpoints.isDeadly = () => true;
+    endpoints.isPoison = () => true;
     const deadly = await costs(fleet);
     fleet.stop();
     const calls = deadly.storeCalls - sound.storeCalls;
     const bytesAHost = deadly.peerBytes / hosts / MEASURED_S;
-    t.equal(endpoints.ends.length, 3);
+    t.equal(endpoints.crashes.length, 3);
     t.ok(calls <= 10 + 6 * domains, `${calls} calls to the store`);
     t.ok(bytesAHost <= 2000, `${Math.round(bytesAHost)} bytes a host and second`);
   });
--- a/tests/poisonRequests.spec.ts
+++ b/tests/poisonRequests.spec.ts
@@ -4,24 +4,30 @@
 import tap from 'tap';
 import { Deadline } from '@fuchsiahitch/base';
 import type { CallerRequest, ForwardOutcome } from '@fuchsiahitch/gateway';
-import { FragileEndpoints } from './fragileEndpoints.js';
+import { CrashingEndpoints } from './crashingEndpoints.js';
 import { GatewayFleet } from './gatewayFleet.js';
 import { batch, item } from './gatewayWorld.js';
-import { CONTACT_MS, LOOKUP, lookup, MAX_LATER_SENDS, NOBODY_LEFT } from './lookups.js';
+import {
+  ANNOUNCEMENT_BOUND_MS,
+  LOOKUP_ROUTE,
+  lookupRequest,
+  MAX_LATER_SENDS,
+  NEVER_ABORTED,
+} from './lookupRequests.js';
 
 const DEADLY = '/lookup/deadly';
 
 interface World {
   readonly fleet: GatewayFleet;
-  readonly endpoints: FragileEndpoints;
+  readonly endpoints: CrashingEndpoints;
 }
 
 /** A fleet of nine hosts in three failure domains, before three endpoints of one pool. */
 async function started(pool = 'storefront', count = 3): Promise<World> {
   const fleet = new GatewayFleet({ hosts: 9, domains: 3, endpoints: 0 });
-  const endpoints = new FragileEndpoints(fleet);
+  const endpoints = new CrashingEndpoints(fleet);
   for (let i = 0; i < count; i++) endpoints.add(pool);
-  endpoints.isDeadly = call => call.target === DEADLY;
+  endpoints.isPoison = call => call.target === DEADLY;
   await fleet.start();
   await fleet.clock.advance(1000);
   return { fleet, endpoints };
@@ -31,14 +37,14 @@
 async function ask({ fleet }: World, turn: number, request: CallerRequest): Promise<ForwardOutcome> {
   const host = fleet.hosts[turn % fleet.hosts.length];
   if (!host) throw new Error('no host');
-  return host.gateway.forwarder.forward(request, LOOKUP, NOBODY_LEFT);
+  return host.gateway.forwarder.forward(request, LOOKUP_ROUTE, NEVER_ABORTED);
 }
 
 /** Sends of a target that came later than hosts in touch may still not know of its third end. */
-function laterSends(endpoints: FragileEndpoints, target: string): number {
-  const third = endpoints.ends.filter(end => end.target === target)[2];
+function laterSends(endpoints: CrashingEndpoints, target: string): number {
+  const third = endpoints.crashes.filter(end => end.target === target)[2];
   if (!third) return 0;
-  return endpoints.ofTarget(target).filter(({ atMs }) => atMs > third.atMs + CONTACT_MS).length;
+  return endpoints.receivedFor(target).filter(({ atMs }) => atMs > third.atMs + ANNOUNCEMENT_BOUND_MS).length;
 }
 
 await tap.test('should stop sending a request under which endpoints have ended, at every host', async t => {
@@ -49,13 +55,13 @@
   const world = await started();
   const { fleet, endpoints } = world;
   for (let turn = 0; turn < 20; turn++) {
-    void ask(world, turn, lookup(`r${turn}`, DEADLY));
+    void ask(world, turn, lookupRequest(`r${turn}`, DEADLY));
     await fleet.clock.advance(220);
-    void ask(world, turn + 4, lookup(`again${turn}`, DEADLY));
+    void ask(world, turn + 4, lookupRequest(`again${turn}`, DEADLY));
     await fleet.clock.advance(1300);
   }
   const later = laterSends(endpoints, DEADLY);
-  t.ok(later <= MAX_LATER_SENDS, `${later} sends too late, ${endpoints.ends.length} ends in all`);
+  t.ok(later <= MAX_LATER_SENDS, `${later} sends too late, ${endpoints.crashes.length} ends in all`);
   fleet.stop();
 });
 
@@ -65,14 +71,14 @@
   // an owner sends an item as often as it breaks.
   const world = await started('gen-pool', 8);
   const { fleet, endpoints } = world;
-  endpoints.isDeadly = call => call.target === '/run/deadly';
+  endpoints.isPoison = call => call.target === '/run/deadly';
   const items = ['a', 'b', 'c', 'deadly', 'd', 'e', 'f'].map((id, i) => item(id, { group: `g${i % 3}` }));
   const [owner] = fleet.hosts;
   const submitted = owner?.gateway.batches.submit(batch('b1', items), Deadline.after(fleet.clock, 1000));
   await fleet.clock.advance(30_000);
   t.equal((await submitted)?.kind, 'accepted');
   const later = laterSends(endpoints, '/run/deadly');
-  t.ok(later <= MAX_LATER_SENDS, `${later} sends too late, ${endpoints.ends.length} ends in all`);
+  t.ok(later <= MAX_LATER_SENDS, `${later} sends too late, ${endpoints.crashes.length} ends in all`);
   const read = await owner?.gateway.batches.read('b1', 0, 0);
   t.equal(read?.kind === 'page' && read.page.results.length, 6, 'the others are whole');
   fleet.stop();
@@ -87,11 +93,11 @@
   const world = await started();
   const { fleet, endpoints } = world;
   const outcomes: ForwardOutcome['kind'][] = [];
-  void ask(world, 0, lookup('r0', DEADLY));
+  void ask(world, 0, lookupRequest('r0', DEADLY));
   await fleet.clock.advance(200);
-  t.equal(endpoints.living('storefront'), 1);
+  t.equal(endpoints.liveCount('storefront'), 1);
   for (let i = 0; i < 40; i++) {
-    void ask(world, i, lookup(`s${i}`, `/lookup/${i}`)).then(({ kind }) => outcomes.push(kind));
+    void ask(world, i, lookupRequest(`s${i}`, `/lookup/${i}`)).then(({ kind }) => outcomes.push(kind));
     await fleet.clock.advance(25);
   }
   await fleet.clock.advance(1500);
@@ -110,16 +116,18 @@
   const endsMs: number[] = [];
   for (let i = 0; i < 400; i++) {
     const atMs = fleet.clock.nowMs();
-    void ask(world, i, lookup(`p${i}`, '/lookup/popular')).then(({ kind }) => outcomes.push({ atMs, kind }));
+    void ask(world, i, lookupRequest(`p${i}`, '/lookup/popular')).then(({ kind }) =>
+      outcomes.push({ atMs, kind }),
+    );
     await fleet.clock.advance(40);
     if (i % 100 !== 20) continue;
     endsMs.push(fleet.clock.nowMs());
-    endpoints.endAll('storefront');
+    endpoints.crashAll('storefront');
   }
   await fleet.clock.advance(1500);
   const isAway = (atMs: number): boolean => endsMs.some(endMs => atMs > endMs - 100 && atMs < endMs + 2500);
   const refused = outcomes.filter(({ atMs, kind }) => kind !== 'answered' && !isAway(atMs));
-  t.equal(endpoints.ends.length, 12);
+  t.equal(endpoints.crashes.length, 12);
   t.same(refused, [], 'half a second after the endpoints are back');
   fleet.stop();
 });
@@ -128,39 +136,39 @@
   // It did run: "not run" would be untrue. Then it waits for its trial, then it is of no use to bring it again.
   const world = await started();
   const { fleet, endpoints } = world;
-  const first = ask(world, 0, lookup('r0', DEADLY));
+  const first = ask(world, 0, lookupRequest('r0', DEADLY));
   await fleet.clock.advance(300);
   t.same(await first, { kind: 'unknown', reason: 'broken' });
   const askedMs = fleet.clock.nowMs();
-  const held = await ask(world, 5, lookup('r1', DEADLY));
+  const held = await ask(world, 5, lookupRequest('r1', DEADLY));
   t.ok(held.kind === 'not-run' && held.retryAfterMs > 1000 && held.retryAfterMs <= 2000, held.kind);
   t.equal(fleet.clock.nowMs(), askedMs, 'at once');
   await fleet.clock.advance(2000);
-  const trial = ask(world, 7, lookup('r2', DEADLY));
+  const trial = ask(world, 7, lookupRequest('r2', DEADLY));
   await fleet.clock.advance(200);
   t.same(await trial, { kind: 'unknown', reason: 'broken' });
-  t.equal(endpoints.ends.length, 3);
+  t.equal(endpoints.crashes.length, 3);
   await fleet.clock.advance(500);
   for (let turn = 0; turn < 9; turn++)
-    t.equal((await ask(world, turn, lookup(`x${turn}`, DEADLY))).kind, 'rejected');
+    t.equal((await ask(world, turn, lookupRequest(`x${turn}`, DEADLY))).kind, 'rejected');
   fleet.stop();
 });
 
 await tap.test('should take a request for the same by its caller, method, path and body only', async t => {
   const world = await started();
   const { fleet } = world;
-  void ask(world, 0, lookup('r0', DEADLY, { caller: 'a', headers: [['x', '1']] }));
+  void ask(world, 0, lookupRequest('r0', DEADLY, { caller: 'a', headers: [['x', '1']] }));
   await fleet.clock.advance(2500);
-  world.endpoints.isDeadly = () => false;
+  world.endpoints.isPoison = () => false;
   const kindOf = async (request: CallerRequest): Promise<string> => {
     const outcome = ask(world, 4, request);
     await fleet.clock.advance(100);
     return (await outcome).kind;
   };
-  t.equal(await kindOf(lookup('r1', DEADLY, { caller: 'b' })), 'answered', 'another account');
-  t.equal(await kindOf(lookup('r2', DEADLY, { caller: 'a', body: Buffer.from('b') })), 'answered');
-  t.equal(await kindOf(lookup('r3', `${DEADLY}?page=2`, { caller: 'a' })), 'answered');
-  t.equal(await kindOf(lookup('r4', DEADLY, { caller: 'a', method: 'PUT' })), 'answered');
+  t.equal(await kindOf(lookupRequest('r1', DEADLY, { caller: 'b' })), 'answered', 'another account');
+  t.equal(await kindOf(lookupRequest('r2', DEADLY, { caller: 'a', body: Buffer.from('b') })), 'answered');
+  t.equal(await kindOf(lookupRequest('r3', `${DEADLY}?page=2`, { caller: 'a' })), 'answered');
+  t.equal(await kindOf(lookupRequest('r4', DEADLY, { caller: 'a', method: 'PUT' })), 'answered');
   fleet.stop();
 });
 
@@ -168,19 +176,19 @@
   const world = await started();
   const { fleet, endpoints } = world;
   for (let turn = 0; turn < 3; turn++) {
-    void ask(world, turn, lookup(`r${turn}`, DEADLY));
+    void ask(world, turn, lookupRequest(`r${turn}`, DEADLY));
     await fleet.clock.advance(2300);
   }
-  t.equal(endpoints.ends.length, 3);
+  t.equal(endpoints.crashes.length, 3);
   fleet.stop();
-  endpoints.reached.splice(0);
+  endpoints.received.splice(0);
   await fleet.start('2');
   await fleet.clock.advance(3000);
   for (let turn = 0; turn < 9; turn++) {
-    void ask(world, turn, lookup(`again${turn}`, DEADLY));
+    void ask(world, turn, lookupRequest(`again${turn}`, DEADLY));
     await fleet.clock.advance(300);
   }
-  t.equal(endpoints.ofTarget(DEADLY).length, 0, 'no endpoint is sent it');
+  t.equal(endpoints.receivedFor(DEADLY).length, 0, 'no endpoint is sent it');
   fleet.stop();
 });
 
@@ -191,10 +199,10 @@
   const { fleet, endpoints } = world;
   for (const host of fleet.hosts) host.storeClient.mode = 'away';
   for (let turn = 0; turn < 9; turn++) {
-    void ask(world, turn, lookup(`r${turn}`, DEADLY));
+    void ask(world, turn, lookupRequest(`r${turn}`, DEADLY));
     await fleet.clock.advance(1100);
   }
-  t.ok(endpoints.ends.length <= 3, `${endpoints.ends.length} endpoints ended`);
+  t.ok(endpoints.crashes.length <= 3, `${endpoints.crashes.length} endpoints ended`);
   for (const host of fleet.hosts) host.storeClient.mode = 'well';
   await fleet.clock.advance(3000);
   const kept = fleet.store.keys('fuchsiahitch/live/poison/');
@@ -205,7 +213,7 @@
 await tap.test('should hold a stream and a request that must not be repeated like any other', async t => {
   const world = await started();
   const { fleet, endpoints } = world;
-  const once = { ...LOOKUP, run: 'non-idempotent' as const };
+  const once = { ...LOOKUP_ROUTE, run: 'non-idempotent' as const };
   const sink = {
     begin: () => undefined,
     write: () => Promise.resolve(),
@@ -214,45 +222,45 @@
   };
   for (let turn = 0; turn < 12; turn++) {
     const { forwarder } = fleet.hosts[turn % 9]?.gateway ?? {};
-    const request = lookup(`r${turn}`, DEADLY);
-    if (turn % 2 === 0) void forwarder?.forward(request, once, NOBODY_LEFT);
-    else void forwarder?.stream(request, { ...LOOKUP, run: 'stream' }, sink, NOBODY_LEFT);
+    const request = lookupRequest(`r${turn}`, DEADLY);
+    if (turn % 2 === 0) void forwarder?.forward(request, once, NEVER_ABORTED);
+    else void forwarder?.stream(request, { ...LOOKUP_ROUTE, run: 'stream' }, sink, NEVER_ABORTED);
     await fleet.clock.advance(700);
   }
-  t.ok(endpoints.ends.length <= 3, `${endpoints.ends.length} endpoints ended`);
+  t.ok(endpoints.crashes.length <= 3, `${endpoints.crashes.length} endpoints ended`);
   fleet.stop();
 });
 
 await tap.test('should not begin anew with an item when its owner dies', async t => {
   const world = await started('gen-pool', 8);
   const { fleet, endpoints } = world;
-  endpoints.isDeadly = call => call.target === '/run/deadly';
+  endpoints.isPoison = call => call.target === '/run/deadly';
   const items = ['a', 'b', 'deadly'].map((id, i) => item(id, { group: `g${i}` }));
   const [owner, next] = fleet.hosts;
   void owner?.gateway.batches.submit(batch('b1', items), Deadline.after(fleet.clock, 1000));
   await fleet.clock.advance(5000);
-  t.equal(endpoints.ends.length, 3);
+  t.equal(endpoints.crashes.length, 3);
   owner?.kill();
   for (let i = 0; i < 10; i++) {
     void next?.gateway.batches.read('b1', 2, 0);
     await fleet.clock.advance(1000);
   }
   t.equal(next?.gateway.batches.ownedCount(), 1, 'another host runs the batch');
-  t.equal(endpoints.ends.length, 3);
+  t.equal(endpoints.crashes.length, 3);
   fleet.stop();
 });
 
 await tap.test('should bring several copies at once to a bounded number of endpoints', async t => {
   const world = await started('storefront', 9);
   const { fleet, endpoints } = world;
-  for (let turn = 0; turn < 9; turn++) void ask(world, turn, lookup(`r${turn}`, DEADLY));
+  for (let turn = 0; turn < 9; turn++) void ask(world, turn, lookupRequest(`r${turn}`, DEADLY));
   await fleet.clock.advance(4000);
   for (let turn = 0; turn < 20; turn++) {
-    void ask(world, turn, lookup(`again${turn}`, DEADLY));
+    void ask(world, turn, lookupRequest(`again${turn}`, DEADLY));
     await fleet.clock.advance(1000);
   }
   const later = laterSends(endpoints, DEADLY);
-  t.ok(later <= MAX_LATER_SENDS, `${later} sends too late, ${endpoints.ends.length} ends in all`);
+  t.ok(later <= MAX_LATER_SENDS, `${later} sends too late, ${endpoints.crashes.length} ends in all`);
   fleet.stop();
 });
 
@@ -262,12 +270,12 @@
     // An endpoint that ends breaks all that runs there; at the size of a fleet a write for each would cost more than the end.
     const world = await started('storefront', 6);
     const { fleet, endpoints } = world;
-    for (let i = 0; i < 60; i++) void ask(world, i, lookup(`s${i}`, `/lookup/${i}`));
+    for (let i = 0; i < 60; i++) void ask(world, i, lookupRequest(`s${i}`, `/lookup/${i}`));
     await fleet.clock.advance(10);
     const before = fleet.store.calls.length;
-    endpoints.endOne('storefront');
+    endpoints.crashBusiest('storefront');
     await fleet.clock.advance(200);
-    t.equal(endpoints.ends.length, 1);
+    t.equal(endpoints.crashes.length, 1);
     t.notOk(fleet.store.calls.slice(before).includes('transact'));
     fleet.stop();
   },
--- a/tests/poisonSoak.spec.ts
+++ b/tests/poisonSoak.spec.ts
@@ -4,10 +4,16 @@
 import tap from 'tap';
 import { SeededRandom, type Random } from '@fuchsiahitch/base';
 import type { ForwardOutcome } from '@fuchsiahitch/gateway';
-import { FragileEndpoints } from './fragileEndpoints.js';
+import { CrashingEndpoints } from './crashingEndpoints.js';
 import { fuzzRuns } from './fuzzRuns.js';
 import { GatewayFleet } from './gatewayFleet.js';
-import { CONTACT_MS, LOOKUP, lookup, MAX_LATER_SENDS, NOBODY_LEFT } from './lookups.js';
+import {
+  ANNOUNCEMENT_BOUND_MS,
+  LOOKUP_ROUTE,
+  lookupRequest,
+  MAX_LATER_SENDS,
+  NEVER_ABORTED,
+} from './lookupRequests.js';
 
 const STEP_MS = 100;
 const STEPS = 300;
@@ -26,7 +32,7 @@
 class Soak {
   readonly served: Served[] = [];
   readonly fleet = new GatewayFleet({ hosts: HOSTS, domains: 3, endpoints: 0 });
-  readonly endpoints = new FragileEndpoints(this.fleet);
+  readonly endpoints = new CrashingEndpoints(this.fleet);
   /** When the store was last disturbed, or the hosts were started again. */
   disturbedMs = 0;
   private readonly _random: Random;
@@ -34,7 +40,7 @@
 
   constructor(seed: number) {
     this._random = new SeededRandom(seed);
-    this.endpoints.isDeadly = ({ target }) => DEADLY.includes(target);
+    this.endpoints.isPoison = ({ target }) => DEADLY.includes(target);
   }
 
   async run(): Promise<void> {
@@ -58,8 +64,8 @@
 
   private async _disturb(): Promise<void> {
     const draw = this._random.below(400);
-    if (draw < 6) this.endpoints.endOne('storefront');
-    if (draw === 6) this.endpoints.endAll('storefront');
+    if (draw < 6) this.endpoints.crashBusiest('storefront');
+    if (draw === 6) this.endpoints.crashAll('storefront');
     if (draw === 7) this._setStore('away');
     if (draw === 8) this._setStore('silent');
     if (draw >= 9 && draw < 40) this._setStore('well');
@@ -90,7 +96,7 @@
     const atMs = this.fleet.clock.nowMs();
     const host = this.fleet.hosts[this._random.below(HOSTS)];
     void host?.gateway.forwarder
-      .forward(lookup(`r${this._asked}`, target), LOOKUP, NOBODY_LEFT)
+      .forward(lookupRequest(`r${this._asked}`, target), LOOKUP_ROUTE, NEVER_ABORTED)
       .then(({ kind }) => this.served.push({ target, atMs, kind }));
   }
 }
@@ -108,13 +114,14 @@
       t.same(rejected, [], `${label}: nothing sound is rejected`);
       const calmMs = (STEPS + 30) * STEP_MS + 1300;
       const unserved = soak.served.filter(
-        served => isSound(served) && served.atMs > calmMs + CONTACT_MS && served.kind !== 'answered',
+        served =>
+          isSound(served) && served.atMs > calmMs + ANNOUNCEMENT_BOUND_MS && served.kind !== 'answered',
       );
       t.same(unserved, [], `${label}: all that is sound is served once it is calm`);
       for (const target of DEADLY) {
-        const third = soak.endpoints.ends.filter(end => end.target === target)[2];
-        const knownMs = Math.max(third?.atMs ?? Infinity, soak.disturbedMs) + CONTACT_MS;
-        const later = soak.endpoints.ofTarget(target).filter(({ atMs }) => atMs > knownMs);
+        const third = soak.endpoints.crashes.filter(end => end.target === target)[2];
+        const knownMs = Math.max(third?.atMs ?? Infinity, soak.disturbedMs) + ANNOUNCEMENT_BOUND_MS;
+        const later = soak.endpoints.receivedFor(target).filter(({ atMs }) => atMs > knownMs);
         t.ok(later.length <= MAX_LATER_SENDS, `${label}: ${later.length} later sends of ${target}`);
       }
     }
--- a/tests/usageFleet.ts
+++ b/tests/usageFleet.ts
@@ -4,7 +4,7 @@
 import type { SeededRandom } from '@fuchsiahitch/base';
 import { GatewayFleet, type FleetHost, type FleetSize } from './gatewayFleet.js';
 import { answer, endpointRecord, keys } from './gatewayWorld.js';
-import { lookup, LOOKUP, NOBODY_LEFT } from './lookups.js';
+import { lookupRequest, LOOKUP_ROUTE, NEVER_ABORTED } from './lookupRequests.js';
 
 export const WINDOW_MS = 5000;
 const DUE_MS = 10_000;
@@ -45,8 +45,8 @@
 
   ask(host: FleetHost, random: SeededRandom): void {
     const accountName = `account-${random.below(7)}`;
-    const request = lookup(random.id(), '/a/x', { accountName });
-    void host.gateway.forwarder.forward(request, LOOKUP, NOBODY_LEFT);
+    const request = lookupRequest(random.id(), '/a/x', { accountName });
+    void host.gateway.forwarder.forward(request, LOOKUP_ROUTE, NEVER_ABORTED);
   }
 
   /** Windows whose report is missing, or off by more than allowed. */
