--- a/packages/gateway/src/batchOwner.ts
+++ b/packages/gateway/src/batchOwner.ts
@@ -262,9 +262,9 @@
   }
 
   private _schedulePlacement(hasMoreToStart: boolean): CancelTimer {
-    const { clock, loop } = this._context;
+    const { clock, eventLoop: loop } = this._context;
     const place = (): void => this._placeItems();
-    return hasMoreToStart ? loop.afterOneReading(place) : clock.after(PLACE_INTERVAL_MS, place);
+    return hasMoreToStart ? loop.afterPollPhase(place) : clock.after(PLACE_INTERVAL_MS, place);
   }
 
   private _tryStart(item: BatchItem, tiers: EndpointTiers): boolean {
@@ -309,7 +309,7 @@
         break;
       case 'not-run':
         this._placer.avoid(item, endpoint);
-        endpoint.closeFor(REFUSAL_PAUSE_MS);
+        endpoint.suspendItemsFor(REFUSAL_PAUSE_MS);
         this.ledger.interrupted(item.id);
         break;
       case 'broken':
@@ -380,7 +380,7 @@
       paceMs: Math.round(endpoint.paceMs() ?? 0),
       claimRevision,
       claimAgeMs: Math.round(claimAgeMs),
-      loopDelayMs: Math.round(this._context.loop.recentMs()),
+      loopDelayMs: Math.round(this._context.eventLoop.recentLagMs()),
       endpointsAgeMs: Math.round(this._ports.endpoints.ageMs()),
     });
   }
--- a/packages/gateway/src/itemAttempt.ts
+++ b/packages/gateway/src/itemAttempt.ts
@@ -73,7 +73,7 @@
     const { stats } = this.endpoint;
     stats.began(true);
     this._armStallTimer();
-    const span = this._context.tracing.begin('endpoint', undefined);
+    const span = this._context.tracing.startSpan('endpoint', undefined);
     const onReplaced = (): void => this._endpointRestarted();
     this.endpoint.replaced.addEventListener('abort', onReplaced);
     const end = await this._client.runItem(this._call(), this, this._abort.signal);
@@ -90,10 +90,10 @@
   began(version: number | undefined, load: EndpointLoad | undefined): boolean {
     const { model, minVersion } = this._ledger.batch;
     this._isAnswered = true;
-    if (load) this.endpoint.loaded(load);
+    if (load) this.endpoint.recordLoad(load);
     // An endpoint that resumes after the last event of a text generates nothing and reports no version.
     if (version === undefined) return true;
-    if (model !== '') this.endpoint.answeredVersion(model, version);
+    if (model !== '') this.endpoint.recordAnsweredVersion(model, version);
     const progress = this._ledger.progress(this._item.id);
     if (version >= minVersion && progress.mayContinueWith(version)) return true;
     // The text so far can't be continued with this version. It is kept if the version is merely too old.
@@ -105,8 +105,8 @@
   event(event: GeneratedEvent): boolean {
     const nowMs = this._context.clock.nowMs();
     // Events that were read late because of event loop lag don't show the endpoint's pace.
-    if (this._lastEventMs !== undefined && this._context.loop.isPunctualSince(this._lastEventMs))
-      this.endpoint.paced(nowMs - this._lastEventMs);
+    if (this._lastEventMs !== undefined && this._context.eventLoop.isOnTimeSince(this._lastEventMs))
+      this.endpoint.recordEventInterval(nowMs - this._lastEventMs);
     this._lastEventMs = nowMs;
     this._lastActivityWallMs = this._context.clock.wallMs();
     this._armStallTimer();
@@ -121,7 +121,7 @@
    * would wait for the stall timeout. A run with activity after the restart belongs to the new process and continues.
    */
   private _endpointRestarted(): void {
-    if (this._lastActivityWallMs >= this.endpoint.nextStartWallMs()) return;
+    if (this._lastActivityWallMs >= this.endpoint.successorStartWallMs()) return;
     this._decidedEnd ??= { kind: 'broken', text: 'the endpoint has restarted' };
     this._abort.abort();
   }
@@ -135,18 +135,18 @@
   private _armStallTimer(): void {
     const { suspectMs, abandonMs: giveUpMs } = idleTimeouts(
       this._lastEventMs !== undefined,
-      this.endpoint.roughPaceMs(),
+      this.endpoint.provisionalPaceMs(),
     );
     this._watchForStall(suspectMs, this._context.clock.nowMs() + giveUpMs);
   }
 
   /** Waits, lets the event loop read pending I/O, then checks for a stall. An event meanwhile cancels the check. */
   private _watchForStall(waitMs: number, abandonAtMs: number): void {
-    const { clock, loop } = this._context;
+    const { clock, eventLoop: loop } = this._context;
     const sinceMs = this._lastEventMs ?? this._startedMs;
     this._stallTimer?.();
     this._stallTimer = clock.after(waitMs, () => {
-      this._stallTimer = loop.afterReading(sinceMs, () => this._checkStall(abandonAtMs));
+      this._stallTimer = loop.afterPendingIo(sinceMs, () => this._checkStall(abandonAtMs));
     });
   }
 
--- a/packages/gateway/src/paceUpdates.ts
+++ b/packages/gateway/src/paceUpdates.ts
@@ -25,7 +25,7 @@
   /** Sends paces that this host has measured recently, but not those received from peers. */
   send(): void {
     const paces = this._endpoints.all().flatMap(endpoint => {
-      const paceMs = endpoint.freshPaceMs();
+      const paceMs = endpoint.recentOwnPaceMs();
       const { id: endpointId, startWallMs } = endpoint.info();
       return paceMs === undefined || paceMs <= 0 ? [] : [{ endpointId, startWallMs, paceMs }];
     });
@@ -37,7 +37,7 @@
   private _receive({ paces }: PacesSeen): Readonly<Record<string, never>> {
     for (const { endpointId, startWallMs, paceMs } of paces) {
       const endpoint = this._endpoints.get(endpointId);
-      if (endpoint?.info().startWallMs === startWallMs) endpoint.heardPace(paceMs);
+      if (endpoint?.info().startWallMs === startWallMs) endpoint.recordReportedPace(paceMs);
     }
     return {};
   }
--- a/packages/gateway/src/weightOrders.ts
+++ b/packages/gateway/src/weightOrders.ts
@@ -255,14 +255,14 @@
   private _isSameStart(endpoint: Endpoint, report: WeightReport): boolean {
     const { startWallMs, versions } = report;
     if (startWallMs === undefined || startWallMs === endpoint.info().startWallMs) return true;
-    this._ports.endpoints.restarted(endpoint.id, startWallMs, versions);
+    this._ports.endpoints.recordRestart(endpoint.id, startWallMs, versions);
     return false;
   }
 
   /** Notifies peers at once: batch owners send no items to the endpoint before they have its new version. */
   private _onVersionSeen(endpoint: Endpoint, model: string, version: number): void {
     if (version <= endpoint.versionOf(model)) return;
-    endpoint.heardVersion(model, version);
+    endpoint.recordVersion(model, version);
     this._notifyPeers(calls.versionSeen, toEndpointVersion(endpoint, model, version));
   }
 
@@ -282,7 +282,7 @@
 /** Handles version updates from the hosts that send orders. */
 export function serveVersions(server: CallRegistry, endpoints: EndpointDirectory): void {
   server.handle(calls.versionSeen, update => {
-    endpointOfStart(endpoints, update)?.heardVersion(update.model, update.version);
+    endpointOfStart(endpoints, update)?.recordVersion(update.model, update.version);
     return {};
   });
   server.handle(calls.loadBegan, update => {
