--- a/packages/batches/src/index.ts
+++ b/packages/batches/src/index.ts
@@ -1,4 +1,4 @@
-/** Decisions about batches: what is kept, who runs what, and what a reader sees. */
+/** Decisions about batches: storage, ownership, placement and results. */
 export * from './batchKeys.js';
 export * from './batchLedger.js';
 export * from './batchMessages.js';
@@ -6,11 +6,11 @@
 export * from './endpointShares.js';
 export * from './itemPlacement.js';
 export * from './itemProgress.js';
-export * from './keptEvents.js';
+export * from './storedEvents.js';
 export * from './listingPolicy.js';
 export * from './model.js';
 export * from './pace.js';
 export * from './records.js';
 export * from './resultList.js';
-export * from './retryPause.js';
-export * from './silence.js';
+export * from './retryDelay.js';
+export * from './idleTimeouts.js';
--- a/packages/gateway/src/claimLease.ts
+++ b/packages/gateway/src/claimLease.ts
@@ -1,45 +1,33 @@
 /**
- * The claim of a batch as its owner holds it: a lease that each answer of the store renews.
+ * Lease on the claim of a batch. Each answer of the store that confirms the claim renews it.
  *
- * What goes wrong without a bound in time: the owner can't reach the store, or is answered so late that it gives up
- * waiting; meanwhile another host takes the batch over, or ends it, and tells the trainer so. The owner goes on to send
- * items for as long as its trouble lasts. One notices it as runs that begin at endpoints seconds after the end of their
- * batch was confirmed, all from one host. A look at the claim now and then does not help, since the look is what fails.
- * So nothing new is sent unless the store has confirmed the claim within the lease, counted from when the store was
- * asked: whatever happened to the claim since then, it was confirmed to others at most that long ago. Runs that have
- * begun go on, and their results are listed when the store answers again.
+ * An owner that can't reach the store does not learn that another host has taken its batch over or ended it. It sends
+ * nothing new once the store has not confirmed the claim within the lease, counted from when the store was asked. This
+ * bounds how long items are sent after another host has confirmed the end of the batch. Attempts that an endpoint has
+ * answered continue, and their results are listed once the store answers again.
  */
 import { Deadline, sleep, type Clock } from '@fuchsiahitch/base';
 import type { BatchStore, HeldClaim } from './batchStore.js';
 import type { GatewayContext } from './gatewayContext.js';
 
-/**
- * The store is asked once it has confirmed nothing for so long. An owner whose items run writes what they generate every
- * second, and each write confirms the claim: this is a little longer, so that it costs no call of its own.
- */
+/** Slightly longer than the interval of progress records, which renew the lease of a running batch without extra calls. */
 const RENEW_AFTER_MS = 1100;
-/** A short lease is renewed after this part of it, so that a question and its repetition fit in. */
-const RENEW_SHARE = 0.6;
-/**
- * Part of the time in which an item may still arrive, for what was written just before the lease ran out. What was begun and
- * is not answered by then is taken back.
- */
+/** A short lease is renewed after this fraction of it, which leaves time for one retry. */
+const RENEW_FRACTION = 0.6;
+/** Time for requests that were written just before the lease expired to reach their endpoints. */
 const SEND_MARGIN_MS = 1000;
-/** How often it is looked at whether the store must be asked. Also the pause after a question that got no answer. */
-const LOOK_INTERVAL_MS = 125;
-/**
- * A question has this long: a slow store answers in 0.3 s, and one that is silent must be given up early enough that a second
- * question, by way of a peer, is answered about when the lease runs out.
- */
-const ASK_TIMEOUT_MS = 700;
+/** Also the pause before a failed renewal is retried. */
+const CHECK_INTERVAL_MS = 125;
+/** Short enough that a retry, relayed by a peer, can still be answered about when the lease expires. */
+const RENEW_TIMEOUT_MS = 700;
 /**
- * A reader is told that there is nothing yet only by an owner that the store has confirmed this recently; a result read
- * elsewhere must be shown by everybody within a second.
+ * An owner returns an empty page only if the store confirmed its claim this recently: a result that was read at one host
+ * must be readable at all hosts within a second.
  */
-export const SURE_MS = 600;
-const SURE_TIMEOUT_MS = 1000;
+export const READ_CONFIRMATION_MAX_AGE_MS = 600;
+const CONFIRM_TIMEOUT_MS = 1000;
 
-/** The lease of a claim, from how long after the end of a batch was confirmed its items may still reach endpoints. */
+/** Computes the lease from the time that items may still reach endpoints after the end of their batch was confirmed. */
 export function claimLeaseMs(batchEndMs: number): number {
   return Math.max(batchEndMs - SEND_MARGIN_MS, batchEndMs / 2);
 }
@@ -50,53 +38,52 @@
   private readonly _batchId: string;
   private readonly _leaseMs: number;
   private readonly _renewAfterMs: number;
-  private readonly _lost: () => void;
+  private readonly _onLost: () => void;
   private _held: HeldClaim;
-  /** The wall clock less the monotonic one, when the claim was last confirmed. */
-  private _wallAheadMs: number;
+  /** Wall clock minus monotonic clock when the claim was last confirmed. */
+  private _wallOffsetMs: number;
   private _isStopped = false;
-  private _isOut = false;
+  private _isExpired = false;
 
-  /** `leaseMs`: how long after a confirmation the claim may be acted on. `lost`: another host has it, or has ended the batch. */
+  /** `onLost`: called when another host has taken the batch over or ended it. */
   constructor(
     context: GatewayContext,
     store: BatchStore,
     batchId: string,
     held: HeldClaim,
     leaseMs: number,
-    lost: () => void,
+    onLost: () => void,
   ) {
     this._context = context;
     this._store = store;
     this._batchId = batchId;
     this._held = held;
     this._leaseMs = leaseMs;
-    this._renewAfterMs = Math.min(RENEW_AFTER_MS, leaseMs * RENEW_SHARE);
-    this._lost = lost;
-    this._wallAheadMs = wallAheadMs(context.clock);
+    this._renewAfterMs = Math.min(RENEW_AFTER_MS, leaseMs * RENEW_FRACTION);
+    this._onLost = onLost;
+    this._wallOffsetMs = wallOffsetMs(context.clock);
   }
 
-  /** The claim with its revision, which every write names. */
   get held(): HeldClaim {
     return this._held;
   }
 
   /**
-   * Time since the store was asked for the answer that last confirmed the claim. The monotonic clock stands still while a
-   * machine is suspended, and the wall clock does not: whichever says more counts.
+   * Time since the store was asked for its last confirmation of the claim. The monotonic clock stops while the machine is
+   * suspended and the wall clock may be set back, so the larger of the two ages is used.
    */
   ageMs(): number {
     const { clock } = this._context;
-    const nowMs = Math.max(clock.nowMs(), clock.wallMs() - this._wallAheadMs);
-    return nowMs - this._held.askedMs;
+    const nowMs = Math.max(clock.nowMs(), clock.wallMs() - this._wallOffsetMs);
+    return nowMs - this._held.requestedAtMs;
   }
 
-  /** True while something new may be sent for the batch. */
-  mayAct(): boolean {
+  /** True while new requests may be sent for the batch. */
+  isValid(): boolean {
     return !this._isStopped && this.ageMs() < this._leaseMs;
   }
 
-  /** Keeps the lease renewed until it is stopped. */
+  /** Renews the lease until `stop` is called. */
   start(): void {
     void this._run();
   }
@@ -105,56 +92,56 @@
     this._isStopped = true;
   }
 
-  /** The store confirmed the claim when it was asked at that time. */
-  confirmed(askedMs: number): void {
-    if (askedMs > this._held.askedMs) {
-      this._held = { ...this._held, askedMs };
-      this._wallAheadMs = wallAheadMs(this._context.clock);
+  /** Renews the lease after an answer of the store to a request that was sent at the given time. */
+  markConfirmed(askedMs: number): void {
+    if (askedMs > this._held.requestedAtMs) {
+      this._held = { ...this._held, requestedAtMs: askedMs };
+      this._wallOffsetMs = wallOffsetMs(this._context.clock);
     }
-    if (!this._isOut || !this.mayAct()) return;
-    this._isOut = false;
-    this._log('claim confirmed again');
+    if (!this._isExpired || !this.isValid()) return;
+    this._isExpired = false;
+    this._log('claim lease regained');
   }
 
-  /** The store refused a write that named the claim. */
-  lost(): void {
-    this._lost();
+  /** Reports that the store rejected a write conditional on the claim. */
+  reportLost(): void {
+    this._onLost();
   }
 
-  /** The batch stands at another revision by this owner's own change. */
+  /** Replaces the claim after this owner changed it. */
   changed(held: HeldClaim): void {
     this._held = held;
   }
 
-  /** True if the store has confirmed a moment ago, or does so now, that this host still owns the batch. */
-  async isSure(): Promise<boolean> {
-    return this.ageMs() < SURE_MS || this._ask(SURE_TIMEOUT_MS);
+  /** True if the store confirmed recently, or confirms now, that this host owns the batch. */
+  async confirmOwnership(): Promise<boolean> {
+    return this.ageMs() < READ_CONFIRMATION_MAX_AGE_MS || this._readClaim(CONFIRM_TIMEOUT_MS);
   }
 
   private async _run(): Promise<void> {
     const { clock, stopped } = this._context;
     while (!this._isStopped && !stopped.aborted) {
-      if (this.ageMs() >= this._renewAfterMs) await this._ask(ASK_TIMEOUT_MS);
-      this._lookAtEnd();
-      await sleep(clock, LOOK_INTERVAL_MS, stopped);
+      if (this.ageMs() >= this._renewAfterMs) await this._readClaim(RENEW_TIMEOUT_MS);
+      this._checkExpiry();
+      await sleep(clock, CHECK_INTERVAL_MS, stopped);
     }
   }
 
-  private async _ask(timeoutMs: number): Promise<boolean> {
+  private async _readClaim(timeoutMs: number): Promise<boolean> {
     const claim = await this._store.readClaim(this._batchId, Deadline.after(this._context.clock, timeoutMs));
     if (!claim.ok || this._isStopped) return false;
     if (claim.value?.revision !== this._held.revision) {
-      this._lost();
+      this._onLost();
       return false;
     }
-    this.confirmed(claim.value.askedMs);
+    this.markConfirmed(claim.value.requestedAtMs);
     return true;
   }
 
-  private _lookAtEnd(): void {
-    if (this._isStopped || this._isOut || this.mayAct()) return;
-    this._isOut = true;
-    this._log('claim unconfirmed');
+  private _checkExpiry(): void {
+    if (this._isStopped || this._isExpired || this.isValid()) return;
+    this._isExpired = true;
+    this._log('claim lease expired');
   }
 
   private _log(text: string): void {
@@ -164,6 +151,6 @@
   }
 }
 
-function wallAheadMs(clock: Clock): number {
+function wallOffsetMs(clock: Clock): number {
   return clock.wallMs() - clock.nowMs();
 }
--- a/packages/gateway/src/storeLease.ts
+++ b/packages/gateway/src/storeLease.ts
@@ -1,5 +1,5 @@
 /**
- * A key in the store that lasts as long as this process renews its lease.
+ * Store key that is bound to a lease and exists as long as this process renews it.
  */
 import { Deadline, sleep } from '@fuchsiahitch/base';
 import type { RevisionedStore, Write } from '@fuchsiahitch/clients';
@@ -10,24 +10,19 @@
   readonly renewMs: number;
 }
 
-/** What holding the key means to the one who asked for it. */
+/** Callbacks of the owner of a `StoreLease`. */
 export interface LeaseHolder {
-  /** The key's value. */
   value(): string;
-  /**
-   * How long to wait before the key is taken: 0 to take it now, Infinity as things stand. Whoever knows that things have
-   * changed calls `look`.
-   */
-  wantsInMs(): number;
-  /** Taken or renewed: `sentMs` is when the store was asked, `token` grows with each holder. */
+  /** Delay before the key is acquired: 0 for now, Infinity until `recheck` is called. */
+  acquireDelayMs(): number;
+  /** Called when the key was acquired or renewed. `sentMs`: when the request was sent; `token` grows with each holder. */
   held(token: number, sentMs: number): void;
   lost(reason: string): void;
-  /** Written together with the key, and again when it is given up; kept when it ends. */
-  alsoWrites?(): readonly Write[];
+  /** Additional writes when the key is acquired and when it is released; they outlive the lease. */
+  extraWrites?(): readonly Write[];
 }
 
 const CALL_TIMEOUT_MS = 800;
-/** The pause after a key could not be taken, or its lease not be renewed. */
 const RETRY_MS = 150;
 
 export class StoreLease {
@@ -36,7 +31,7 @@
   private readonly _key: string;
   private readonly _times: LeaseTimes;
   private readonly _holder: LeaseHolder;
-  /** True if the key must not exist when it is taken; a host's own key replaces what it left behind. */
+  /** True if the key must not exist when it is acquired; false to replace the record of an earlier process. */
   private readonly _isExclusive: boolean;
   private _leaseId: string | undefined;
   private _token = 0;
@@ -63,25 +58,25 @@
     void this._run();
   }
 
-  /** Asks the holder again whether it wants the key. */
-  look(): void {
+  /** Queries the holder's acquire delay again. */
+  recheck(): void {
     this._wake();
   }
 
-  /** Gives the key up at once, so that others need not wait for its end. */
+  /** Releases the key for good, so that others need not wait for the lease to expire. */
   async release(): Promise<void> {
     this._isReleased = true;
     this._wake();
-    await this.giveUp();
+    await this.relinquish();
   }
 
-  /** As `release`, and takes the key again once the holder wants it. */
-  async giveUp(): Promise<void> {
+  /** Releases the key; it is reacquired when the holder's acquire delay allows. */
+  async relinquish(): Promise<void> {
     const leaseId = this._leaseId;
     this._leaseId = undefined;
     if (leaseId === undefined) return;
-    const writes = this._holder.alsoWrites?.() ?? [];
-    // Only as long as the key is still this holder's: a late write must not replace what a successor wrote.
+    const writes = this._holder.extraWrites?.() ?? [];
+    // The compare prevents a delayed write from replacing a successor's record.
     const compares = [{ key: this._key, version: this._token }];
     if (writes.length > 0) await this._store.transact(compares, writes, this._deadline());
     await this._store.endLease(leaseId, this._deadline());
@@ -90,18 +85,18 @@
   private async _run(): Promise<void> {
     const { clock, stopped } = this._context;
     while (!stopped.aborted && !this._isReleased) {
-      const waitMs = this._leaseId === undefined ? this._holder.wantsInMs() : 0;
+      const waitMs = this._leaseId === undefined ? this._holder.acquireDelayMs() : 0;
       if (waitMs > 0) {
-        await this._rest(waitMs);
+        await this._idle(waitMs);
         continue;
       }
-      const isHeld = this._leaseId === undefined ? await this._take() : await this._renew(this._leaseId);
+      const isHeld = this._leaseId === undefined ? await this._acquire() : await this._renew(this._leaseId);
       await sleep(clock, isHeld ? this._times.renewMs : RETRY_MS, stopped);
     }
   }
 
-  /** Ends after the time, when somebody asks to look, or when the process stops. */
-  private async _rest(waitMs: number): Promise<void> {
+  /** Resolves after the time, on `recheck`, or when the process stops. */
+  private async _idle(waitMs: number): Promise<void> {
     const { clock, stopped } = this._context;
     await new Promise<void>(resolve => {
       const end = (): void => {
@@ -116,16 +111,16 @@
     });
   }
 
-  private async _take(): Promise<boolean> {
+  private async _acquire(): Promise<boolean> {
     const sentMs = this._context.clock.nowMs();
     const lease = await this._store.grantLease(this._times.ttlMs, this._deadline());
     if (!lease.ok || this._isReleased) return false;
     const compares = this._isExclusive ? [{ key: this._key, version: 0 }] : [];
     const put = { kind: 'put', key: this._key, value: this._holder.value(), leaseId: lease.value } as const;
-    const writes = [put, ...(this._holder.alsoWrites?.() ?? [])];
+    const writes = [put, ...(this._holder.extraWrites?.() ?? [])];
     const done = await this._store.transact(compares, writes, this._deadline());
     if (!done.ok || !done.value.succeeded) {
-      // An answer that was lost may hide that the key was taken: the lease is ended so that it cannot stay.
+      // The write may have succeeded although its answer was lost: ending the lease removes the key.
       await this._store.endLease(lease.value, this._deadline());
       return false;
     }
@@ -137,17 +132,17 @@
 
   private async _renew(leaseId: string): Promise<boolean> {
     const sentMs = this._context.clock.nowMs();
-    const kept = await this._store.keepLease(leaseId, this._deadline());
-    // Given up meanwhile: the key may be another host's by now.
+    const renewed = await this._store.keepLease(leaseId, this._deadline());
+    // Released during the call: another host may hold the key now.
     if (this._leaseId !== leaseId) return false;
-    if (kept.ok && kept.value) {
+    if (renewed.ok && renewed.value) {
       this._holder.held(this._token, sentMs);
       return true;
     }
-    // No answer says nothing: the lease may still stand, and its own end guards what depends on it.
-    if (!kept.ok) return false;
+    // Without an answer the lease may still exist; its validity limits the holder's actions.
+    if (!renewed.ok) return false;
     this._leaseId = undefined;
-    this._holder.lost('the store no longer knows the lease');
+    this._holder.lost('lease no longer exists in the store');
     return false;
   }
 
--- a/packages/metering/src/clockVote.ts
+++ b/packages/metering/src/clockVote.ts
@@ -11,25 +11,26 @@
 interface Vote {
   /** Wall time of a host less this process's monotonic time. */
   readonly offsetMs: number;
-  readonly heardMs: number;
+  readonly observedMs: number;
 }
 
 export class ClockVote {
   private readonly _votes = new Map<string, Vote>();
 
   /** A host's wall clock showed `wallMs` at this process's monotonic time `nowMs`. */
-  heard(hostId: string, wallMs: number, nowMs: number): void {
-    this._votes.set(hostId, { offsetMs: wallMs - nowMs, heardMs: nowMs });
+  observe(hostId: string, wallMs: number, nowMs: number): void {
+    this._votes.set(hostId, { offsetMs: wallMs - nowMs, observedMs: nowMs });
   }
 
   /** This process stood still: what was heard before says nothing any more. */
-  forget(): void {
+  reset(): void {
     this._votes.clear();
   }
 
   /** True wall time less this process's monotonic time: the median of the votes. Undefined without any. */
   offsetMs(nowMs: number): number | undefined {
-    for (const [hostId, vote] of this._votes) if (nowMs - vote.heardMs > VALID_MS) this._votes.delete(hostId);
+    for (const [hostId, vote] of this._votes)
+      if (nowMs - vote.observedMs > VALID_MS) this._votes.delete(hostId);
     const offsets = [...this._votes.values()].map(vote => vote.offsetMs).sort((a, b) => a - b);
     const middle = Math.floor((offsets.length - 1) / 2);
     const [low, high] = [offsets[middle], offsets[offsets.length - 1 - middle]];
--- a/packages/metering/src/usageMeter.ts
+++ b/packages/metering/src/usageMeter.ts
@@ -11,13 +11,13 @@
 }
 
 /** A request on its way to an endpoint. */
-export interface MeteredSend {
+export interface MeteredRequest {
   /** `didBegin`: whether the endpoint ran it, as far as this host can tell. */
   ended(didBegin: boolean): void;
 }
 
 /** A request that began before this host knew what time it was. */
-interface Undated {
+interface UndatedRequest {
   readonly accountName: string;
   /** Monotonic time. */
   readonly atMs: number;
@@ -33,56 +33,56 @@
   private readonly _options: UsageMeterOptions;
   private readonly _windows = new Map<number, Map<string, number>>();
   private readonly _final = new Set<number>();
-  private _undated: Undated[] = [];
+  private _undatedRequests: UndatedRequest[] = [];
   /** True time less monotonic time; undefined while it is not known. */
   private _offsetMs: number | undefined;
   private _lastWindow = -Infinity;
   private _decidedUpTo = -Infinity;
-  private _nextSend = 0;
-  private readonly _openSinceMs = new Map<number, number>();
+  private _nextRequestId = 0;
+  private readonly _inFlightSinceMs = new Map<number, number>();
   private _version = 0;
-  private _toldVersion = 0;
+  private _reportedVersion = 0;
 
   constructor(options: UsageMeterOptions) {
     this._options = options;
   }
 
   /** A request of an account is sent at the monotonic time `nowMs`. */
-  sent(accountName: string, nowMs: number): MeteredSend {
-    const id = this._nextSend;
-    this._nextSend += 1;
-    this._openSinceMs.set(id, nowMs);
+  sent(accountName: string, nowMs: number): MeteredRequest {
+    const id = this._nextRequestId;
+    this._nextRequestId += 1;
+    this._inFlightSinceMs.set(id, nowMs);
     return {
       ended: didBegin => {
-        if (this._openSinceMs.delete(id) && didBegin) this._count({ accountName, atMs: nowMs });
+        if (this._inFlightSinceMs.delete(id) && didBegin) this._count({ accountName, atMs: nowMs });
       },
     };
   }
 
   /** What time it truly is has become known: true time less monotonic time. */
-  dated(offsetMs: number): void {
+  setClockOffset(offsetMs: number): void {
     this._offsetMs = offsetMs;
-    const undated = this._undated;
-    this._undated = [];
+    const undated = this._undatedRequests;
+    this._undatedRequests = [];
     for (const began of undated) this._count(began);
   }
 
   /** This process stood still, or its clock was set: what time it is must be learnt anew. */
-  undated(): void {
+  clearClockOffset(): void {
     this._offsetMs = undefined;
   }
 
-  isDated(): boolean {
+  hasClockOffset(): boolean {
     return this._offsetMs !== undefined;
   }
 
   /** True if something was counted that nobody was told yet. */
-  hasNews(): boolean {
-    return this._undated.length > 0 || this._version > this._toldVersion;
+  hasUnreported(): boolean {
+    return this._undatedRequests.length > 0 || this._version > this._reportedVersion;
   }
 
   /** What a reporter must know. `told` is called once it has taken that. */
-  toTell(nowMs: number): { readonly windows: readonly HostWindow[]; readonly told: () => void } {
+  nextUpdate(nowMs: number): { readonly windows: readonly HostWindow[]; readonly told: () => void } {
     const version = this._version;
     const windows: HostWindow[] = [];
     for (const window of this._due(nowMs)) {
@@ -94,7 +94,7 @@
     return {
       windows,
       told: () => {
-        this._toldVersion = Math.max(this._toldVersion, version);
+        this._reportedVersion = Math.max(this._reportedVersion, version);
         for (const { window, isFinal } of windows) if (isFinal) this._final.add(window);
       },
     };
@@ -115,14 +115,14 @@
   }
 
   /** Windows up to this one are decided. */
-  decided(upTo: number): void {
+  markDecided(upTo: number): void {
     this._decidedUpTo = Math.max(this._decidedUpTo, upTo);
     for (const window of this._windows.keys()) if (window <= upTo) this._windows.delete(window);
     for (const window of this._final) if (window <= upTo) this._final.delete(window);
   }
 
   /** Counts that are too old for any report; they are forgotten. */
-  expired(nowMs: number): readonly HostWindow[] {
+  takeExpired(nowMs: number): readonly HostWindow[] {
     if (this._offsetMs === undefined) return [];
     const lost: HostWindow[] = [];
     for (const [window, counts] of this._windows) {
@@ -149,12 +149,12 @@
     if (this._offsetMs === undefined) return false;
     const endMs = windowEndMs(window, this._options.windowMs) - this._offsetMs;
     if (nowMs < endMs + CLOCK_ERROR_MS) return false;
-    return ![...this._openSinceMs.values()].some(startedMs => startedMs < endMs);
+    return ![...this._inFlightSinceMs.values()].some(startedMs => startedMs < endMs);
   }
 
-  private _count(began: Undated): void {
+  private _count(began: UndatedRequest): void {
     if (this._offsetMs === undefined) {
-      if (this._undated.length < MAX_UNDATED) this._undated.push(began);
+      if (this._undatedRequests.length < MAX_UNDATED) this._undatedRequests.push(began);
       return;
     }
     const window = windowAt(began.atMs + this._offsetMs, this._options.windowMs);
--- a/packages/orders/src/swapPlanner.ts
+++ b/packages/orders/src/swapPlanner.ts
@@ -1,52 +1,51 @@
 /**
- * Which endpoints of a pool are told to load a new version, and when.
+ * Plans which endpoints of a pool are ordered to load a new version, and when.
  *
- * All at once would empty the pool and exceed the weight store's rate. So at most a share of the endpoints
- * swaps at a time, at the rate that the store allows; what an endpoint says it runs is read back, and one that
- * stays on the old version is told again, then set aside.
+ * To keep the pool serving, at most a share of the endpoints swaps at a time, within the rate limit of the weight
+ * store. The version of each endpoint is read back; an endpoint that keeps the old version is ordered again and
+ * finally excluded.
  */
 import type { Clock } from '@fuchsiahitch/base';
 import type { OrderResult, ReadBack, WeightOrder, WeightTarget } from './model.js';
 
-/** An endpoint as the planner is told of it. */
 export interface SwapEndpoint {
   readonly id: string;
   readonly isUsable: boolean;
 }
 
 export interface SwapOptions {
-  /** Endpoints that may swap at the same time, as a share of the pool. */
+  /** The maximum share of the pool that swaps at the same time. */
   readonly maxSwappingShare: number;
-  /** Loads that the weight store allows this domain each second. */
+  /** Loads per second that the weight store allows this domain. */
   readonly loadsPerSecond: number;
-  /** An endpoint that does not report the version within this time is told again. */
+  /** An endpoint that does not report the version within this time is ordered again. */
   readonly swapTimeoutMs: number;
-  /** After so many failed swaps an endpoint is set aside until it restarts or a new version comes. */
+  /** The number of failed swaps after which an endpoint is excluded until it restarts or the target changes. */
   readonly maxTries: number;
-  /** How long after an order, and after each reading, the endpoint is read again. */
-  readonly readBackAfterMs?: number;
+  /** The time from an order or a read-back to the next read-back. */
+  readonly readBackIntervalMs?: number;
 }
 
 interface SwapState {
   readonly tries: number;
   readonly orderedMs: number;
   readonly isSwapping: boolean;
-  readonly isAside: boolean;
+  readonly isExcluded: boolean;
   readonly readBack: ReadBack | undefined;
   readonly readMs: number;
 }
 
-const FRESH: SwapState = {
+const INITIAL_STATE: SwapState = {
   tries: 0,
   orderedMs: -Infinity,
   isSwapping: false,
-  isAside: false,
+  isExcluded: false,
   readBack: undefined,
   readMs: -Infinity,
 };
-/** A swap takes about this long; asking sooner or more often would cost bytes and tell little. */
-const READ_BACK_AFTER_MS = 500;
-const MS_A_SECOND = 1000;
+/** About the duration of a swap. */
+const READ_BACK_INTERVAL_MS = 500;
+const MS_PER_SECOND = 1000;
 
 /** Plans the swaps of one pool in one failure domain. */
 export class SwapPlanner {
@@ -54,102 +53,103 @@
   private readonly _options: SwapOptions;
   private readonly _states = new Map<string, SwapState>();
   private _target: WeightTarget | undefined;
-  private _tokens = 1;
-  private _filledMs: number;
+  private _loadTokens = 1;
+  private _refilledMs: number;
 
   constructor(clock: Clock, options: SwapOptions) {
     this._clock = clock;
     this._options = options;
-    this._filledMs = clock.nowMs();
+    this._refilledMs = clock.nowMs();
   }
 
   target(): WeightTarget | undefined {
     return this._target;
   }
 
-  /** A new target. One with a lower sequence is late and ignored: version N's order after N+1's. */
+  /** Sets a new target. Returns false if it is outdated by its sequence and ignored. */
   setTarget(target: WeightTarget): boolean {
     if (this._target && target.sequence <= this._target.sequence) return false;
     this._target = target;
-    for (const [id, state] of this._states) this._states.set(id, { ...FRESH, readBack: state.readBack });
+    for (const [id, state] of this._states)
+      this._states.set(id, { ...INITIAL_STATE, readBack: state.readBack });
     return true;
   }
 
-  /** What an endpoint reports of itself, the only proof that a swap took place. */
+  /** Records the version reported by an endpoint, the only proof that a swap took place. */
   readBack(endpointId: string, readBack: ReadBack): void {
-    const state = this._states.get(endpointId) ?? FRESH;
+    const state = this._states.get(endpointId) ?? INITIAL_STATE;
     const isRestarted = state.readBack !== undefined && state.readBack.startId !== readBack.startId;
-    const base = isRestarted ? FRESH : state;
+    const base = isRestarted ? INITIAL_STATE : state;
     const isDone = readBack.version === this._target?.version;
     const readMs = this._clock.nowMs();
     this._states.set(endpointId, { ...base, readBack, readMs, isSwapping: base.isSwapping && !isDone });
   }
 
-  /** What an endpoint was last read back with. */
   lastReadBack(endpointId: string): ReadBack | undefined {
     return this._states.get(endpointId)?.readBack;
   }
 
-  /** Orders to give now. The caller holds the lease whose token they carry. */
+  /** Returns the orders to give now. The caller must hold the lease whose token they carry. */
   next(endpoints: readonly SwapEndpoint[], token: number): readonly WeightOrder[] {
     const target = this._target;
     if (!target) return [];
-    this._fill();
-    this._expire();
+    this._refillTokens();
+    this._expireSwaps();
     const wanted = Math.ceil(target.share * endpoints.length);
     const orders: WeightOrder[] = [];
     for (const endpoint of endpoints.slice(0, wanted)) {
       if (!this._needsOrder(endpoint, target)) continue;
-      if (this.swapping() >= this._maxSwapping(endpoints.length) || this._tokens < 1) break;
-      this._tokens -= 1;
-      this._began(endpoint.id);
+      if (this.swapping() >= this._maxSwapping(endpoints.length) || this._loadTokens < 1) break;
+      this._loadTokens -= 1;
+      this._swapStarted(endpoint.id);
       orders.push({ endpointId: endpoint.id, version: target.version, token });
     }
     return orders;
   }
 
-  /** How an order ended. An unknown end is not a failure: reading back decides. */
+  /** Records the result of an order. `unknown` is not a failure: the read-back decides. */
   ended(endpointId: string, result: OrderResult): void {
     const state = this._states.get(endpointId);
     if (!state || result === 'accepted' || result === 'unknown') return;
     this._states.set(endpointId, this._failed(state));
   }
 
-  /** Endpoints whose swap should show by now: ordered, and not read back for a while. */
-  toReadBack(): readonly string[] {
+  /** The swapping endpoints whose read-back is due. */
+  dueForReadBack(): readonly string[] {
     const nowMs = this._clock.nowMs();
     const due: string[] = [];
     for (const [id, state] of this._states) {
       const waitedMs = nowMs - Math.max(state.orderedMs, state.readMs);
-      if (state.isSwapping && waitedMs >= (this._options.readBackAfterMs ?? READ_BACK_AFTER_MS)) due.push(id);
+      if (state.isSwapping && waitedMs >= (this._options.readBackIntervalMs ?? READ_BACK_INTERVAL_MS))
+        due.push(id);
     }
     return due;
   }
 
-  /** The order was not given after all: it does not count as a try. */
+  /** The order was not given: it does not count as a try. */
   postponed(endpointId: string): void {
     const state = this._states.get(endpointId);
     if (!state?.isSwapping) return;
     this._states.set(endpointId, { ...state, isSwapping: false, tries: Math.max(0, state.tries - 1) });
   }
 
-  /** Endpoints that carry traffic although they could not be brought to the version are for the operator. */
-  setAside(): readonly string[] {
-    return [...this._states].filter(([, state]) => state.isAside).map(([id]) => id);
+  /** Endpoints that failed to load the version, reported to the operator. */
+  excludedEndpoints(): readonly string[] {
+    return [...this._states].filter(([, state]) => state.isExcluded).map(([id]) => id);
   }
 
-  /** True when every endpoint of the share reports the target's version, or was set aside. */
+  /** Returns true if every endpoint of the share reports the target's version or is excluded. */
   isDone(endpoints: readonly SwapEndpoint[]): boolean {
     const target = this._target;
     if (!target) return true;
     const wanted = endpoints.slice(0, Math.ceil(target.share * endpoints.length));
     return wanted.every(endpoint => {
-      const state = this._states.get(endpoint.id) ?? FRESH;
-      return state.isAside || state.readBack?.version === target.version;
+      const state = this._states.get(endpoint.id) ?? INITIAL_STATE;
+      return state.isExcluded || state.readBack?.version === target.version;
     });
   }
 
-  /** Endpoints that swap now. */
+  /** The number of endpoints that are swapping. */
   swapping(): number {
     let count = 0;
     for (const state of this._states.values()) if (state.isSwapping) count += 1;
@@ -157,8 +157,8 @@
   }
 
   private _needsOrder(endpoint: SwapEndpoint, target: WeightTarget): boolean {
-    const state = this._states.get(endpoint.id) ?? FRESH;
-    if (!endpoint.isUsable || state.isSwapping || state.isAside) return false;
+    const state = this._states.get(endpoint.id) ?? INITIAL_STATE;
+    if (!endpoint.isUsable || state.isSwapping || state.isExcluded) return false;
     return state.readBack?.version !== target.version;
   }
 
@@ -166,8 +166,8 @@
     return Math.max(1, Math.floor(this._options.maxSwappingShare * total));
   }
 
-  private _began(endpointId: string): void {
-    const state = this._states.get(endpointId) ?? FRESH;
+  private _swapStarted(endpointId: string): void {
+    const state = this._states.get(endpointId) ?? INITIAL_STATE;
     this._states.set(endpointId, {
       ...state,
       tries: state.tries + 1,
@@ -176,8 +176,8 @@
     });
   }
 
-  /** A swap that failed without a word shows as a version that never changes. */
-  private _expire(): void {
+  /** Counts swaps as failed that were not confirmed in time. */
+  private _expireSwaps(): void {
     const nowMs = this._clock.nowMs();
     for (const [id, state] of this._states) {
       const isOver = state.isSwapping && nowMs - state.orderedMs >= this._options.swapTimeoutMs;
@@ -186,13 +186,13 @@
   }
 
   private _failed(state: SwapState): SwapState {
-    return { ...state, isSwapping: false, isAside: state.tries >= this._options.maxTries };
+    return { ...state, isSwapping: false, isExcluded: state.tries >= this._options.maxTries };
   }
 
-  private _fill(): void {
+  private _refillTokens(): void {
     const nowMs = this._clock.nowMs();
-    const gained = ((nowMs - this._filledMs) / MS_A_SECOND) * this._options.loadsPerSecond;
-    this._tokens = Math.min(Math.max(1, this._options.loadsPerSecond), this._tokens + gained);
-    this._filledMs = nowMs;
+    const gained = ((nowMs - this._refilledMs) / MS_PER_SECOND) * this._options.loadsPerSecond;
+    this._loadTokens = Math.min(Math.max(1, this._options.loadsPerSecond), this._loadTokens + gained);
+    this._refilledMs = nowMs;
   }
 }
--- a/packages/requests/src/keySlot.ts
+++ b/packages/requests/src/keySlot.ts
@@ -2,20 +2,20 @@
  * The records of one slot at one host, as owner or as copy.
  */
 import type { Clock } from '@fuchsiahitch/base';
-import type { KeptAnswer, KeyRecord } from './keyMessages.js';
+import type { StoredAnswer, KeyRecord } from './keyMessages.js';
 
-/** How long a key is remembered after its last change. A resend must come within it. */
-export const KEY_WINDOW_MS = 600_000;
-/** A kept answer is at most this large; a resend of a larger one is told `unknown`. */
-export const MAX_KEPT_ANSWER_BYTES = 16 * 1024;
+/** The time for which a key is stored after its last change. Resends must arrive within it. */
+export const KEY_RETENTION_MS = 600_000;
+/** Larger answers are not stored; their resends receive `unknown`. */
+export const MAX_STORED_ANSWER_BYTES = 16 * 1024;
 
-/** A record in memory. `settledWaiters` are resends that wait for the first run's end. */
+/** A record in memory. */
 export interface HeldRecord {
   readonly key: string;
   readonly fingerprint: string;
   readonly attemptId: string;
   state: 'preparing' | 'granted' | 'finished';
-  answer: KeptAnswer | undefined;
+  answer: StoredAnswer | undefined;
   change: number;
   changedMs: number;
 }
@@ -24,10 +24,10 @@
   private readonly _clock: Clock;
   private readonly _records = new Map<string, HeldRecord>();
   private _lastChange = 0;
-  private _lostUntilMs = 0;
-  /** The highest epoch that this host promised to respect. */
-  promised = 0;
-  /** The epoch for which the records here are all that were granted; 0 when never. */
+  private _recordsLostUntilMs = 0;
+  /** The highest epoch that this host promised; it accepts no changes of earlier ones. */
+  promisedEpoch = 0;
+  /** The epoch for which these are all granted records; 0 for none. */
   completeEpoch = 0;
 
   constructor(clock: Clock) {
@@ -36,12 +36,12 @@
 
   find(key: string): HeldRecord | undefined {
     const record = this._records.get(key);
-    if (!record || this._clock.nowMs() - record.changedMs <= KEY_WINDOW_MS) return record;
+    if (!record || this._clock.nowMs() - record.changedMs <= KEY_RETENTION_MS) return record;
     this._records.delete(key);
     return undefined;
   }
 
-  /** Adds a record that waits for its copy. */
+  /** Adds a record that is not confirmed by the copy yet. */
   prepare(key: string, fingerprint: string, attemptId: string): HeldRecord {
     const record: HeldRecord = {
       key,
@@ -57,57 +57,57 @@
     return record;
   }
 
-  finish(record: HeldRecord, answer: KeptAnswer | undefined): void {
+  finish(record: HeldRecord, answer: StoredAnswer | undefined): void {
     record.state = 'finished';
     record.answer = answer;
     this._touch(record);
   }
 
-  /** Forgets a record, if it still is the one that stands for its key. */
+  /** Removes a record unless its key has a newer one. */
   remove(record: HeldRecord): void {
     if (this._records.get(record.key) === record) this._records.delete(record.key);
   }
 
-  /** A number for a change that erases a record. */
+  /** Returns the next sequence number of a change. */
   nextChange(): number {
     this._lastChange += 1;
     return this._lastChange;
   }
 
-  /** Takes in a record of the owner or of an earlier holder; older changes lose. */
+  /** Merges a record of the owner or of an earlier holder; the newer change wins. */
   merge(record: KeyRecord): void {
     this._lastChange = Math.max(this._lastChange, record.change);
-    const known = this._records.get(record.key);
-    if (known && known.change > record.change) return;
+    const existing = this._records.get(record.key);
+    if (existing && existing.change > record.change) return;
     if (record.state === 'released') {
       this._records.delete(record.key);
       return;
     }
     const { key, fingerprint, attemptId, answer, change } = record;
-    // A record that was on its way to a copy may have been granted: from outside both look alike.
+    // A record still in preparation may have been granted meanwhile; treat it as granted.
     const state = record.state === 'finished' ? 'finished' : 'granted';
     const changedMs = this._clock.nowMs() - record.ageMs;
     this._records.set(key, { key, fingerprint, attemptId, state, answer, change, changedMs });
   }
 
-  /** Replaces everything by what a fresh owner sent. */
+  /** Replaces all records by those of a new owner. */
   replace(records: readonly KeyRecord[], lostForMs: number): void {
     this._records.clear();
     for (const record of records) this.merge(record);
-    this.markLost(lostForMs);
+    this.markRecordsLost(lostForMs);
   }
 
-  /** From now on, for this long, a key without a record may have run before. */
-  markLost(durationMs: number): void {
-    if (durationMs > 0) this._lostUntilMs = Math.max(this._lostUntilMs, this._clock.nowMs() + durationMs);
+  /** Records were lost: for this time, a key without a record may have run before. */
+  markRecordsLost(durationMs: number): void {
+    if (durationMs > 0)
+      this._recordsLostUntilMs = Math.max(this._recordsLostUntilMs, this._clock.nowMs() + durationMs);
   }
 
   lostForMs(): number {
-    return Math.max(0, this._lostUntilMs - this._clock.nowMs());
+    return Math.max(0, this._recordsLostUntilMs - this._clock.nowMs());
   }
 
-  /** All records that are still within the window. */
-  all(): readonly KeyRecord[] {
+  unexpiredRecords(): readonly KeyRecord[] {
     const records: KeyRecord[] = [];
     for (const key of [...this._records.keys()]) {
       const record = this.find(key);
--- a/tests/lateLoop.spec.ts
+++ b/tests/eventLoopLag.spec.ts
@@ -158,22 +158,20 @@
 
 await tap.test('should tell how late the loop ran in the last seconds', async t => {
   const world = new GatewayWorld();
-  const { loop } = world.start('a').context;
+  const { eventLoop: loop } = world.start('a').context;
   await world.clock.advance(1000);
-  t.equal(loop.recentMs(), 0);
+  t.equal(loop.recentLagMs(), 0);
   const beforeMs = world.clock.nowMs();
-  t.ok(loop.isPunctualSince(beforeMs));
-  await world.clock.blockEventLoop(1000, () =>
-    t.notOk(loop.isPunctualSince(beforeMs), 'while it reads late'),
-  );
-  t.ok(loop.recentMs() >= 950, 'a tick is due each 50 ms');
+  t.ok(loop.isOnTimeSince(beforeMs));
+  await world.clock.blockEventLoop(1000, () => t.notOk(loop.isOnTimeSince(beforeMs), 'while it reads late'));
+  t.ok(loop.recentLagMs() >= 950, 'a tick is due each 50 ms');
   await world.clock.advance(100);
-  t.notOk(loop.isPunctualSince(beforeMs));
-  t.ok(loop.isPunctualSince(world.clock.nowMs()));
+  t.notOk(loop.isOnTimeSince(beforeMs));
+  t.ok(loop.isOnTimeSince(world.clock.nowMs()));
   await world.clock.advance(2000);
-  t.ok(loop.recentMs() >= 950);
+  t.ok(loop.recentLagMs() >= 950);
   await world.clock.advance(4000);
-  t.equal(loop.recentMs(), 0);
+  t.equal(loop.recentLagMs(), 0);
   world.stop();
 });
 
@@ -183,7 +181,7 @@
 const LATE_MS = 800;
 
 /** The process gets no processor time: nothing in it runs. */
-function holdUp(durationMs: number): void {
+function blockLoop(durationMs: number): void {
   const endMs = performance.now() + durationMs;
   while (performance.now() < endMs);
 }
@@ -198,7 +196,7 @@
     const isReport = request.target === '/v1/report';
     const answer = isReport ? { models: [], busy: false, seq: 4 } : { key: 'k', value: 'djE=', revision: 3 };
     socket.write(genuine(request, JSON.stringify(answer)));
-    holdUp(LATE_MS);
+    blockLoop(LATE_MS);
   };
   const store = new StoreClient(address, () => undefined);
   const got = await store.get('k', Deadline.after(new SystemClock(), ANSWER_MS));
