--- a/packages/accounts/src/accountIndex.ts
+++ b/packages/accounts/src/accountIndex.ts
@@ -5,7 +5,7 @@
 import type { Account, AccountsError } from './model.js';
 
 /** What a key proves. `removed`: an earlier version had it. */
-export type KeyFinding =
+export type KeyLookup =
   | { readonly kind: 'known'; readonly account: Account }
   | { readonly kind: 'removed'; readonly accountName: string }
   | { readonly kind: 'unknown' };
@@ -34,11 +34,11 @@
       const problem = index._add(account);
       if (problem) return err(problem);
     }
-    if (before) index._rememberRemoved(before);
+    if (before) index._retainRemoved(before);
     return ok(index);
   }
 
-  find(key: string): KeyFinding {
+  find(key: string): KeyLookup {
     const known = this._accounts.get(key);
     if (known) return { kind: 'known', account: known };
     const removed = this._removed.get(key);
@@ -56,7 +56,7 @@
     return undefined;
   }
 
-  private _rememberRemoved(before: AccountIndex): void {
+  private _retainRemoved(before: AccountIndex): void {
     for (const table of [before._removed, before._accounts])
       for (const [key, account] of table) if (!this._accounts.has(key)) this._removed.set(key, account);
     const surplus = this._removed.size - MAX_REMOVED;
--- a/packages/gateway/src/configurationService.ts
+++ b/packages/gateway/src/configurationService.ts
@@ -5,7 +5,7 @@
 import { AccountIndex, decideAccess, type Access, type Credential } from '@fuchsiahitch/accounts';
 import type { PoolScaling } from '@fuchsiahitch/capacity';
 import type { StoredValue } from '@fuchsiahitch/clients';
-import { RuleBook, RuleHistory, type Decision, type Route } from '@fuchsiahitch/rules';
+import { RuleEvaluator, RuleHistory, type Decision, type Route } from '@fuchsiahitch/rules';
 import type { GatewayContext } from './gatewayContext.js';
 import type { CallerLimits, FleetConfiguration, RecordDecoder, RecordKeys } from './ports.js';
 import { StoreMirror, type MirrorSource } from './storeMirror.js';
@@ -14,7 +14,7 @@
  * A change must be in force within two seconds, so an unresponsive watch is restarted within that time. With a longer
  * wait callers would get 404 for a new route seconds after it was accepted.
  */
-const WATCH = { waitMs: 1000, answerMs: 600, spacingMs: 0 };
+const WATCH = { waitMs: 1000, responseGraceMs: 600, spacingMs: 0 };
 /**
  * A connected host receives a new configuration within about two seconds. With an older view, access is `unsure`, so
  * that the caller may retry at another host, instead of denied, which is final.
@@ -45,7 +45,7 @@
   private readonly _mirror: StoreMirror;
   private readonly _history = new RuleHistory();
   private readonly _namedVersions = new Map<string, number>();
-  private _ruleBook: RuleBook | undefined;
+  private _ruleBook: RuleEvaluator | undefined;
   private _accounts: AccountIndex | undefined;
   private _configuration: FleetConfiguration | undefined;
 
@@ -157,7 +157,7 @@
     if (offered !== 'taken') return;
     this._configuration = configuration;
     this._accounts = accounts;
-    this._ruleBook = new RuleBook(this._history.document(), clock, noSignals);
+    this._ruleBook = new RuleEvaluator(this._history.document(), clock, noSignals);
   }
 
   /** A configuration with contradictory accounts is rejected as a whole. */
--- a/packages/gateway/src/endpoint.ts
+++ b/packages/gateway/src/endpoint.ts
@@ -125,8 +125,8 @@
 
   /** Records the load that the endpoint reported itself. */
   recordLoad(load: EndpointLoad): void {
-    this.limit.reported(load.waiting, this.stats.inFlight());
-    this.stats.reported({
+    this.limit.onLoadReport(load.waiting, this.stats.inFlight());
+    this.stats.onLoadReport({
       inFlight: load.running,
       queued: load.waiting,
       version: '',
@@ -202,7 +202,7 @@
 
   /** Records the time between two events of a stream. */
   recordEventInterval(intervalMs: number): void {
-    this._pace.seen(intervalMs);
+    this._pace.addInterval(intervalMs);
     this._lastEventMs = this._clock.nowMs();
   }
 
@@ -214,12 +214,12 @@
   /** The pace measured by this host; undefined without events within `OWN_PACE_VALID_MS`. */
   recentOwnPaceMs(): number | undefined {
     const isFresh = this._clock.nowMs() - this._lastEventMs < OWN_PACE_VALID_MS;
-    return isFresh ? this._pace.ms() : undefined;
+    return isFresh ? this._pace.estimateMs() : undefined;
   }
 
   /** The time between two events of a stream; undefined before enough events, on this host or another. */
   paceMs(): number | undefined {
-    return this.recentOwnPaceMs() ?? this._reportedPaceMs() ?? this._pace.ms();
+    return this.recentOwnPaceMs() ?? this._reportedPaceMs() ?? this._pace.estimateMs();
   }
 
   private _reportedPaceMs(): number | undefined {
@@ -229,6 +229,6 @@
 
   /** A rough pace, available from the first two events on. */
   provisionalPaceMs(): number | undefined {
-    return this._pace.roughMs();
+    return this._pace.roughEstimateMs();
   }
 }
--- a/packages/gateway/src/forwardRun.ts
+++ b/packages/gateway/src/forwardRun.ts
@@ -1,7 +1,7 @@
 /**
  * Runs the attempts of one forwarded request until its outcome is decided.
  */
-import { afterReading, Deadline, type CancelTimer } from '@fuchsiahitch/base';
+import { afterPendingIo, Deadline, type CancelTimer } from '@fuchsiahitch/base';
 import type { Route } from '@fuchsiahitch/rules';
 import {
   RETRY_AFTER_MS,
@@ -61,7 +61,7 @@
 
   async run(): Promise<ForwardOutcome> {
     const wake = (): void => this._wake?.();
-    const cancels = [this._context.clock.after(this._deadline.leftMs(), wake), this._armHedge()];
+    const cancels = [this._context.clock.after(this._deadline.remainingMs(), wake), this._armHedge()];
     this._disconnected.addEventListener('abort', wake);
     const outcome = await this._waitForOutcome();
     this._disconnected.removeEventListener('abort', wake);
@@ -112,7 +112,7 @@
 
   private async _runAttempt(endpoint: Endpoint): Promise<void> {
     const attempt = this._sentCount;
-    const leftMs = this._deadline.leftMs();
+    const leftMs = this._deadline.remainingMs();
     const startedMs = this._context.clock.nowMs();
     const end = await this._forwarder.attempt(this._request, endpoint, leftMs, this._abortController.signal);
     const tookMs = this._context.clock.nowMs() - startedMs;
@@ -157,7 +157,7 @@
     const afterMs = Math.max(MIN_HEDGE_MS, this._route.targetMs * HEDGE_SHARE);
     // Pending I/O is read first: under event loop lag the answer may already have arrived. `_startAttempt` checks the
     // deadline again.
-    return afterReading(this._context.clock, afterMs, () => {
+    return afterPendingIo(this._context.clock, afterMs, () => {
       if (this._runningCount === 1 && this._forwarder.tryTakeHedge()) this._startAttempt();
     });
   }
--- a/packages/gateway/src/forwarder.ts
+++ b/packages/gateway/src/forwarder.ts
@@ -13,7 +13,7 @@
   type PickRequest,
   type PoisonVerdict,
 } from '@fuchsiahitch/requests';
-import type { MeteredSend } from '@fuchsiahitch/metering';
+import type { MeteredRequest } from '@fuchsiahitch/metering';
 import type { Route } from '@fuchsiahitch/rules';
 import { reasonOf } from './attemptReason.js';
 import {
@@ -56,7 +56,7 @@
 
 /** Meters requests that endpoints start, by account. */
 export interface RequestMeter {
-  sent(accountName: string): MeteredSend;
+  sent(accountName: string): MeteredRequest;
 }
 
 export class Forwarder {
@@ -86,7 +86,7 @@
 
   /** Forwards a request whose answer is buffered completely before it is returned. */
   async forward(request: CallerRequest, route: Route, disconnected: AbortSignal): Promise<ForwardOutcome> {
-    this._hedgeBudget.requestBegan();
+    this._hedgeBudget.requestStarted();
     const span = this._context.tracing.startSpan('caller', request.trace);
     const traced = { ...request, trace: span.traceparent };
     const outcome = await this._withFairAdmission(traced, route, () =>
@@ -243,7 +243,7 @@
   ): Promise<RequestAttemptEnd> {
     const isBackground = request.isBackground ?? false;
     endpoint.stats.began(isBackground);
-    endpoint.limit.used(endpoint.stats.inFlight());
+    endpoint.limit.recordUsage(endpoint.stats.inFlight());
     const span = this._context.tracing.startSpan('endpoint', request.trace);
     const metered = this._startMetering(request);
     const end = await this._exchange(request, endpoint, leftMs, signal);
@@ -326,7 +326,7 @@
   ): Promise<StreamEnd> {
     endpoint.stats.began(false);
     const startedMs = this._context.clock.nowMs();
-    const leftMs = deadline.leftMs();
+    const leftMs = deadline.remainingMs();
     const metered = this._startMetering(request);
     const reply = await this._client.send(toCall(request, endpoint, leftMs), disconnected);
     metered?.ended(reply.kind !== 'not-run');
@@ -355,7 +355,7 @@
   }
 
   /** Meters billable requests. Background requests, such as scores, and requests without an account are not billed. */
-  private _startMetering({ accountName, isBackground = false }: CallerRequest): MeteredSend | undefined {
+  private _startMetering({ accountName, isBackground = false }: CallerRequest): MeteredRequest | undefined {
     return accountName === undefined || isBackground ? undefined : this._meter?.sent(accountName);
   }
 
@@ -398,7 +398,7 @@
 function recordAnswer(endpoint: Endpoint, answer: EndpointAnswer): void {
   if (answer.load) {
     endpoint.recordLoad(answer.load);
-    endpoint.limit.reported(answer.load.waiting, answer.load.running);
+    endpoint.limit.onLoadReport(answer.load.waiting, answer.load.running);
   }
   if (answer.isLeaving) endpoint.markLeaving();
 }
--- a/packages/gateway/src/poisonGuard.ts
+++ b/packages/gateway/src/poisonGuard.ts
@@ -4,7 +4,7 @@
  * the decision and its thresholds.
  */
 import {
-  markName,
+  markKey,
   PoisonCases,
   requestFingerprint,
   targetDigest,
@@ -150,7 +150,7 @@
   abandonTrial(request: RequestIdentity, number: number): void {
     const fingerprint = this._fingerprint(request);
     this._cases.trialDropped(fingerprint, number);
-    this._announced.get(fingerprint)?.names.delete(markName({ kind: 'trial', number, endsBefore: 0 }));
+    this._announced.get(fingerprint)?.names.delete(markKey({ kind: 'trial', number, endsBefore: 0 }));
     void this._records.remove(fingerprint, [{ kind: 'trial', number, endsBefore: 0 }]);
   }
 
@@ -164,14 +164,14 @@
     this._log('poison trial due', fingerprint, { number, endsBefore, isClaimed });
     if (!isClaimed) return { kind: 'held', leftMs: TRIAL_RETRY_MS };
     this._noteAnnounced(fingerprint, [{ kind: 'trial', number, endsBefore }]);
-    this._cases.trialBegan(fingerprint, number, endsBefore);
+    this._cases.trialStarted(fingerprint, number, endsBefore);
     return trial;
   }
 
   /** Announces marks that the fleet does not have yet. */
   private _announceNew(fingerprint: string): void {
     const announced = this._announced.get(fingerprint)?.names;
-    const marks = this._cases.marks(fingerprint).filter(mark => announced?.has(markName(mark)) !== true);
+    const marks = this._cases.marks(fingerprint).filter(mark => announced?.has(markKey(mark)) !== true);
     if (marks.length > 0) this._announce(fingerprint, marks);
   }
 
@@ -192,14 +192,14 @@
   private _noteAnnounced(fingerprint: string, marks: readonly PoisonMark[]): void {
     const nowMs = this._context.clock.nowMs();
     const announced = this._announced.get(fingerprint) ?? { names: new Set<string>(), updatedMs: nowMs };
-    for (const mark of marks) announced.names.add(markName(mark));
+    for (const mark of marks) announced.names.add(markKey(mark));
     announced.updatedMs = nowMs;
     this._announced.set(fingerprint, announced);
   }
 
   /** Undefined, without hashing the body, if the target matches no known case. */
   private _fingerprintIfKnown(request: RequestIdentity): string | undefined {
-    if (this.hasNoCases() || !this._cases.mayConcern(this._target(request))) return undefined;
+    if (this.hasNoCases() || !this._cases.mayMatch(this._target(request))) return undefined;
     return this._fingerprint(request);
   }
 
@@ -243,8 +243,8 @@
     if (!marked) return;
     const { fingerprint, mark } = marked;
     if (mark.kind === 'trial') this._cases.trialDropped(fingerprint, mark.number);
-    else this._cases.endForgotten(fingerprint, mark.startId);
-    this._announced.get(fingerprint)?.names.delete(markName(mark));
+    else this._cases.removeEnd(fingerprint, mark.startId);
+    this._announced.get(fingerprint)?.names.delete(markKey(mark));
     if (this._cases.ends(fingerprint) === 0) this._announced.delete(fingerprint);
   }
 
@@ -259,7 +259,7 @@
     this._noteAnnounced(fingerprint, marks);
     const before = this._cases.ends(fingerprint);
     for (const mark of marks) {
-      if (mark.kind === 'trial') this._cases.trialBegan(fingerprint, mark.number, mark.endsBefore);
+      if (mark.kind === 'trial') this._cases.trialStarted(fingerprint, mark.number, mark.endsBefore);
       else this._cases.ended(fingerprint, mark.startId);
     }
     const ends = this._cases.ends(fingerprint);
--- a/packages/orders/src/loadSchedule.ts
+++ b/packages/orders/src/loadSchedule.ts
@@ -1,17 +1,16 @@
 /**
- * Which loads come first when the trainers of a pool name versions at the same time.
+ * Orders the due loads of several models in one pool.
  *
- * Only a few endpoints load at once. Taken model by model, the loads of one trainer, which prepare its next step,
- * keep those of another waiting whose step has begun and finds no endpoint with weights that it accepts: measured
- * on 8 endpoints of two trainers, such a step stood still for 3.5 of its 7.5 s. So the model with the smallest share
- * of usable endpoints comes first, one load at a time.
+ * Only a few endpoints load at a time. The model with the smallest share of usable endpoints comes first, load by
+ * load, so that a running step without usable endpoints does not wait for loads that prepare the step of another
+ * trainer.
  */
-import { dueForLoad, type LoadCandidate } from './loadChoice.js';
+import { endpointsDueForLoad, type LoadCandidate } from './loadChoice.js';
 
-/** The endpoints of one model's share, and the version that its trainer named last. */
+/** The endpoints of one model's share and the version that its trainer named last. */
 export interface ModelLoads {
   readonly model: string;
-  readonly named: number;
+  readonly namedVersion: number;
   readonly candidates: readonly LoadCandidate[];
 }
 
@@ -22,54 +21,54 @@
   readonly version: number;
 }
 
-interface Queue {
+interface ModelQueue {
   readonly loads: ModelLoads;
   readonly due: string[];
   usable: number;
   fresh: number;
 }
 
-/** The loads that are due over all models of a pool, the most urgent first. */
-export function orderLoads(models: readonly ModelLoads[], allowedLag: number): readonly DueLoad[] {
+/** Returns the due loads of all models of a pool, the most urgent first. */
+export function prioritizeLoads(models: readonly ModelLoads[], allowedLag: number): readonly DueLoad[] {
   const queues = models.map(loads => toQueue(loads, allowedLag));
   const ordered: DueLoad[] = [];
   for (;;) {
-    const queue = neediest(queues);
+    const queue = mostUnderserved(queues);
     const id = queue?.due.shift();
     if (!queue || id === undefined) return ordered;
-    const { model, named, candidates } = queue.loads;
-    ordered.push({ id, model, version: named });
+    const { model, namedVersion, candidates } = queue.loads;
+    ordered.push({ id, model, version: namedVersion });
     const version = candidates.find(candidate => candidate.id === id)?.version ?? 0;
-    if (version < named - allowedLag) queue.usable += 1;
+    if (version < namedVersion - allowedLag) queue.usable += 1;
     queue.fresh += 1;
   }
 }
 
-function toQueue(loads: ModelLoads, allowedLag: number): Queue {
-  const { named, candidates } = loads;
+function toQueue(loads: ModelLoads, allowedLag: number): ModelQueue {
+  const { namedVersion, candidates } = loads;
   return {
     loads,
-    due: [...dueForLoad(candidates, named, allowedLag)],
-    usable: candidates.filter(({ version }) => version >= named - allowedLag).length,
-    fresh: candidates.filter(({ version }) => version >= named).length,
+    due: [...endpointsDueForLoad(candidates, namedVersion, allowedLag)],
+    usable: candidates.filter(({ version }) => version >= namedVersion - allowedLag).length,
+    fresh: candidates.filter(({ version }) => version >= namedVersion).length,
   };
 }
 
-function neediest(queues: readonly Queue[]): Queue | undefined {
-  let found: Queue | undefined;
+function mostUnderserved(queues: readonly ModelQueue[]): ModelQueue | undefined {
+  let found: ModelQueue | undefined;
   for (const queue of queues) {
     if (queue.due.length === 0) continue;
-    if (!found || isNeedier(queue, found)) found = queue;
+    if (!found || isMoreUnderserved(queue, found)) found = queue;
   }
   return found;
 }
 
-function isNeedier(a: Queue, b: Queue): boolean {
+function isMoreUnderserved(a: ModelQueue, b: ModelQueue): boolean {
   const usable = shareOf(a.usable, a) - shareOf(b.usable, b);
   if (usable !== 0) return usable < 0;
   return shareOf(a.fresh, a) < shareOf(b.fresh, b);
 }
 
-function shareOf(count: number, queue: Queue): number {
+function shareOf(count: number, queue: ModelQueue): number {
   return count / queue.loads.candidates.length;
 }
--- a/tests/lateLoop.spec.ts
+++ b/tests/eventLoopLag.spec.ts
@@ -83,7 +83,7 @@
   const running = await twoRuns();
   const { world, host, streams } = running;
   t.equal(streams.begun, 2);
-  await world.clock.hold(2000, () => streams.arrive(44));
+  await world.clock.blockEventLoop(2000, () => streams.arrive(44));
   await flow(running, 500);
   t.equal(streams.begun, 2, 'no run was given up');
   t.notOk(host.context.log.has('item attempt'));
@@ -96,7 +96,7 @@
   // it then reads one event, of the other all that have come. Cause: the pause counts as one endpoint's pace.
   const running = await twoRuns();
   const { world, host, streams } = running;
-  await world.clock.hold(340, () => {
+  await world.clock.blockEventLoop(340, () => {
     streams.arrive(1, 'e1');
     streams.arrive(7, 'e2');
   });
@@ -109,7 +109,7 @@
 await tap.test('should give a silent endpoint up soon after the process was held up', async t => {
   const running = await twoRuns();
   const { world, streams } = running;
-  await world.clock.hold(1000, () => streams.arrive(22, 'e2'));
+  await world.clock.blockEventLoop(1000, () => streams.arrive(22, 'e2'));
   for (let passedMs = 0; passedMs < 100; passedMs += EVENT_MS) {
     await world.clock.advance(EVENT_MS);
     streams.arrive(1, 'e2');
@@ -123,7 +123,7 @@
   const { world, streams } = await twoRuns();
   let heldMs = 0;
   for (; heldMs < 5000 && streams.begun === 2; heldMs += 200)
-    await world.clock.hold(200, () => streams.arrive(4, 'e2'));
+    await world.clock.blockEventLoop(200, () => streams.arrive(4, 'e2'));
   t.ok(heldMs <= 1200, `given up after ${heldMs} ms`);
   world.stop();
 });
@@ -163,7 +163,7 @@
   t.equal(loop.recentLagMs(), 0);
   const beforeMs = world.clock.nowMs();
   t.ok(loop.isOnTimeSince(beforeMs));
-  await world.clock.hold(1000, () => t.notOk(loop.isOnTimeSince(beforeMs), 'while it reads late'));
+  await world.clock.blockEventLoop(1000, () => t.notOk(loop.isOnTimeSince(beforeMs), 'while it reads late'));
   t.ok(loop.recentLagMs() >= 950, 'a tick is due each 50 ms');
   await world.clock.advance(100);
   t.notOk(loop.isOnTimeSince(beforeMs));
@@ -181,7 +181,7 @@
 const LATE_MS = 800;
 
 /** The process gets no processor time: nothing in it runs. */
-function holdUp(durationMs: number): void {
+function blockLoop(durationMs: number): void {
   const endMs = performance.now() + durationMs;
   while (performance.now() < endMs);
 }
@@ -196,7 +196,7 @@
     const isReport = request.target === '/v1/report';
     const answer = isReport ? { models: [], busy: false, seq: 4 } : { key: 'k', value: 'djE=', revision: 3 };
     socket.write(genuine(request, JSON.stringify(answer)));
-    holdUp(LATE_MS);
+    blockLoop(LATE_MS);
   };
   const store = new StoreClient(address, () => undefined);
   const got = await store.get('k', Deadline.after(new SystemClock(), ANSWER_MS));
--- a/tests/lateLoopPeers.spec.ts
+++ b/tests/eventLoopLagPeers.spec.ts
@@ -16,7 +16,7 @@
 import {
   EndpointDirectory,
   Forwarder,
-  ReachMonitor,
+  ReachabilityMonitor,
   RelayedStore,
   type EndpointReply,
   type ForwardOutcome,
@@ -101,7 +101,7 @@
   }
 
   /** Resolves when the peer has a call of `asked`. */
-  async hasBeenAsked(): Promise<void> {
+  async hasReceivedCall(): Promise<void> {
     await new Promise<void>(resolve => {
       this.onAsked = resolve;
     });
@@ -114,7 +114,7 @@
 }
 
 /** The process gets no processor time: nothing in it runs. */
-function holdUp(durationMs: number): void {
+function blockLoop(durationMs: number): void {
   const endMs = performance.now() + durationMs;
   while (performance.now() < endMs);
 }
@@ -129,7 +129,7 @@
   peer.onAsked = () => {
     // The reply is written when this handler has returned, before the next round of the loop begins.
     peer.answer();
-    setImmediate(() => holdUp(800));
+    setImmediate(() => blockLoop(800));
   };
   const reply = link.call(asked, {}, Deadline.after(clock, 600));
   t.same(await reply, { ok: true, value: {} });
@@ -145,14 +145,14 @@
   const link = await peer.open();
   await link.call(echo, {}, Deadline.after(clock, 5000));
   await clock.advance(10);
-  const isAsked = peer.hasBeenAsked();
+  const isAsked = peer.hasReceivedCall();
   const short: Reply = link.call(asked, {}, Deadline.after(clock, 300));
   let isLongOver = false;
   const long = link.call(never, {}, Deadline.after(clock, 30_000)).finally(() => {
     isLongOver = true;
   });
   await isAsked;
-  await clock.hold(2000, () => peer.answer());
+  await clock.blockEventLoop(2000, () => peer.answer());
   t.same(await short, { ok: true, value: {} });
   t.same(await link.call(echo, {}, Deadline.after(clock, 1000)), { ok: true, value: {} });
   await clock.advance(1000);
@@ -168,10 +168,10 @@
   const link = await peer.open();
   await link.call(echo, {}, Deadline.after(clock, 5000));
   await clock.advance(10);
-  const isAsked = peer.hasBeenAsked();
+  const isAsked = peer.hasReceivedCall();
   const first: Reply = link.call(asked, {}, Deadline.after(clock, 300));
   await isAsked;
-  await clock.hold(2000, () => undefined);
+  await clock.blockEventLoop(2000, () => undefined);
   await clock.advance(100);
   t.match(await first, { ok: false, error: { kind: 'timed-out' } });
   t.same(peer.counters.refusals, ['silent']);
@@ -207,7 +207,7 @@
     const link = await peer.open();
     const short = link.call(echo, {}, Deadline.after(clock, 300));
     const long = link.call(echo, {}, Deadline.after(clock, 30_000));
-    await clock.hold(2000, () => undefined);
+    await clock.blockEventLoop(2000, () => undefined);
     t.same(await long, { ok: true, value: {} });
     t.match(await short, { ok: false, error: { kind: 'not-sent' } });
     t.equal(peer.echoed, 1, 'the call whose time was over was not written');
@@ -217,7 +217,7 @@
 
 interface Watched {
   readonly clock: VirtualClock;
-  readonly monitor: ReachMonitor;
+  readonly monitor: ReachabilityMonitor;
   /** The store's answer to the question under way is read, and the next one asked. */
   readonly storeAnswers: () => void;
   readonly stop: AbortController;
@@ -242,7 +242,7 @@
     answerGet();
     ask();
   };
-  const monitor = new ReachMonitor(context, store, silentHosts(clock));
+  const monitor = new ReachabilityMonitor(context, store, silentHosts(clock));
   monitor.start();
   return { clock, monitor, storeAnswers, stop: context.stop };
 }
@@ -252,11 +252,11 @@
     self: () => ({ hostId: 'a', incarnation: '1', address: 'a' }),
     isSynced: () => true,
     isAlive: () => true,
-    onGone: () => () => undefined,
-    isGone: () => false,
+    onTerminated: () => () => undefined,
+    isTerminated: () => false,
     isOwnDomain: () => false,
     isHeld: () => false,
-    onKey: () => undefined,
+    onKeyChange: () => undefined,
     lastOrders: () => undefined,
     peers: () => [{ hostId: 'b', incarnation: '1', address: 'b' }],
     call: async (_address, _call, _request, timeoutMs) => {
@@ -272,7 +272,7 @@
   // the time since it last read, before it reads.
   const { clock, monitor, storeAnswers, stop } = watched();
   for (let i = 0; i < 12; i++) {
-    await clock.hold(1000, storeAnswers);
+    await clock.blockEventLoop(1000, storeAnswers);
     t.notOk(monitor.isCutOff(), `held up ${i + 1} times`);
   }
   stop.abort();
@@ -282,7 +282,7 @@
   const { clock, monitor, stop } = watched();
   let heldMs = 0;
   for (; heldMs < 6000 && !monitor.isCutOff(); heldMs += 200) {
-    await clock.hold(200, () => undefined);
+    await clock.blockEventLoop(200, () => undefined);
     // The host decides in the round of the loop after its timer; no time passes in it.
     await settle();
   }
@@ -335,7 +335,7 @@
   // request is sent; the process is held up until a second send is due; the answer has arrived. Cause: the second send
   // comes before the reading.
   const { clock, client, outcome, answerFirst, stop } = await forwarding();
-  await clock.hold(400, answerFirst);
+  await clock.blockEventLoop(400, answerFirst);
   await clock.advance(200);
   const end = await outcome;
   t.ok(end.kind === 'answered' && end.answer.body.toString() === 'first');
@@ -345,7 +345,7 @@
 
 await tap.test('should send a late request twice within 100 ms after the process was held up', async t => {
   const { clock, client, outcome, stop } = await forwarding();
-  await clock.hold(400, () => undefined);
+  await clock.blockEventLoop(400, () => undefined);
   await clock.advance(100);
   const end = await outcome;
   t.ok(end.kind === 'answered' && end.answer.body.toString() === 'second');
@@ -358,7 +358,7 @@
   async t => {
     // The second send is due at 120 ms and the request over at 1500: a late loop's 100 ms more reach past the end.
     const { clock, client, outcome, stop } = await forwarding();
-    await clock.hold(1450, () => undefined);
+    await clock.blockEventLoop(1450, () => undefined);
     await clock.advance(1000);
     t.equal((await outcome).kind, 'unknown');
     t.equal(client.sends.length, 1);
