--- a/packages/gateway/src/poisonGuard.ts
+++ b/packages/gateway/src/poisonGuard.ts
@@ -80,7 +80,7 @@
   }
 
   serve(server: CallRegistry): void {
-    this._announcer.serve(server, news => this._handleAnnouncement(news));
+    this._announcer.serve(server, announcement => this._handleAnnouncement(announcement));
   }
 
   hasNoCases(): boolean {
--- a/tests/configuration.spec.ts
+++ b/tests/configuration.spec.ts
@@ -1,5 +1,5 @@
 /**
- * The configuration in force on a host: never back, and in time.
+ * The configuration in force on a host: monotonic and up to date.
  */
 import tap from 'tap';
 import { VirtualClock } from '@fuchsiahitch/base';
@@ -7,10 +7,8 @@
 import { FakeStore } from './fakeStore.js';
 import { keys, PlainRecords, route, testContext } from './gatewayWorld.js';
 
-await tap.test('should put a new configuration in force in time though a watch fell silent', async t => {
-  // Symptom: a caller gets 404 for a new route, 2.6 s after the store had accepted it. Sequence: a watch is under way when
-  // the way that it takes is cut without a word; the next calls get answers. Cause: a watch given up after 4.5 s, where the
-  // configuration must be in force within two.
+await tap.test('should apply a new configuration in time despite an unresponsive watch', async t => {
+  // Guards against 404 for a new route, because an unresponsive watch is restarted too late.
   for (const silentMs of [50, 500, 900]) {
     const clock = new VirtualClock();
     const store = new FakeStore(clock);
@@ -31,9 +29,8 @@
   }
 });
 
-await tap.test('should never go back to an older configuration', async t => {
-  // Symptom: a dropped route works again. Sequence: a watch and a whole read deliver out of order. Cause: the last
-  // to arrive taken for the newest.
+await tap.test('should never return to an older configuration', async t => {
+  // Guards against restoring a removed route when a watch and a full read deliver out of order.
   const clock = new VirtualClock();
   const store = new FakeStore(clock);
   const context = testContext(clock);
--- a/tests/crashingEndpoints.ts
+++ b/tests/crashingEndpoints.ts
@@ -1,5 +1,5 @@
 /**
- * Endpoints of a fleet that end under some requests, and start again under another identifier at the same address.
+ * Endpoints that crash while running poison requests, and restart under another identifier at the same address.
  */
 import type { VirtualClock } from '@fuchsiahitch/base';
 import type {
@@ -13,7 +13,6 @@
 import type { FakeStore } from './fakeStore.js';
 import { answer, endpointRecord, keys, type ScriptedClient } from './gatewayWorld.js';
 
-/** One send that reached an endpoint. */
 export interface ReceivedRequest {
   readonly atMs: number;
   readonly target: string;
@@ -24,21 +23,17 @@
   readonly id: string;
   readonly address: string;
   readonly pool: string;
-  /** Breaks each request that runs there. */
+  /** Callbacks that break the running requests. */
   readonly running: Set<() => void>;
 }
 
-/** A request runs for so long before its endpoint ends, or before its answer. */
 const CRASH_AFTER_MS = 60;
 const ANSWER_AFTER_MS = 30;
-/** An endpoint is back after this, and the record of its former start lapses a little later. */
 const RESTART_AFTER_MS = 1900;
 const RECORD_EXPIRY_MS = 3000;
-/** To find that nobody listens at an address. */
 const CONNECTION_REFUSED_MS = 1;
 const EVENTS_PER_ITEM = 10;
 
-/** The parts of a fleet that the endpoints stand in. */
 export interface CrashingEndpointsHost {
   readonly clock: VirtualClock;
   readonly store: FakeStore;
@@ -48,7 +43,7 @@
 export class CrashingEndpoints {
   readonly received: ReceivedRequest[] = [];
   readonly crashes: ReceivedRequest[] = [];
-  /** True for what ends its endpoint. */
+  /** Selects the calls that crash their endpoint. */
   isPoison: (call: { readonly target: string; readonly body: Buffer | undefined }) => boolean = () => false;
   private readonly _world: CrashingEndpointsHost;
   private readonly _byAddress = new Map<string, LiveEndpoint>();
@@ -62,22 +57,22 @@
     client.runItem = (call, listener, signal) => this._runItem(call, listener, signal);
   }
 
-  /** Starts an endpoint of a pool at an address of its own. */
+  /** Starts an endpoint of a pool at a new address. */
   add(pool: string): void {
     this._start(`10.1.0.${this._byAddress.size + 1}:1`, pool);
   }
 
   receivedFor(target: string): readonly ReceivedRequest[] {
-    return this.received.filter(reached => reached.target === target);
+    return this.received.filter(request => request.target === target);
   }
 
-  /** Ends every endpoint of a pool, for no reason of a request's. */
+  /** Crashes all endpoints of a pool, independently of requests. */
   crashAll(pool: string): void {
     for (const endpoint of [...this._byAddress.values()])
       if (endpoint.pool === pool) this._crash(endpoint, '');
   }
 
-  /** Ends one endpoint of a pool, that which runs most, for no reason of a request's. */
+  /** Crashes the endpoint of a pool that runs the most requests, independently of them. */
   crashBusiest(pool: string): void {
     const ofPool = [...this._byAddress.values()].filter(endpoint => endpoint.pool === pool);
     const [busiest] = ofPool.sort((a, b) => b.running.size - a.running.size);
@@ -106,13 +101,13 @@
     clock.after(RECORD_EXPIRY_MS, () => store.remove(`${keys.endpointPrefix}${id}`));
   }
 
-  /** The start that was meant, if it still lives. */
+  /** The given instance, if it is still running. */
   private _liveInstance({ address, id }: EndpointInfo): LiveEndpoint | undefined {
     const endpoint = this._byAddress.get(address);
     return endpoint?.id === id ? endpoint : undefined;
   }
 
-  /** Runs until the end of the time; `broken` if the endpoint ends before, `cancelled` if the host does not want it any more. */
+  /** Runs for the duration. `broken` if the endpoint crashes first, `cancelled` if the host aborts the call. */
   private async _run(
     endpoint: LiveEndpoint,
     durationMs: number,
@@ -131,7 +126,7 @@
     });
   }
 
-  /** Runs a request that is deadly until its endpoint ends, any other for the time. */
+  /** Runs a poison request until its endpoint crashes, any other for the duration. */
   private async _runOrCrash(
     endpoint: LiveEndpoint,
     call: { readonly target: string; readonly body: Buffer | undefined },
--- a/tests/endpointStarts.spec.ts
+++ b/tests/endpointStarts.spec.ts
@@ -1,5 +1,5 @@
 /**
- * Endpoints that start again under their identifier, and records that name none.
+ * Endpoints that restart under their identifier, and unreadable endpoint records.
  */
 import fc from 'fast-check';
 import tap from 'tap';
@@ -36,14 +36,14 @@
   const clock = new VirtualClock();
   const store = new FakeStore(clock);
   const context = testContext(clock);
-  const forgotten: string[] = [];
+  const droppedAddresses: string[] = [];
   const endpoints = new EndpointDirectory(context, store.client(), keys, new PlainRecords(), address => {
-    forgotten.push(address);
+    droppedAddresses.push(address);
   });
   store.put(E1, endpointRecord({ startWallMs: 1000 }, 5));
   endpoints.start();
   await clock.advance(3000);
-  return { clock, store, log: context.log, droppedAddresses: forgotten, endpoints, stop: context.stop };
+  return { clock, store, log: context.log, droppedAddresses, endpoints, stop: context.stop };
 }
 
 function ejectByFailures(endpoint: Endpoint): void {
@@ -53,36 +53,33 @@
   }
 }
 
-await tap.test('should believe nothing of a former start', async t => {
-  // Symptom: an endpoint that is well gets no items, or items of a version that it has not. Sequence: it fails, leaves, or
-  // is known with new weights; it crashes and starts again under its identifier. Cause: identity taken from the identifier
-  // alone.
-  const { clock, store, endpoints, droppedAddresses: forgotten, stop } = await directory();
-  const former = endpoints.get('e1');
-  if (!former) return;
-  ejectByFailures(former);
-  former.recordVersion('m', 9);
-  former.loadBegan('m', 10);
-  former.recordEventInterval(400);
-  former.markLeaving();
+await tap.test('should not apply the state of a previous instance to a restarted endpoint', async t => {
+  // Guards against a healthy endpoint that gets no items, or items of a version that it does not have.
+  const { clock, store, endpoints, droppedAddresses, stop } = await directory();
+  const previous = endpoints.get('e1');
+  if (!previous) return;
+  ejectByFailures(previous);
+  previous.recordVersion('m', 9);
+  previous.loadBegan('m', 10);
+  previous.recordEventInterval(400);
+  previous.markLeaving();
   store.put(E1, endpointRecord({ startWallMs: 2000 }, 5));
   await clock.advance(100);
   const next = endpoints.get('e1');
-  t.not(next, former);
+  t.not(next, previous);
   t.same([next?.versionOf('m'), next?.isLoading(), next?.paceMs()], [5, false, undefined]);
   t.equal(next?.freeSlots(), 4);
   t.notOk(next?.isLeaving);
-  t.ok(former.replaced.aborted && former.isLeaving);
-  t.same(forgotten, ['10.0.0.1:1'], 'its connections are not used again');
+  t.ok(previous.replaced.aborted && previous.isLeaving);
+  t.same(droppedAddresses, ['10.0.0.1:1'], 'its connections are not reused');
   store.put(E1, endpointRecord({ startWallMs: 2000 }, 6));
   await clock.advance(100);
-  t.equal(endpoints.get('e1'), next, 'the same start goes on');
+  t.equal(endpoints.get('e1'), next, 'a heartbeat does not replace the instance');
   stop.abort();
 });
 
-await tap.test('should not go back to a former start, whenever its record arrives', async t => {
-  // Symptom: an endpoint that runs is taken for one that leaves. Sequence: the former start's last record is written, or
-  // read, after the later start's. Cause: the record that came last taken for the newest.
+await tap.test('should ignore late records of an earlier instance', async t => {
+  // Guards against taking a running endpoint for a leaving one, because the last record to arrive counts as the newest.
   const { clock, store, endpoints, stop } = await directory();
   store.put(E1, endpointRecord({ startWallMs: 2000 }, 5));
   await clock.advance(100);
@@ -97,50 +94,48 @@
   t.equal(endpoints.get('e1'), undefined);
   store.put(E1, endpointRecord({ startWallMs: 1000 }, 9));
   await clock.advance(100);
-  t.equal(endpoints.get('e1'), undefined, 'nor after it is gone');
+  t.equal(endpoints.get('e1'), undefined, 'also after the endpoint was removed');
   store.put(E1, endpointRecord({ startWallMs: 3000 }, 5));
   store.put(E1, endpointRecord({ startWallMs: 4000 }, 5));
   await clock.advance(100);
-  t.equal(endpoints.get('e1')?.info().startWallMs, 4000, 'twice within a heartbeat');
+  t.equal(endpoints.get('e1')?.info().startWallMs, 4000, 'two restarts within a heartbeat');
   stop.abort();
 });
 
-await tap.test('should take an endpoint’s own word that it has started again', async t => {
-  // Symptom: an endpoint whose way to the store is cut is ordered by the count of a start that is gone. Sequence: it
-  // crashes behind the cut and starts again; its record stays as it was. Cause: only the store asked.
+await tap.test('should accept a restart that the endpoint itself reports', async t => {
+  // An endpoint that restarts while disconnected from the store cannot update its record there.
   const { endpoints, stop } = await directory();
   endpoints.recordRestart('e1', 500, new Map([['m', 9]]));
-  t.equal(endpoints.get('e1')?.versionOf('m'), 5, 'an older start');
+  t.equal(endpoints.get('e1')?.versionOf('m'), 5, 'an earlier instance');
   endpoints.recordRestart('e1', 2000, new Map([['m', 3]]));
   t.equal(endpoints.get('e1')?.versionOf('m'), 3);
   endpoints.recordRestart('e9', 2000, new Map());
-  t.equal(endpoints.get('e9'), undefined, 'one that is not known');
+  t.equal(endpoints.get('e9'), undefined, 'an unknown endpoint');
   stop.abort();
 });
 
-await tap.test('should take news of hosts for the start that they name', async t => {
+await tap.test('should apply versions reported by hosts only to the instance that they name', async t => {
   const { endpoints, stop } = await directory();
-  const handlers = new Map<string, (news: never) => unknown>();
+  const handlers = new Map<string, (update: never) => unknown>();
   const registry: CallRegistry = {
     handle: (call, handler) => {
-      handlers.set(call.name, handler as unknown as (news: never) => unknown);
+      handlers.set(call.name, handler as unknown as (update: never) => unknown);
     },
   };
   serveVersions(registry, endpoints);
-  const tell = (startWallMs: number, version: number): void => {
-    const news = { endpointId: 'e1', startWallMs, model: 'm', version };
-    handlers.get(calls.versionSeen.name)?.(news as never);
+  const report = (startWallMs: number, version: number): void => {
+    const update = { endpointId: 'e1', startWallMs, model: 'm', version };
+    handlers.get(calls.versionSeen.name)?.(update as never);
   };
-  tell(900, 8);
+  report(900, 8);
   t.equal(endpoints.get('e1')?.versionOf('m'), 5);
-  tell(1000, 7);
+  report(1000, 7);
   t.equal(endpoints.get('e1')?.versionOf('m'), 7);
   stop.abort();
 });
 
-await tap.test('should plan loads of a new start anew', async t => {
-  // Symptom: an endpoint keeps old weights for seconds. Sequence: it restarts while it loads. Cause: the load that died
-  // with the former start counts as under way.
+await tap.test('should plan a weight load again after a restart', async t => {
+  // Guards against old weights for seconds, because a load lost in the restart counts as under way.
   const clock = new VirtualClock();
   const planner = new SwapPlanner(clock, {
     maxSwappingShare: 1,
@@ -158,9 +153,8 @@
   t.end();
 });
 
-await tap.test('should go on elsewhere at once with items of an endpoint that has restarted', async t => {
-  // Symptom: items wait 1.2 s for an endpoint that lost its power. Sequence: it falls silent, starts again under its
-  // identifier, and its record says so. Cause: a run awaited that no longer exists.
+await tap.test('should resume items of a restarted endpoint elsewhere without delay', async t => {
+  // Guards against waiting for the idle timeout of a run that no longer exists.
   const world = new GatewayWorld();
   const host = world.start('a');
   await world.clock.advance(200);
@@ -179,7 +173,7 @@
   world.stop();
 });
 
-await tap.test('should leave runs to a new start that are seen to live there', async t => {
+await tap.test('should not interrupt items that already run on the new instance', async t => {
   const world = new GatewayWorld();
   const host = world.start('a');
   await world.clock.advance(200);
@@ -208,15 +202,14 @@
   models: [{ name: 'm', version: 2 }],
 };
 
-await tap.test('should read no endpoint from a record of another writer', t => {
-  // Symptom: requests go to an endpoint in a state that nobody knows, or every endpoint is lost. Sequence: something else
-  // writes a record beside the endpoints'. Cause: missing fields filled in; one odd record spoils the whole reading.
+await tap.test('should reject invalid endpoint records', t => {
+  // Guards against filling in missing fields, and against one invalid record affecting all endpoints.
   const records = new PlatformRecords();
   t.ok(records.endpoint('i', JSON.stringify(VALID_RECORD)));
-  t.ok(records.endpoint('i', JSON.stringify({ ...VALID_RECORD, other: [1] })), 'a field that is not known');
+  t.ok(records.endpoint('i', JSON.stringify({ ...VALID_RECORD, other: [1] })), 'an unknown field');
   for (const field of ['service', 'address', 'zone', 'version', 'slots', 'state', 'cold_left_ms', 'seq'])
     t.equal(records.endpoint('i', JSON.stringify({ ...VALID_RECORD, [field]: undefined })), undefined, field);
-  const odd = {
+  const invalidFields = {
     state: 'resting',
     slots: '4',
     address: 'nowhere',
@@ -224,14 +217,14 @@
     models: {},
     zone: 7,
   };
-  for (const [field, value] of Object.entries(odd))
+  for (const [field, value] of Object.entries(invalidFields))
     t.equal(records.endpoint('i', JSON.stringify({ ...VALID_RECORD, [field]: value })), undefined, field);
   t.equal(records.endpoint('i', JSON.stringify({ ...VALID_RECORD, born: 1.5 })), undefined);
   t.equal(records.endpoint('i', '\ufffd\u0000{'), undefined);
   t.end();
 });
 
-await tap.test('should read any record without failing', t => {
+await tap.test('should parse any record without throwing', t => {
   const records = new PlatformRecords();
   const field = fc.constantFrom(...Object.keys(VALID_RECORD));
   fc.assert(
@@ -248,7 +241,7 @@
   t.end();
 });
 
-await tap.test('should drop an endpoint whose record names none any more, and keep the others', async t => {
+await tap.test('should remove only the endpoint whose record becomes unreadable', async t => {
   const { clock, store, endpoints, log, stop } = await directory();
   store.put(`${keys.endpointPrefix}e2`, endpointRecord());
   await clock.advance(100);
@@ -256,10 +249,10 @@
   await clock.advance(5000);
   t.equal(endpoints.get('e1'), undefined);
   t.ok(endpoints.get('e2'));
-  const told = log.lines.filter(line => line.text === 'unreadable endpoint record');
-  t.equal(told.length, 1, 'once for a revision');
+  const warnings = log.lines.filter(line => line.text === 'unreadable endpoint record');
+  t.equal(warnings.length, 1, 'one warning per revision');
   store.put(E1, endpointRecord({ startWallMs: 1000 }));
   await clock.advance(100);
-  t.ok(endpoints.get('e1'), 'its own next record brings it back');
+  t.ok(endpoints.get('e1'), 'restored by its next valid record');
   stop.abort();
 });
--- a/tests/forwarder.spec.ts
+++ b/tests/forwarder.spec.ts
@@ -1,5 +1,5 @@
 /**
- * How requests are forwarded: attempts, promises, time, leaving callers; and bounded logs.
+ * Request forwarding: retries, guarantees, deadlines, disconnecting callers, spans; and the log rate limit.
  */
 import fs from 'node:fs';
 import os from 'node:os';
@@ -57,7 +57,7 @@
 const NON_IDEMPOTENT = route({ run: 'non-idempotent', maxAttempts: 3, targetMs: 200, timeoutMs: 1500 });
 const NEVER_ABORTED = new AbortController().signal;
 
-/** Answers in turn; the last one stays. */
+/** Replies in sequence and repeats the last one. */
 function replySequence(...replies: readonly EndpointReply[]): () => Promise<EndpointReply> {
   let turn = 0;
   return () => Promise.resolve(replies[Math.min(turn++, replies.length - 1)] ?? { kind: 'cancelled' });
@@ -70,14 +70,14 @@
   return { kind: 'answered', answer: answer(200, text) };
 }
 
-await tap.test('should send an idempotent request again after any failure, elsewhere', async t => {
+await tap.test('should retry an idempotent request on another endpoint after any failure', async t => {
   const { client, forwarder, stop } = await forwarding();
-  const halved = answer(200, '', { body: brokenBody('ha') });
+  const truncated = answer(200, '', { body: brokenBody('ha') });
   for (const failure of [
     BROKEN,
     REFUSED,
     { kind: 'answered', answer: answer(500, 'no') },
-    { kind: 'answered', answer: halved },
+    { kind: 'answered', answer: truncated },
     { kind: 'answered', answer: answer(200, 'not the endpoint’s', { proof: undefined }) },
   ] as const) {
     client.sends.length = 0;
@@ -90,9 +90,8 @@
   stop.abort();
 });
 
-await tap.test('should never send another request again without proof that it did not run', async t => {
-  // Symptom: two families at one telescope. Sequence: the hold is written, the connection breaks, it is sent again.
-  // Cause: a broken connection taken for "not run".
+await tap.test('should not retry a non-idempotent request without proof that it did not run', async t => {
+  // Guards against running a request twice because a broken connection is taken for "not run".
   const { client, forwarder, stop } = await forwarding();
   client.reply = replySequence(BROKEN, completeReply());
   t.same(await forwarder.forward(REQUEST, NON_IDEMPOTENT, NEVER_ABORTED), {
@@ -107,7 +106,7 @@
   stop.abort();
 });
 
-await tap.test('should promise "not run" only when every endpoint proved it', async t => {
+await tap.test('should report "not run" only with proof from every endpoint', async t => {
   const { client, forwarder, stop } = await forwarding();
   client.reply = replySequence(REFUSED);
   const refused = await forwarder.forward(REQUEST, NON_IDEMPOTENT, NEVER_ABORTED);
@@ -117,8 +116,8 @@
   stop.abort();
 });
 
-await tap.test('should send a late idempotent request to a second endpoint', async t => {
-  // Symptom: a lookup waits for one stuck endpoint until its deadline. Cause: no second attempt before a failure.
+await tap.test('should hedge a slow idempotent request on a second endpoint', async t => {
+  // Guards against waiting for one stuck endpoint until the deadline.
   const { clock, client, forwarder, stop } = await forwarding();
   client.reply = (_call, signal) =>
     client.sends.length === 1
@@ -132,7 +131,7 @@
   stop.abort();
 });
 
-await tap.test('should end at the route’s time, not at the caller’s', async t => {
+await tap.test('should end at the route’s timeout if the caller waits longer', async t => {
   const { clock, client, forwarder, stop } = await forwarding();
   const aborted: boolean[] = [];
   client.reply = (_call, signal) =>
@@ -145,20 +144,20 @@
   const pending = forwarder.forward({ ...REQUEST, waitMs: 60_000 }, NON_IDEMPOTENT, NEVER_ABORTED);
   await clock.advance(1600);
   t.same(await pending, { kind: 'unknown', reason: 'late' });
-  t.same(aborted, [true], 'the endpoint was told');
+  t.same(aborted, [true], 'the endpoint call was aborted');
   stop.abort();
 });
 
-await tap.test('should pass on what is left of the caller’s time and no more', async t => {
+await tap.test('should not pass on more than the caller’s remaining time', async t => {
   const { client, forwarder, stop } = await forwarding();
   await forwarder.forward({ ...REQUEST, waitMs: 700 }, NON_IDEMPOTENT, NEVER_ABORTED);
   t.ok((client.sends[0]?.leftMs ?? Infinity) <= 700);
   stop.abort();
 });
 
-await tap.test('should tell the endpoint when the caller leaves', async t => {
+await tap.test('should abort the endpoint call when the caller disconnects', async t => {
   const { clock, client, forwarder, stop } = await forwarding();
-  const left = new AbortController();
+  const caller = new AbortController();
   const aborted: boolean[] = [];
   client.reply = (_call, signal) =>
     new Promise(resolve =>
@@ -167,23 +166,23 @@
         resolve({ kind: 'cancelled' });
       }),
     );
-  const pending = forwarder.forward(REQUEST, IDEMPOTENT, left.signal);
+  const pending = forwarder.forward(REQUEST, IDEMPOTENT, caller.signal);
   await clock.advance(20);
-  left.abort();
+  caller.abort();
   t.equal((await pending).kind, 'caller-left');
   t.same(aborted, [true]);
   stop.abort();
 });
 
-await tap.test('should refuse at once where there is no endpoint', async t => {
+await tap.test('should refuse immediately if there is no endpoint', async t => {
   const { forwarder, stop } = await forwarding();
   const nowhere = route({ run: 'idempotent', pools: [{ pool: 'none', weight: 1 }] });
   t.equal((await forwarder.forward(REQUEST, nowhere, NEVER_ABORTED)).kind, 'not-run');
   stop.abort();
 });
 
-await tap.test('should break a stream off visibly when its endpoint does', async t => {
-  // Symptom: half a stream looks whole. Cause: an end written in a catch-all.
+await tap.test('should abort the caller’s stream when the endpoint’s stream breaks', async t => {
+  // Guards against a truncated stream that looks complete.
   const { client, forwarder, stop } = await forwarding();
   client.reply = replySequence({
     kind: 'answered',
@@ -209,9 +208,8 @@
   stop.abort();
 });
 
-await tap.test('should drop and count log lines over the rate, and while nobody reads', t => {
-  // Symptom: a process stands still or grows without bound. Sequence: the collector stalls, or a fault makes every
-  // request log. Cause: lines without a bound.
+await tap.test('should drop and count log lines above the rate limit or while the reader stalls', t => {
+  // Guards against unbounded memory when the log collector stalls or every request logs an error.
   const lines: string[] = [];
   const sink = { write: (text: string) => void lines.push(text), pendingBytes: () => pendingBytes };
   let pendingBytes = 0;
@@ -268,7 +266,7 @@
   readonly attributes: { readonly end?: string; readonly outcome?: string };
 }
 
-/** The lines of a file that another stream writes, once there are so many. */
+/** Polls a file that is being written until it has `count` lines. */
 async function readLines(file: string, count: number): Promise<readonly string[]> {
   for (;;) {
     const text = fs.existsSync(file) ? fs.readFileSync(file, 'utf8') : '';
--- a/tests/lookupRequests.ts
+++ b/tests/lookupRequests.ts
@@ -1,15 +1,14 @@
 /**
- * Lookups at fleets of whole gateways, and what hosts must keep to where endpoints end under one.
+ * Lookup requests for gateway fleets, and the bounds that hosts must keep for poison requests.
  */
 import { setMaxListeners } from 'node:events';
 import type { CallerRequest } from '@fuchsiahitch/gateway';
 import { route } from './gatewayWorld.js';
 
-/** A host that is in touch must know of an end within this time. */
+/** Connected hosts must receive a terminated endpoint's mark within this time. */
 export const ANNOUNCEMENT_BOUND_MS = 3000;
-/** Sends of a request later than that after its third end. */
+/** Sends of a request allowed later than that after its third terminated endpoint. */
 export const MAX_LATER_SENDS = 3;
-/** The route of lookups: to one pool, and twice at the most. */
 export const LOOKUP_ROUTE = route({
   run: 'idempotent',
   pools: [{ pool: 'storefront', weight: 1 }],
@@ -17,7 +16,7 @@
   targetMs: 186,
   timeoutMs: 1500,
 });
-/** Of callers that wait for their answers. */
+/** The disconnect signal of callers that wait for their answers. */
 export const NEVER_ABORTED: AbortSignal = new AbortController().signal;
 setMaxListeners(0, NEVER_ABORTED);
 
--- a/tests/poisonCost.spec.ts
+++ b/tests/poisonCost.spec.ts
@@ -1,5 +1,5 @@
 /**
- * What a poison request costs a fleet by its size, in counts.
+ * The cost of a poison request in store calls and peer bytes, by fleet size.
  */
 import tap from 'tap';
 import { CrashingEndpoints } from './crashingEndpoints.js';
@@ -10,12 +10,12 @@
 const MEASURED_S = 5;
 
 interface Costs {
-  /** Calls to the store but renewals of leases, which come by the hosts' clocks. */
+  /** Store calls except lease renewals, which depend on the hosts' clocks. */
   readonly storeCalls: number;
   readonly peerBytes: number;
 }
 
-/** The costs of some seconds in which a request comes each second, to one host after the other. */
+/** Measures the costs of one request per second, sent to one host after the other. */
 async function costs(fleet: GatewayFleet): Promise<Costs> {
   const sentBytes = (): number => fleet.hosts.reduce((sum, host) => sum + host.sentBytes, 0);
   const storeCalls = (): number => fleet.store.calls.filter(call => call !== 'keepLease').length;
@@ -41,8 +41,8 @@
   [195, 5],
 ] as const) {
   await tap.test(`should cost a fleet of ${hosts} hosts a few calls to the store`, async t => {
-    // Two ends and a trial's end, each told by one write under one lease, a claim, and the same again for chance; besides, the
-    // domains' watches that hear of three endpoints which go and come. A host may send 2 KB a second.
+    // Expected: three end marks under one lease and a claim, doubled as a margin, plus the watches in each domain that
+    // see three endpoints restart.
     const fleet = new GatewayFleet({ hosts, domains, endpoints: 0 });
     const endpoints = new CrashingEndpoints(fleet);
     for (let i = 0; i < 12; i++) endpoints.add('storefront');
--- a/tests/poisonRequests.spec.ts
+++ b/tests/poisonRequests.spec.ts
@@ -1,5 +1,5 @@
 /**
- * Requests under which endpoints end, at whole gateways of many hosts.
+ * Poison requests, at a fleet of complete gateways.
  */
 import tap from 'tap';
 import { Deadline } from '@fuchsiahitch/base';
@@ -22,7 +22,7 @@
   readonly endpoints: CrashingEndpoints;
 }
 
-/** A fleet of nine hosts in three failure domains, before three endpoints of one pool. */
+/** A fleet of nine hosts in three failure domains, with `count` endpoints in one pool. */
 async function startWorld(pool = 'storefront', count = 3): Promise<World> {
   const fleet = new GatewayFleet({ hosts: 9, domains: 3, endpoints: 0 });
   const endpoints = new CrashingEndpoints(fleet);
@@ -33,25 +33,23 @@
   return { fleet, endpoints };
 }
 
-/** Sends a request to a host; the balancer takes another host for each. */
+/** Sends a request to the host of the turn, as a round-robin load balancer does. */
 async function send({ fleet }: World, turn: number, request: CallerRequest): Promise<ForwardOutcome> {
   const host = fleet.hosts[turn % fleet.hosts.length];
   if (!host) throw new Error('no host');
   return host.gateway.forwarder.forward(request, LOOKUP_ROUTE, NEVER_ABORTED);
 }
 
-/** Sends of a target that came later than hosts in touch may still not know of its third end. */
+/** Counts sends of a target after all connected hosts must have received its third end mark. */
 function laterSends(endpoints: CrashingEndpoints, target: string): number {
-  const third = endpoints.crashes.filter(end => end.target === target)[2];
+  const third = endpoints.crashes.filter(crash => crash.target === target)[2];
   if (!third) return 0;
   return endpoints.receivedFor(target).filter(({ atMs }) => atMs > third.atMs + ANNOUNCEMENT_BOUND_MS).length;
 }
 
-await tap.test('should stop sending a request under which endpoints have ended, at every host', async t => {
-  // Symptom: lookups are refused for a second or two again and again; one request ended 11 endpoints. Sequence: it ends the
-  // endpoint that begins to run it and the one that it is sent to next; its caller repeats it at another host, and it comes
-  // again every few seconds, at any host and under other identifiers. Cause: what a host learns ends with the attempt.
-  // Evidence: in the recorded day's lines no identifier has more than two attempts, each of them broke, at nine hosts.
+await tap.test('should stop sending a poison request at every host', async t => {
+  // Guards against a request that crashes endpoint after endpoint, because callers repeat it at other hosts and under
+  // other identifiers.
   const world = await startWorld();
   const { fleet, endpoints } = world;
   for (let turn = 0; turn < 20; turn++) {
@@ -65,10 +63,8 @@
   fleet.stop();
 });
 
-await tap.test('should stop sending an item of a batch under which endpoints have ended', async t => {
-  // Symptom: endpoints that generate end in turn, and the runs of all trainers with them. Sequence: an item ends its endpoint,
-  // its owner sends it to the next at once, until none is left. Cause: a broken connection counts as nobody's fault, and
-  // an owner sends an item as often as it breaks.
+await tap.test('should stop sending a poison item of a batch', async t => {
+  // Guards against an owner that retries an item until it has crashed every endpoint of the pool.
   const world = await startWorld('gen-pool', 8);
   const { fleet, endpoints } = world;
   endpoints.isPoison = call => call.target === '/run/deadly';
@@ -80,16 +76,12 @@
   const later = laterSends(endpoints, '/run/deadly');
   t.ok(later <= MAX_LATER_SENDS, `${later} sends too late, ${endpoints.crashes.length} ends in all`);
   const read = await owner?.gateway.batches.read('b1', 0, 0);
-  t.equal(read?.kind === 'page' && read.page.results.length, 6, 'the others are whole');
+  t.equal(read?.kind === 'page' && read.page.results.length, 6, 'the other items are complete');
   fleet.stop();
 });
 
-await tap.test('should serve the others while endpoints end under one request', async t => {
-  // Symptom: lookups are refused although an endpoint of their pool lives. Sequence: two of three endpoints have just ended; a
-  // lookup finds nobody at the address of the one, nor of the other, and is refused. Cause: a connection that nobody
-  // takes counts as a send, of which the route allows two, and tells the next lookup nothing.
-  // Evidence: in the recorded day's lines two attempts with `end=not-run` after 1 to 3 ms, then `every endpoint refused it`,
-  // while lookups at other hosts are answered by the third endpoint.
+await tap.test('should serve other requests while a poison request crashes endpoints', async t => {
+  // Guards against refusing lookups while an endpoint lives, because refused connections count as attempts.
   const world = await startWorld();
   const { fleet, endpoints } = world;
   const outcomes: ForwardOutcome['kind'][] = [];
@@ -108,8 +100,8 @@
   fleet.stop();
 });
 
-await tap.test('should serve a popular request again when the endpoints that ended are back', async t => {
-  // The request that everybody asks for sits on each endpoint that ends, and is not to blame.
+await tap.test('should serve a popular request again after its endpoints have restarted', async t => {
+  // A popular request runs on every endpoint that crashes, and must not be condemned for it.
   const world = await startWorld();
   const { fleet, endpoints } = world;
   const outcomes: { readonly atMs: number; readonly kind: string }[] = [];
@@ -128,21 +120,21 @@
   const isAway = (atMs: number): boolean => endsMs.some(endMs => atMs > endMs - 100 && atMs < endMs + 2500);
   const refused = outcomes.filter(({ atMs, kind }) => kind !== 'answered' && !isAway(atMs));
   t.equal(endpoints.crashes.length, 12);
-  t.same(refused, [], 'half a second after the endpoints are back');
+  t.same(refused, [], 'half a second after the restarts');
   fleet.stop();
 });
 
-await tap.test('should tell its caller at once what became of it, and truly', async t => {
-  // It did run: "not run" would be untrue. Then it waits for its trial, then it is of no use to bring it again.
+await tap.test('should report the outcome of a poison request without delay', async t => {
+  // `unknown` after it ran, `not-run` while it is held for a trial, `rejected` after the trial.
   const world = await startWorld();
   const { fleet, endpoints } = world;
   const first = send(world, 0, lookupRequest('r0', POISON_TARGET));
   await fleet.clock.advance(300);
   t.same(await first, { kind: 'unknown', reason: 'broken' });
-  const askedMs = fleet.clock.nowMs();
+  const sentMs = fleet.clock.nowMs();
   const held = await send(world, 5, lookupRequest('r1', POISON_TARGET));
   t.ok(held.kind === 'not-run' && held.retryAfterMs > 1000 && held.retryAfterMs <= 2000, held.kind);
-  t.equal(fleet.clock.nowMs(), askedMs, 'at once');
+  t.equal(fleet.clock.nowMs(), sentMs, 'without delay');
   await fleet.clock.advance(2000);
   const trial = send(world, 7, lookupRequest('r2', POISON_TARGET));
   await fleet.clock.advance(200);
@@ -154,7 +146,7 @@
   fleet.stop();
 });
 
-await tap.test('should take a request for the same by its caller, method, path and body only', async t => {
+await tap.test('should identify a request by its caller, method, path and body only', async t => {
   const world = await startWorld();
   const { fleet } = world;
   void send(world, 0, lookupRequest('r0', POISON_TARGET, { caller: 'a', headers: [['x', '1']] }));
@@ -175,7 +167,7 @@
   fleet.stop();
 });
 
-await tap.test('should still know of a request when all hosts have started again', async t => {
+await tap.test('should remember a poison request after all hosts have restarted', async t => {
   const world = await startWorld();
   const { fleet, endpoints } = world;
   for (let turn = 0; turn < 3; turn++) {
@@ -191,13 +183,12 @@
     void send(world, turn, lookupRequest(`again${turn}`, POISON_TARGET));
     await fleet.clock.advance(300);
   }
-  t.equal(endpoints.receivedFor(POISON_TARGET).length, 0, 'no endpoint is sent it');
+  t.equal(endpoints.receivedFor(POISON_TARGET).length, 0, 'not sent to any endpoint');
   fleet.stop();
 });
 
-await tap.test('should tell the other hosts of a request while the store is away', async t => {
-  // Symptom: during an outage of the store of ten seconds one request ends two endpoints at each host that it comes to.
-  // Sequence: the store refuses all calls; the request comes to each host in turn. Cause: hosts hear of it by the store alone.
+await tap.test('should announce a poison request to other hosts during a store outage', async t => {
+  // Guards against a request that crashes two endpoints at each host while marks can't be stored.
   const world = await startWorld('storefront', 24);
   const { fleet, endpoints } = world;
   for (const host of fleet.hosts) host.storeClient.mode = 'away';
@@ -208,12 +199,12 @@
   t.ok(endpoints.crashes.length <= 3, `${endpoints.crashes.length} endpoints ended`);
   for (const host of fleet.hosts) host.storeClient.mode = 'well';
   await fleet.clock.advance(3000);
-  const kept = fleet.store.keys('fuchsiahitch/live/poison/');
-  t.ok(kept.length >= 2, 'the store has it once it is back');
+  const stored = fleet.store.keys('fuchsiahitch/live/poison/');
+  t.ok(stored.length >= 2, 'the marks are stored after the outage');
   fleet.stop();
 });
 
-await tap.test('should hold a stream and a request that must not be repeated like any other', async t => {
+await tap.test('should hold poison streams and non-idempotent poison requests', async t => {
   const world = await startWorld();
   const { fleet, endpoints } = world;
   const once = { ...LOOKUP_ROUTE, run: 'non-idempotent' as const };
@@ -234,7 +225,7 @@
   fleet.stop();
 });
 
-await tap.test('should not begin anew with an item when its owner dies', async t => {
+await tap.test('should keep a poison item’s marks when its owner dies', async t => {
   const world = await startWorld('gen-pool', 8);
   const { fleet, endpoints } = world;
   endpoints.isPoison = call => call.target === '/run/deadly';
@@ -248,12 +239,12 @@
     void next?.gateway.batches.read('b1', 2, 0);
     await fleet.clock.advance(1000);
   }
-  t.equal(next?.gateway.batches.ownedCount(), 1, 'another host runs the batch');
+  t.equal(next?.gateway.batches.ownedCount(), 1, 'another host took over the batch');
   t.equal(endpoints.crashes.length, 3);
   fleet.stop();
 });
 
-await tap.test('should bring several copies at once to a bounded number of endpoints', async t => {
+await tap.test('should bound the endpoints crashed by concurrent copies of a request', async t => {
   const world = await startWorld('storefront', 9);
   const { fleet, endpoints } = world;
   for (let turn = 0; turn < 9; turn++) void send(world, turn, lookupRequest(`r${turn}`, POISON_TARGET));
@@ -268,9 +259,9 @@
 });
 
 await tap.test(
-  'should write nothing for requests that merely broke, and were answered elsewhere',
+  'should store no marks for requests that broke once and were answered by another endpoint',
   async t => {
-    // An endpoint that ends breaks all that runs there; at the size of a fleet a write for each would cost more than the end.
+    // A crash breaks all requests at the endpoint; a store write for each would be costly in a large fleet.
     const world = await startWorld('storefront', 6);
     const { fleet, endpoints } = world;
     for (let i = 0; i < 60; i++) void send(world, i, lookupRequest(`s${i}`, `/lookup/${i}`));
--- a/tests/poisonSoak.spec.ts
+++ b/tests/poisonSoak.spec.ts
@@ -1,5 +1,5 @@
 /**
- * Poison requests among sound ones while endpoints end for other reasons, the store is away and hosts start again, by seeds.
+ * Poison and valid requests under seeded random faults: endpoint crashes, store outages and host restarts.
  */
 import tap from 'tap';
 import { SeededRandom, type Random } from '@fuchsiahitch/base';
@@ -28,12 +28,12 @@
   readonly kind: ForwardOutcome['kind'];
 }
 
-/** One run of a fleet under random faults, followed by a calm. */
+/** One run of a fleet under random faults, followed by a period without faults. */
 class Soak {
   readonly completed: CompletedRequest[] = [];
   readonly fleet = new GatewayFleet({ hosts: HOSTS, domains: 3, endpoints: 0 });
   readonly endpoints = new CrashingEndpoints(this.fleet);
-  /** When the store was last disturbed, or the hosts were started again. */
+  /** When the store last failed or the hosts last restarted. */
   lastFaultMs = 0;
   private readonly _random: Random;
   private _sentCount = 0;
@@ -101,29 +101,26 @@
   }
 }
 
-await tap.test(
-  'should keep poison requests from endpoints and sound ones served, under random faults',
-  async t => {
-    const { numRuns, seed: firstSeed } = fuzzRuns(6);
-    for (let seed = firstSeed; seed < firstSeed + numRuns; seed++) {
-      const soak = new Soak(seed);
-      await soak.run();
-      const label = `seed ${seed}`;
-      const isSound = ({ target }: CompletedRequest): boolean => !POISON_TARGETS.includes(target);
-      const rejected = soak.completed.filter(served => isSound(served) && served.kind === 'rejected');
-      t.same(rejected, [], `${label}: nothing sound is rejected`);
-      const calmMs = (STEPS + 30) * STEP_MS + 1300;
-      const unserved = soak.completed.filter(
-        served =>
-          isSound(served) && served.atMs > calmMs + ANNOUNCEMENT_BOUND_MS && served.kind !== 'answered',
-      );
-      t.same(unserved, [], `${label}: all that is sound is served once it is calm`);
-      for (const target of POISON_TARGETS) {
-        const third = soak.endpoints.crashes.filter(end => end.target === target)[2];
-        const knownMs = Math.max(third?.atMs ?? Infinity, soak.lastFaultMs) + ANNOUNCEMENT_BOUND_MS;
-        const later = soak.endpoints.receivedFor(target).filter(({ atMs }) => atMs > knownMs);
-        t.ok(later.length <= MAX_LATER_SENDS, `${label}: ${later.length} later sends of ${target}`);
-      }
+await tap.test('should withhold poison requests and serve valid ones under random faults', async t => {
+  const { numRuns, seed: firstSeed } = fuzzRuns(6);
+  for (let seed = firstSeed; seed < firstSeed + numRuns; seed++) {
+    const soak = new Soak(seed);
+    await soak.run();
+    const label = `seed ${seed}`;
+    const isValid = ({ target }: CompletedRequest): boolean => !POISON_TARGETS.includes(target);
+    const rejected = soak.completed.filter(request => isValid(request) && request.kind === 'rejected');
+    t.same(rejected, [], `${label}: no valid request is rejected`);
+    const calmMs = (STEPS + 30) * STEP_MS + 1300;
+    const unserved = soak.completed.filter(
+      request =>
+        isValid(request) && request.atMs > calmMs + ANNOUNCEMENT_BOUND_MS && request.kind !== 'answered',
+    );
+    t.same(unserved, [], `${label}: all valid requests are served after the faults`);
+    for (const target of POISON_TARGETS) {
+      const third = soak.endpoints.crashes.filter(crash => crash.target === target)[2];
+      const knownMs = Math.max(third?.atMs ?? Infinity, soak.lastFaultMs) + ANNOUNCEMENT_BOUND_MS;
+      const later = soak.endpoints.receivedFor(target).filter(({ atMs }) => atMs > knownMs);
+      t.ok(later.length <= MAX_LATER_SENDS, `${label}: ${later.length} later sends of ${target}`);
     }
-  },
-);
+  }
+});
--- a/tests/statusServer.spec.ts
+++ b/tests/statusServer.spec.ts
@@ -1,5 +1,5 @@
 /**
- * Readiness and metrics of a process, over sockets.
+ * The status server's readiness and metrics, over sockets.
  */
 import tap from 'tap';
 import { Counter, Registry } from 'prom-client';
@@ -11,15 +11,15 @@
   ready: boolean;
 }
 
-function status(): TestStatus {
-  const told = {
+function createStatus(): TestStatus {
+  const status = {
     readinessPath: '/ready',
     ready: false,
-    isReady: () => told.ready,
+    isReady: () => status.ready,
     registry: new Registry(),
     log: new TestLog(),
   };
-  return told;
+  return status;
 }
 
 async function request(
@@ -30,22 +30,22 @@
   return { status: response.status, body: await response.text() };
 }
 
-await tap.test('should tell whether the process is ready', async t => {
-  const told = status();
-  const server = new StatusServer(told);
+await tap.test('should report whether the process is ready', async t => {
+  const status = createStatus();
+  const server = new StatusServer(status);
   const address = await server.listen('127.0.0.1:0');
   t.equal((await request(address, '/ready')).status, 503);
-  told.ready = true;
+  status.ready = true;
   t.equal((await request(address, '/ready')).status, 200);
   await server.close();
 });
 
-await tap.test('should serve metrics at each of its addresses, from the first call on', async t => {
-  const told = status();
-  const server = new StatusServer(told);
+await tap.test('should serve metrics at all of its addresses from the first request on', async t => {
+  const status = createStatus();
+  const server = new StatusServer(status);
   const addresses = [await server.listen('127.0.0.1:0'), await server.listen('127.0.0.1:0')];
-  new Counter({ name: 'seen_total', help: 'Seen', registers: [told.registry] }).inc(3);
-  // Both ask while the application is being built.
+  new Counter({ name: 'seen_total', help: 'Seen', registers: [status.registry] }).inc(3);
+  // Both requests arrive while the application is being loaded.
   const answers = await Promise.all(addresses.map(address => request(address, '/metrics')));
   for (const { status: code, body } of answers) {
     t.equal(code, 200);
