--- a/packages/gateway/src/callerListener.ts
+++ b/packages/gateway/src/callerListener.ts
@@ -10,7 +10,7 @@
 import type { CallerLimits } from './ports.js';
 
 /** Permissive limits for the time before a configuration is loaded. */
-export const DEFAULT_LIMITS: CallerLimits = {
+export const DEFAULT_CALLER_LIMITS: CallerLimits = {
   maxHeaderBytes: 65_536,
   maxBodyBytes: 33_554_432,
   headerTimeoutMs: 10_000,
@@ -33,7 +33,7 @@
   readonly address: string;
   readonly log: Logger;
   readonly limits: () => CallerLimits | undefined;
-  readonly serve: (arrival: IncomingRequest) => Promise<void>;
+  readonly handle: (arrival: IncomingRequest) => Promise<void>;
 }
 
 export class CallerListener {
@@ -73,7 +73,7 @@
       if (!response.writableFinished) disconnect.abort();
     });
     try {
-      await this._options.serve({ request, response, left: disconnect.signal });
+      await this._options.handle({ request, response, left: disconnect.signal });
     } catch (thrown) {
       // Close the connection so that the caller does not wait for an answer.
       this._options.log.error('request handler failed', { error: messageOf(thrown) });
@@ -82,7 +82,7 @@
   }
 
   private _applyLimits(): void {
-    const limits = this._options.limits() ?? DEFAULT_LIMITS;
+    const limits = this._options.limits() ?? DEFAULT_CALLER_LIMITS;
     this._server.headersTimeout = limits.headerTimeoutMs;
     this._server.keepAliveTimeout = limits.idleTimeoutMs + KEEP_ALIVE_SLACK_MS;
   }
--- a/packages/gateway/src/configurationService.ts
+++ b/packages/gateway/src/configurationService.ts
@@ -14,7 +14,7 @@
  * A change must be in force within two seconds, so an unresponsive watch is restarted within that time. With a longer
  * wait callers would get 404 for a new route seconds after it was accepted.
  */
-const WATCH = { waitMs: 1000, responseGraceMs: 600, spacingMs: 0 };
+const WATCH_TIMINGS = { waitMs: 1000, responseGraceMs: 600, spacingMs: 0 };
 /**
  * A connected host receives a new configuration within about two seconds. With an older view, access is `unsure`, so
  * that the caller may retry at another host, instead of denied, which is final.
@@ -56,7 +56,7 @@
     this._mirror = new StoreMirror(
       context,
       store,
-      { prefix: keys.operatorPrefix, ...WATCH },
+      { prefix: keys.operatorPrefix, ...WATCH_TIMINGS },
       { changed: item => this._recordChanged(item), removed: () => undefined },
     );
   }
--- a/packages/gateway/src/countedStore.ts
+++ b/packages/gateway/src/countedStore.ts
@@ -31,12 +31,12 @@
 
 export class CountedStore implements RevisionedStore {
   private readonly _store: RevisionedStore;
-  private readonly _caller: StoreComponent;
+  private readonly _component: StoreComponent;
   private readonly _calls: GatewayMetrics['componentStoreCalls'];
 
   constructor(store: RevisionedStore, caller: StoreComponent, metrics: GatewayMetrics) {
     this._store = store;
-    this._caller = caller;
+    this._component = caller;
     this._calls = metrics.componentStoreCalls;
   }
 
@@ -99,6 +99,6 @@
   }
 
   private _count(call: string): void {
-    this._calls.inc({ caller: this._caller, call });
+    this._calls.inc({ caller: this._component, call });
   }
 }
--- a/packages/gateway/src/eventLoopMonitor.ts
+++ b/packages/gateway/src/eventLoopMonitor.ts
@@ -35,7 +35,7 @@
     this._onTimeSinceMs = nowMs;
     this._windowStartMs = nowMs;
     this._dueMs = nowMs;
-    this._scheduleTick(nowMs);
+    this._scheduleSample(nowMs);
   }
 
   /** The maximum lag of the last seconds. */
@@ -79,14 +79,14 @@
     return Math.max(0, this._clock.nowMs() - this._dueMs);
   }
 
-  private _scheduleTick(nowMs: number): void {
+  private _scheduleSample(nowMs: number): void {
     this._dueMs = nowMs + SAMPLE_INTERVAL_MS;
     this._clock.after(SAMPLE_INTERVAL_MS, () => {
-      if (!this._stopped.aborted) this._tick();
+      if (!this._stopped.aborted) this._sample();
     });
   }
 
-  private _tick(): void {
+  private _sample(): void {
     const nowMs = this._clock.nowMs();
     const lagMs = this._overdueMs();
     if (lagMs > LAG_THRESHOLD_MS) this._onTimeSinceMs = Infinity;
@@ -97,6 +97,6 @@
       this._windowStartMs = nowMs;
     }
     this._maxLagMs = Math.max(this._maxLagMs, lagMs);
-    this._scheduleTick(nowMs);
+    this._scheduleSample(nowMs);
   }
 }
--- a/packages/gateway/src/forwardRun.ts
+++ b/packages/gateway/src/forwardedRequest.ts
@@ -21,7 +21,7 @@
 const MIN_HEDGE_MS = 30;
 
 /** A forwarded request and its attempts, of which at most two run at a time. */
-export class ForwardRun {
+export class ForwardedRequest {
   private readonly _context: GatewayContext;
   private readonly _forwarder: Forwarder;
   private readonly _poison: PoisonGuard;
@@ -75,7 +75,7 @@
     this._startAttempt();
     for (;;) {
       const end = this._attemptEnds.shift();
-      const outcome = end ? this._handleAttemptEnd(end) : this._outcomeWhileIdle();
+      const outcome = end ? this._handleAttemptEnd(end) : this._terminalOutcome();
       if (outcome) return outcome;
       if (!end) await this._waitForWake();
     }
@@ -144,7 +144,7 @@
   }
 
   /** The outcome when no attempt runs, the deadline has passed, or the caller has disconnected. */
-  private _outcomeWhileIdle(): ForwardOutcome | undefined {
+  private _terminalOutcome(): ForwardOutcome | undefined {
     if (this._disconnected.aborted) return { kind: 'caller-left' };
     if (this._runningCount === 0 && this._isDenied) return { kind: 'denied' };
     if (this._runningCount === 0)
--- a/packages/gateway/src/forwarder.ts
+++ b/packages/gateway/src/forwarder.ts
@@ -27,7 +27,7 @@
 } from './callerRequest.js';
 import type { Endpoint } from './endpoint.js';
 import type { EndpointDirectory } from './endpointDirectory.js';
-import { ForwardRun } from './forwardRun.js';
+import { ForwardedRequest } from './forwardedRequest.js';
 import type { GatewayContext } from './gatewayContext.js';
 import type { PoisonGuard } from './poisonGuard.js';
 import type { EndpointAnswer, EndpointClient, EndpointReply, NotRunReason } from './ports.js';
@@ -91,7 +91,7 @@
     const traced = { ...request, trace: span.traceparent };
     const outcome = await this._withFairAdmission(traced, route, () =>
       this._withPoisonCheck(traced, route, async admitted =>
-        new ForwardRun(this._context, this, this._poison, traced, admitted, disconnected).run(),
+        new ForwardedRequest(this._context, this, this._poison, traced, admitted, disconnected).run(),
       ),
     );
     span.end({ requestId: request.id, outcome: outcome.kind });
--- a/packages/gateway/src/gateway.ts
+++ b/packages/gateway/src/gateway.ts
@@ -60,9 +60,9 @@
   private readonly _store: RelayedStore;
   private readonly _watch: SharedWatch;
   private readonly _poison: PoisonGuard;
-  private readonly _reach: ReachabilityMonitor;
+  private readonly _reachability: ReachabilityMonitor;
   private readonly _sweeper: BatchSweeper;
-  private readonly _orphans: OrphanRecovery;
+  private readonly _orphanRecovery: OrphanRecovery;
   private readonly _usage: UsageService | undefined;
   private readonly _capacity: CapacityOrders | undefined;
   private _inFlight = 0;
@@ -71,14 +71,14 @@
   constructor(context: GatewayContext, options: GatewayOptions) {
     const { client, keys, decoder } = options;
     const store = new RelayedStore(context, options.store);
-    const storeOf = (caller: StoreComponent): CountedStore =>
-      new CountedStore(store, caller, context.metrics);
+    const storeOf = (component: StoreComponent): CountedStore =>
+      new CountedStore(store, component, context.metrics);
     this._context = context;
     this._store = store;
     this._watch = new SharedWatch(context, storeOf('watch'), watchedPrefixes(keys, decoder));
     this.configuration = new ConfigurationService(context, this._watch, keys, decoder);
     this.hosts = new HostDirectory(context, storeOf('host-lease'), this._watch, options.hosts, () =>
-      this._orphans.hostRemoved(),
+      this._orphanRecovery.hostRemoved(),
     );
     this._watch.setHosts(this.hosts);
     this.endpoints = new EndpointDirectory(context, this._watch, keys, decoder, address =>
@@ -89,7 +89,7 @@
       addresses: () => peers.peers().map(peer => peer.address),
       relay: (address, request, timeoutMs) => peers.call(address, storeRelayCall, request, timeoutMs),
     });
-    this._reach = new ReachabilityMonitor(context, store, this.hosts);
+    this._reachability = new ReachabilityMonitor(context, store, this.hosts);
     this._poison = new PoisonGuard(context, storeOf('poison'), this.hosts, client);
     const { usage } = options;
     this._usage = usage && new UsageService(context, storeOf, this.hosts, usage);
@@ -105,7 +105,7 @@
     };
     this._sweeper = new BatchSweeper(context, storeOf('sweep'), ports.store, options.batchReadableMs);
     this.batches = new BatchService(context, ports, this.hosts);
-    this._orphans = new OrphanRecovery(context, ports.store, this.hosts, (batchId, from) =>
+    this._orphanRecovery = new OrphanRecovery(context, ports.store, this.hosts, (batchId, from) =>
       this.batches.adoptFrom(batchId, from),
     );
     const { configuration, endpoints, hosts } = this;
@@ -128,7 +128,7 @@
     this.configuration.start();
     this.endpoints.start();
     this.hosts.start();
-    this._reach.start();
+    this._reachability.start();
     this._sweeper.start();
     for (const orders of this.orders) orders.start();
     this._usage?.start();
@@ -137,7 +137,7 @@
 
   /** True if this host can reach neither the store nor another failure domain. */
   isIsolated(): boolean {
-    return this._reach.isCutOff();
+    return this._reachability.isCutOff();
   }
 
   /** True if this host can serve callers. */
--- a/packages/gateway/src/httpExchange.ts
+++ b/packages/gateway/src/httpExchange.ts
@@ -5,9 +5,9 @@
 import { toPairs, valueOf } from '@fuchsiahitch/clients';
 import type { HeaderPair } from './ports.js';
 
-const LAST_SUCCESS = 299;
-const FIRST_SUCCESS = 200;
-const NO_CONTENT = 204;
+const LAST_SUCCESS_STATUS = 299;
+const FIRST_SUCCESS_STATUS = 200;
+const NO_CONTENT_STATUS = 204;
 /** Colon, space, CR and LF of a header line. */
 const HEADER_EXTRA_BYTES = 4;
 
@@ -102,10 +102,10 @@
   }
 
   answerJson(text: string): void {
-    this.answer(FIRST_SUCCESS, [['Content-Type', 'application/json']], Buffer.from(text));
+    this.answer(FIRST_SUCCESS_STATUS, [['Content-Type', 'application/json']], Buffer.from(text));
   }
 }
 
 function hasBody(status: number): boolean {
-  return status > LAST_SUCCESS || (status >= FIRST_SUCCESS && status !== NO_CONTENT);
+  return status > LAST_SUCCESS_STATUS || (status >= FIRST_SUCCESS_STATUS && status !== NO_CONTENT_STATUS);
 }
--- a/packages/gateway/src/itemAttempt.ts
+++ b/packages/gateway/src/itemAttempt.ts
@@ -5,7 +5,7 @@
 import type { CancelTimer } from '@fuchsiahitch/base';
 import type { Endpoint } from './endpoint.js';
 import type { GatewayContext } from './gatewayContext.js';
-import type { EndpointClient, EndpointLoad, ItemEnd, ItemListener } from './ports.js';
+import type { EndpointClient, EndpointLoad, ItemEnd, ItemProgressListener } from './ports.js';
 
 /** `stalled`: no event arrived in time. `old-version`: the weights are too old or don't match the text so far. */
 export type AttemptEnd = ItemEnd | { readonly kind: 'stalled' } | { readonly kind: 'old-version' };
@@ -15,7 +15,7 @@
 /** Upper bound for a run, sent to the endpoint. */
 const MAX_RUN_MS = 30_000;
 
-export class ItemAttempt implements ItemListener {
+export class ItemAttempt implements ItemProgressListener {
   readonly endpoint: Endpoint;
   private readonly _context: GatewayContext;
   private readonly _client: EndpointClient;
--- a/packages/gateway/src/poisonGuard.ts
+++ b/packages/gateway/src/poisonGuard.ts
@@ -49,7 +49,7 @@
 
 export class PoisonGuard {
   private readonly _context: GatewayContext;
-  private readonly _client: Pick<EndpointClient, 'hasEnded'>;
+  private readonly _client: Pick<EndpointClient, 'hasTerminated'>;
   private readonly _records: PoisonRecords;
   private readonly _announcer: PoisonAnnouncer;
   private readonly _cases: PoisonCases;
@@ -63,7 +63,7 @@
     context: GatewayContext,
     store: RevisionedStore,
     hosts: PoisonGuardHosts,
-    client: Pick<EndpointClient, 'hasEnded'>,
+    client: Pick<EndpointClient, 'hasTerminated'>,
   ) {
     this._context = context;
     this._client = client;
@@ -118,7 +118,7 @@
 
   /** The request's connection broke. Resolves once it is known whether the endpoint has terminated. */
   async recordBroken(request: RequestIdentity, endpoint: Endpoint): Promise<void> {
-    if (!(await this._hasEnded(endpoint))) return;
+    if (!(await this._hasTerminated(endpoint))) return;
     const fingerprint = this._fingerprint(request);
     const ends = this._cases.ended(fingerprint, endpoint.startId());
     this._context.metrics.poison.inc({ event: 'end' });
@@ -220,11 +220,13 @@
   }
 
   /** Shares one check among all requests that break at the endpoint at about the same time. */
-  private async _hasEnded(endpoint: Endpoint): Promise<boolean> {
+  private async _hasTerminated(endpoint: Endpoint): Promise<boolean> {
     const startId = endpoint.startId();
     const known = this._endChecks.get(startId);
     if (known) return known;
-    const check = endpoint.replaced.aborted ? Promise.resolve(true) : this._client.hasEnded(endpoint.info());
+    const check = endpoint.replaced.aborted
+      ? Promise.resolve(true)
+      : this._client.hasTerminated(endpoint.info());
     this._endChecks.set(startId, check);
     this._context.clock.after(END_CHECK_CACHE_MS, () => this._endChecks.delete(startId));
     return check;
--- a/packages/gateway/src/ports.ts
+++ b/packages/gateway/src/ports.ts
@@ -101,7 +101,7 @@
   | { readonly kind: 'cancelled' };
 
 /** Receives the progress of an item attempt. */
-export interface ItemListener {
+export interface ItemProgressListener {
   /**
    * The answer's head was received. `version` is the generating weight version; undefined if the answer names none,
    * because the endpoint has nothing to add to the text. Returning false ends the attempt.
@@ -140,14 +140,14 @@
   /** The headers of a request that this host makes itself. */
   internalRequestHeaders(requestId: string, host: string): readonly HeaderPair[];
   send(call: EndpointCall, signal: AbortSignal): Promise<EndpointReply>;
-  runItem(call: ItemCall, listener: ItemListener, signal: AbortSignal): Promise<ItemEnd>;
+  runItem(call: ItemCall, listener: ItemProgressListener, signal: AbortSignal): Promise<ItemEnd>;
   report(endpoint: EndpointInfo, timeoutMs: number): Promise<WeightReport | undefined>;
   order(order: LoadOrder, timeoutMs: number): Promise<OrderAnswer>;
   /**
    * True if the endpoint instance has certainly terminated: its address refuses connections. Takes a round trip, or a
    * timeout of some ten milliseconds if the address is unresponsive.
    */
-  hasEnded(endpoint: EndpointInfo): Promise<boolean>;
+  hasTerminated(endpoint: EndpointInfo): Promise<boolean>;
   /** Discards the connections to an address whose endpoint has restarted. */
   dropConnections(address: string): void;
 }
--- a/tests/claimLease.spec.ts
+++ b/tests/claimLease.spec.ts
@@ -2,7 +2,7 @@
  * What an owner may send on the store's last confirmation, and who keeps a batch whose owner is late.
  */
 import tap from 'tap';
-import type { ItemCall, ItemEnd, ItemListener } from '@fuchsiahitch/gateway';
+import type { ItemCall, ItemEnd, ItemProgressListener } from '@fuchsiahitch/gateway';
 import { read, startHosts, submit } from './batchCalls.js';
 import type { GatewayWorld } from './gatewayHosts.js';
 import { answer, batch, scoredItem } from './gatewayWorld.js';
@@ -23,7 +23,7 @@
   const writtenMs: number[] = [];
   world.client.runItem = async (
     _call: ItemCall,
-    _listener: ItemListener,
+    _listener: ItemProgressListener,
     signal: AbortSignal,
   ): Promise<ItemEnd> => {
     begunMs.push(world.clock.nowMs());
--- a/tests/crashingEndpoints.ts
+++ b/tests/crashingEndpoints.ts
@@ -8,7 +8,7 @@
   EndpointReply,
   ItemCall,
   ItemEnd,
-  ItemListener,
+  ItemProgressListener,
 } from '@fuchsiahitch/gateway';
 import type { FakeStore } from './fakeStore.js';
 import { answer, endpointRecord, keys, type ScriptedClient } from './gatewayWorld.js';
@@ -156,7 +156,11 @@
     return how === 'done' ? { kind: 'answered', answer: answer(200, 'whole') } : { kind: 'cancelled' };
   }
 
-  private async _runItem(call: ItemCall, listener: ItemListener, signal: AbortSignal): Promise<ItemEnd> {
+  private async _runItem(
+    call: ItemCall,
+    listener: ItemProgressListener,
+    signal: AbortSignal,
+  ): Promise<ItemEnd> {
     const endpoint = this._liveInstance(call.endpoint);
     if (!endpoint) {
       await this._pause(CONNECTION_REFUSED_MS);
--- a/tests/eventLoopLag.spec.ts
+++ b/tests/eventLoopLag.spec.ts
@@ -3,7 +3,7 @@
  */
 import tap from 'tap';
 import { Deadline, SystemClock } from '@fuchsiahitch/base';
-import type { EndpointInfo, ItemCall, ItemEnd, ItemListener } from '@fuchsiahitch/gateway';
+import type { EndpointInfo, ItemCall, ItemEnd, ItemProgressListener } from '@fuchsiahitch/gateway';
 import { PlatformEndpoints, StoreClient } from '@fuchsiahitch/platform';
 import { GatewayWorld, type GatewayHost } from './gatewayHosts.js';
 import { batch, endpointRecord, item, keys } from './gatewayWorld.js';
@@ -13,7 +13,7 @@
 
 interface Run {
   readonly endpointId: string;
-  readonly listener: ItemListener;
+  readonly listener: ItemProgressListener;
   number: number;
 }
 
@@ -23,7 +23,7 @@
   begun = 0;
   private readonly _open = new Set<Run>();
 
-  async run(call: ItemCall, listener: ItemListener, signal: AbortSignal): Promise<ItemEnd> {
+  async run(call: ItemCall, listener: ItemProgressListener, signal: AbortSignal): Promise<ItemEnd> {
     this.begun += 1;
     const run = { endpointId: call.endpoint.id, listener, number: call.afterEvent };
     listener.began(1, undefined);
--- a/tests/gatewayWorld.ts
+++ b/tests/gatewayWorld.ts
@@ -20,7 +20,7 @@
   type HeaderPair,
   type ItemCall,
   type ItemEnd,
-  type ItemListener,
+  type ItemProgressListener,
   type LoadOrder,
   type OrderAnswer,
   type PoisonGuardHosts,
@@ -265,7 +265,7 @@
     return this.reply(call, signal);
   }
 
-  async runItem(call: ItemCall, listener: ItemListener, signal: AbortSignal): Promise<ItemEnd> {
+  async runItem(call: ItemCall, listener: ItemProgressListener, signal: AbortSignal): Promise<ItemEnd> {
     this.items.push(call);
     const { events, end, version = 1, eventMs = 1 } = this.script(call);
     if (end.kind === 'not-run') return end;
@@ -288,7 +288,7 @@
     return { kind: 'cancelled' };
   }
 
-  async hasEnded(endpoint: EndpointInfo): Promise<boolean> {
+  async hasTerminated(endpoint: EndpointInfo): Promise<boolean> {
     return Promise.resolve(this.ended(endpoint));
   }
 
--- a/tests/platformWire.spec.ts
+++ b/tests/platformWire.spec.ts
@@ -214,12 +214,12 @@
   withServer(async (server, endpoint, client) => {
     server.answer = (_request, socket) => void socket.resetAndDestroy();
     t.match(await client.send(call(endpoint), NOT_ABORTED), { kind: 'broken' });
-    t.notOk(await client.hasEnded(endpoint), 'it listens');
+    t.notOk(await client.hasTerminated(endpoint), 'it listens');
     server.answer = () => void server.close();
     t.match(await client.send(call(endpoint), NOT_ABORTED), { kind: 'broken' });
-    t.ok(await client.hasEnded(endpoint), 'nobody listens any more');
+    t.ok(await client.hasTerminated(endpoint), 'nobody listens any more');
     // A record may hold any five digits.
-    t.notOk(await client.hasEnded({ ...endpoint, address: '127.0.0.1:99999' }), 'not known');
+    t.notOk(await client.hasTerminated({ ...endpoint, address: '127.0.0.1:99999' }), 'not known');
   }),
 );
 
