--- a/packages/gateway/src/poisonRecords.ts
+++ b/packages/gateway/src/poisonRecords.ts
@@ -35,7 +35,7 @@
 /** Beyond this many, the oldest pending write is dropped. */
 const MAX_PENDING_WRITES = 1000;
 
-/** A write to retry: adds a mark, or removes the key if `added` is undefined. */
+/** Adds a mark, or removes its key if `added` is undefined. */
 interface PendingWrite {
   readonly added: MarkedRequest | undefined;
 }
