--- a/packages/gateway/src/countedStore.ts
+++ b/packages/gateway/src/countedStore.ts
@@ -1,7 +1,6 @@
 /**
- * The store as one part of the gateway calls it, counted under that part's name.
- *
- * Without it an operator sees that a fleet asks its store too much and not who asks: watches, leases and batches make the same calls.
+ * A store client that counts its calls under the name of the gateway component that makes them, so that store load can
+ * be attributed to components.
  */
 import type { Deadline, Result } from '@fuchsiahitch/base';
 import type {
@@ -18,7 +17,7 @@
 } from '@fuchsiahitch/clients';
 import type { GatewayMetrics } from './gatewayMetrics.js';
 
-/** The parts of the gateway that call the store. */
+/** A gateway component that calls the store; the value of the metric label `caller`. */
 export type StoreComponent =
   | 'watch'
   | 'host-lease'
@@ -32,12 +31,12 @@
 
 export class CountedStore implements RevisionedStore {
   private readonly _store: RevisionedStore;
-  private readonly _caller: StoreComponent;
+  private readonly _component: StoreComponent;
   private readonly _calls: GatewayMetrics['componentStoreCalls'];
 
   constructor(store: RevisionedStore, caller: StoreComponent, metrics: GatewayMetrics) {
     this._store = store;
-    this._caller = caller;
+    this._component = caller;
     this._calls = metrics.componentStoreCalls;
   }
 
@@ -100,6 +99,6 @@
   }
 
   private _count(call: string): void {
-    this._calls.inc({ caller: this._caller, call });
+    this._calls.inc({ caller: this._component, call });
   }
 }
