--- a/packages/accounts/src/access.ts
+++ b/packages/accounts/src/access.ts
@@ -1,21 +1,20 @@
 /**
- * Whether a request may run, and for which account.
+ * Decides whether a request may run, and for which account.
  */
 import type { AccountIndex } from './accountIndex.js';
 
-/** What a caller brings to prove who it is. `unreadable`: of another scheme, empty, or more than one. */
+/** Credential of a caller. `unreadable`: another scheme, empty, or more than one. */
 export type Credential =
   | { readonly kind: 'none' }
   | { readonly kind: 'key'; readonly key: string }
   | { readonly kind: 'unreadable' };
 
-/** Why a request may not run. */
 export type DeniedReason = 'no-key' | 'unreadable-key' | 'unknown-key' | 'removed-key';
 
 /**
- * - `granted`: the account is known by its key.
- * - `public`: anybody may send it; it is nobody's.
- * - `unmanaged`: the configuration knows no accounts, and what the caller brings is the endpoint's to judge.
+ * - `granted`: the key belongs to the account.
+ * - `public`: the route requires no key; the request has no account.
+ * - `unmanaged`: the configuration has no accounts; credentials are left to the endpoint.
  */
 export type Access =
   | { readonly kind: 'granted'; readonly accountName: string }
@@ -23,7 +22,7 @@
   | { readonly kind: 'unmanaged' }
   | { readonly kind: 'denied'; readonly reason: DeniedReason; readonly accountName?: string };
 
-/** `accounts`: undefined where the configuration knows none. `isPublic`: the route asks for no key. */
+/** `accounts`: undefined if the configuration has none. `isPublic`: the route requires no key. */
 export function decideAccess(
   accounts: AccountIndex | undefined,
   credential: Credential,
--- a/packages/accounts/src/accountIndex.ts
+++ b/packages/accounts/src/accountIndex.ts
@@ -1,22 +1,22 @@
 /**
- * Accounts by their keys, built once for each version of the configuration.
+ * Index of accounts by key, built once per version of the configuration.
  */
 import { err, ok, type Result } from '@fuchsiahitch/base';
 import type { Account, AccountsError } from './model.js';
 
-/** What a key proves. `removed`: an earlier version had it. */
+/** Result of a lookup. `removed`: an earlier version had the key. */
 export type KeyLookup =
   | { readonly kind: 'known'; readonly account: Account }
   | { readonly kind: 'removed'; readonly accountName: string }
   | { readonly kind: 'unknown' };
 
 /**
- * Accounts by key. A map finds a key by a hash of the whole of it, which the process seeds by chance, so that the time of an
- * answer tells nothing of how much of a guess is right.
+ * Accounts by key. A map looks up the randomly seeded hash of the complete key, so that response times reveal nothing about
+ * the correct prefix of a guess.
  */
 type KeyTable = Map<string, Account>;
 
-/** Keys that earlier versions had are remembered, only to tell in the log why one is refused. */
+/** Bounds the keys of earlier versions that are retained to log why a key is refused. */
 const MAX_REMOVED = 1000;
 export class AccountIndex {
   private readonly _accounts: KeyTable = new Map();
@@ -24,10 +24,10 @@
   private readonly _removed: KeyTable = new Map();
 
   private constructor() {
-    // `build` fills it, since a list may contradict itself.
+    // Filled by `build`, which can fail.
   }
 
-  /** `before`: the index of the version before, whose keys count as removed where this one lacks them. */
+  /** `before`: index of the previous version; its keys that are missing here count as removed. */
   static build(accounts: readonly Account[], before?: AccountIndex): Result<AccountIndex, AccountsError> {
     const index = new AccountIndex();
     for (const account of accounts) {
--- a/packages/accounts/src/accountsFile.ts
+++ b/packages/accounts/src/accountsFile.ts
@@ -1,5 +1,5 @@
 /**
- * Accounts as operators write them for a daemon: a YAML list under `accounts`.
+ * Reads a daemon's accounts file: a YAML list under `accounts`.
  */
 import { err, ok, type Result } from '@fuchsiahitch/base';
 import { parse } from 'yaml';
@@ -13,13 +13,13 @@
 });
 const fileSchema = z.strictObject({ accounts: z.array(accountSchema) });
 
-/** The accounts of a file, or every problem that it has. No problem quotes a key. */
+/** Returns the accounts of a file, or all its problems. Problems never contain a key. */
 export function readAccountsFile(text: string): Result<readonly Account[], readonly string[]> {
   let content: unknown;
   try {
     content = parse(text);
   } catch {
-    // What the parser says may quote the line with a key.
+    // The parser's message may quote a line that contains a key.
     return err(['not a YAML file']);
   }
   const parsed = fileSchema.safeParse(content);
--- a/packages/accounts/src/index.ts
+++ b/packages/accounts/src/index.ts
@@ -1,4 +1,4 @@
-/** Client accounts, their keys, and who may send a request. */
+/** Client accounts, their keys, and access decisions. */
 export * from './access.js';
 export * from './accountIndex.js';
 export * from './accountsFile.js';
--- a/packages/capacity/src/capacityPolicy.ts
+++ b/packages/capacity/src/capacityPolicy.ts
@@ -1,15 +1,15 @@
 /**
- * Which capacity a pool should have.
+ * Policies for the wanted capacity of a pool.
  */
 import type { PoolView, WantedCapacity } from './model.js';
 
 export interface CapacityPolicy {
   readonly name: string;
-  /** The same view gives the same answer: whoever has the duty next wants the same. */
+  /** Deterministic, so that successive holders of the duty agree. */
   wanted(pool: PoolView): WantedCapacity;
 }
 
-/** Orders nothing: what there is stays. */
+/** Orders nothing. */
 export class KeepCapacity implements CapacityPolicy {
   readonly name = 'keep';
 
@@ -18,15 +18,13 @@
   }
 }
 
-/** A domain that costs next to nothing does not get everything. */
+/** Limits the weight of domains with a price close to zero. */
 const MIN_PRICE = 0.01;
 
 /**
- * As many endpoints for each model as the operators say, more of them where they are cheaper.
+ * Wants a fixed number of endpoints per model, distributed over the failure domains in inverse proportion to their prices.
  *
- * Guards against trainers that wait for each other's places, and for endpoints that load weights: each trainer's versions go to a
- * share of the pool. No domain gets fewer than it would by even parts of what the cheapest gets, in the ratio of prices, so that
- * each keeps some when others are cut off.
+ * With enough endpoints each model gets its own share of the pool, so that trainers don't wait for each other's slots or loads.
  */
 export class CapacityByModel implements CapacityPolicy {
   readonly name = 'by-model';
--- a/packages/capacity/src/model.ts
+++ b/packages/capacity/src/model.ts
@@ -2,25 +2,25 @@
  * Pools whose endpoints can be ordered.
  */
 
-/** What the operators allow for a pool, and what its endpoints cost. */
+/** Scaling limits of a pool, set by the operators, and the prices of its endpoints. */
 export interface PoolScaling {
-  /** Bounds for each failure domain. */
+  /** Bounds per failure domain. */
   readonly min: number;
   readonly max: number;
-  /** From an order until the endpoint serves. */
+  /** Time from an order until the endpoint serves. */
   readonly bootMs: number;
-  /** What a second of an endpoint costs, by failure domain. */
+  /** Price of an endpoint per second, by failure domain. */
   readonly prices: ReadonlyMap<string, number>;
 }
 
-/** A pool as the host sees it that orders its endpoints. */
+/** Input of a capacity policy. */
 export interface PoolView {
   readonly scaling: PoolScaling;
-  /** Models that share the pool. */
+  /** Number of models that share the pool. */
   readonly models: number;
-  /** Endpoints that serve, by failure domain. */
+  /** Number of serving endpoints by failure domain. */
   readonly present: ReadonlyMap<string, number>;
 }
 
-/** Endpoints that should be there, by failure domain; a domain that is not named keeps what it has. */
+/** Wanted number of endpoints by failure domain; a domain that is not listed remains unchanged. */
 export type WantedCapacity = ReadonlyMap<string, number>;
--- a/packages/capacity/src/orderTracker.ts
+++ b/packages/capacity/src/orderTracker.ts
@@ -1,33 +1,32 @@
 /**
- * Whether an order is given now.
+ * Decides when a capacity order is due, and prevents order loops.
  *
- * Guards against a loop: an order that was refused, is carried out late, or whose endpoints go away by themselves, followed by
- * another one at every look. One order for a subject says how many endpoints are to be there, so that repeating it changes
- * nothing; it is repeated only where it may not have arrived, or where endpoints are missing well after they should have come.
+ * An order states the total number of endpoints of a subject. It is repeated, with a backoff, only if it may not have been
+ * executed, or if endpoints are missing well after their boot time.
  */
 import type { Clock } from '@fuchsiahitch/base';
 
 export interface OrderTrackerOptions {
-  /** Orders of all subjects within a minute. */
+  /** Limit for all subjects together. */
   readonly maxPerMinute: number;
-  /** After a refusal a subject rests so long, twice as long after the next one, and so on. */
+  /** Pause of a subject after the first failed order; doubles with each further failure. */
   readonly initialBackoffMs: number;
   readonly maxBackoffMs: number;
 }
 
-/** How an order ended. `none-left`: the platform has no more endpoints there now. `unsure`: it may have arrived, or may yet. */
+/** Outcome of an order. `none-left`: the platform has no more endpoints there. `unsure`: it may have arrived, or may still. */
 export type CapacityOrderEnd = 'accepted' | 'none-left' | 'busy' | 'unsure';
 
 interface SubjectOrders {
   readonly count: number;
   readonly end: CapacityOrderEnd;
   readonly atMs: number;
-  /** Orders in a row that were not accepted. */
+  /** Consecutive orders that were not accepted. */
   readonly failures: number;
 }
 
 const MINUTE_MS = 60_000;
-/** Endpoints that have not come after this many times their time to boot are ordered again. */
+/** Endpoints that are missing after this multiple of their boot time are ordered again. */
 const OVERDUE_FACTOR = 3;
 
 export class OrderTracker {
@@ -41,7 +40,7 @@
     this._options = options;
   }
 
-  /** True if the subject should be ordered to have `wanted` endpoints, of which `present` serve. */
+  /** Returns true if an order for `wanted` endpoints should be sent, of which `present` serve. */
   isDue(subject: string, wanted: number, present: number, bootMs: number): boolean {
     const nowMs = this._clock.nowMs();
     this._orderedMs = this._orderedMs.filter(atMs => nowMs - atMs < MINUTE_MS);
--- a/packages/duties/src/dutyHandover.ts
+++ b/packages/duties/src/dutyHandover.ts
@@ -1,19 +1,18 @@
 /**
- * What the holder of a duty leaves to the next one.
+ * Hand-over record of a duty.
  *
- * Whoever doesn't check fencing tokens must not be called by two hosts within a bound of each other about the same subject, such
- * as an endpoint that is ordered. A successor that knows nothing of the last calls waits out that bound for every subject: new
- * weights stop for seconds at each planned restart. A holder that gives its right up therefore writes down how long ago it
- * acted on each subject, and its successor waits for those alone.
+ * Targets that don't check fencing tokens must not be called by two hosts about the same subject within a bound. A holder
+ * that releases its duty stores the time since its last action on each subject, so that its successor waits for those
+ * subjects only.
  */
 import * as z from 'zod';
 
 const handoverSchema = z
   .strictObject({
     hostId: z.string(),
-    /** True if the host gave its right up and acts no more; false while it holds the right, or if it was lost. */
+    /** True if the host released the duty and no longer acts; false while it holds the duty, or if it lost the lease. */
     isReleased: z.boolean(),
-    /** Milliseconds from the last act on each subject to the writing of this; subjects acted on long ago are left out. */
+    /** Milliseconds from the last action on each subject until the record was written; older actions are omitted. */
     quietMs: z.record(z.string(), z.number().min(0)).readonly(),
   })
   .readonly();
@@ -23,7 +22,7 @@
   return JSON.stringify(handover);
 }
 
-/** Undefined for a record of another version, or a damaged one: the successor then knows nothing. */
+/** Returns undefined for a damaged record, or one of another version. */
 export function decodeHandover(text: string): DutyHandover | undefined {
   try {
     const parsed = handoverSchema.safeParse(JSON.parse(text));
@@ -33,12 +32,12 @@
   }
 }
 
-/** When this host acted on each subject last. */
+/** Times of this host's last action on each subject. */
 export class ActionTimes {
   private readonly _boundMs: number;
   private readonly _lastActionMs = new Map<string, number>();
 
-  /** `boundMs`: acts of two holders on one subject must be further apart than this. */
+  /** `boundMs`: minimum time between actions of two holders on one subject. */
   constructor(boundMs: number) {
     this._boundMs = boundMs;
   }
@@ -47,16 +46,16 @@
     this._lastActionMs.set(subject, nowMs);
   }
 
-  /** Milliseconds since the last act on each subject that was acted on within the bound. */
+  /** Milliseconds since the last action on each subject, for actions within the bound. */
   quietMs(nowMs: number): Readonly<Record<string, number>> {
-    const recent = [...this._lastActionMs].filter(([, actedMs]) => nowMs - actedMs < this._boundMs);
-    return Object.fromEntries(recent.map(([id, actedMs]) => [id, Math.max(0, nowMs - actedMs)]));
+    const recent = [...this._lastActionMs].filter(([, lastMs]) => nowMs - lastMs < this._boundMs);
+    return Object.fromEntries(recent.map(([id, lastMs]) => [id, Math.max(0, nowMs - lastMs)]));
   }
 }
 
 /**
- * How long a new holder leaves a subject alone, from the moment at which it took the right. The record may be as
- * young as that moment, so that no time is taken off for its age.
+ * How long a new holder must not act on a subject after it acquired the duty. The age of the record is not deducted, since it
+ * may have been written immediately before.
  */
 export function waitForSubjectMs(
   handover: DutyHandover | undefined,
--- a/packages/duties/src/index.ts
+++ b/packages/duties/src/index.ts
@@ -1,4 +1,4 @@
-/** What one host does at a time, for all. */
+/** Safety checks for duties that one host of the fleet performs at a time. */
 export * from './dutyHandover.js';
 export * from './leaseGuard.js';
 export * from './pauseDetector.js';
--- a/packages/duties/src/leaseGuard.ts
+++ b/packages/duties/src/leaseGuard.ts
@@ -1,20 +1,17 @@
 /**
- * Whether this host may still act under its lease.
+ * Decides whether this host may still act under its lease, so that a paused or isolated holder does not act after a successor.
  *
- * What goes wrong without it: the holder is paused past its lease, wakes, still believes that it holds it, and
- * orders an endpoint that does not check tokens back to an old version. One sees the endpoint change version
- * against the newest order. The lease counts on the monotonic clock from when its renewal was sent, not from
- * when the answer came, and orders stop a margin earlier, which covers an order's time on the way.
+ * The validity is measured on the monotonic clock from when the renewal was sent. Actions stop a margin earlier, which covers
+ * their transit time.
  */
 import type { Clock } from '@fuchsiahitch/base';
 
 export interface LeaseTimes {
   readonly leaseMs: number;
-  /** Acts stop this long before the lease ends. */
+  /** Actions stop this long before the lease ends. */
   readonly marginMs: number;
 }
 
-/** The lease of one duty. */
 export class LeaseGuard {
   private readonly _clock: Clock;
   private readonly _times: LeaseTimes;
@@ -26,7 +23,7 @@
     this._times = times;
   }
 
-  /** The store granted or renewed the lease; `sentMs` is when it was asked. */
+  /** Called when the store granted or renewed the lease; `sentMs`: when the request was sent. */
   renewed(token: number, sentMs: number): void {
     if (token < this._token) return;
     this._token = token;
@@ -37,7 +34,7 @@
     this._untilMs = -Infinity;
   }
 
-  /** The token to put on a call now, or undefined when none may be made. */
+  /** Fencing token for a call now; undefined if no call may be made. */
   token(): number | undefined {
     const isSafe = this._clock.nowMs() < this._untilMs - this._times.marginMs;
     return isSafe ? this._token : undefined;
--- a/packages/duties/src/pauseDetector.ts
+++ b/packages/duties/src/pauseDetector.ts
@@ -1,9 +1,9 @@
 /**
- * Notices that the process stood still: the monotonic clock does not count such a time, the wall clock does.
+ * Detects pauses of the process, such as a suspension: the wall clock advances during them, the monotonic clock does not.
  */
 import type { Clock } from '@fuchsiahitch/base';
 
-/** A difference between the clocks' advances from which on the process counts as paused. */
+/** Minimum difference between the advances of the clocks that counts as a pause. */
 const PAUSE_MS = 250;
 
 export class PauseDetector {
@@ -17,13 +17,13 @@
     this._lastWallMs = clock.wallMs();
   }
 
-  /** Only pauses from now on count. */
+  /** Ignores earlier pauses. */
   reset(): void {
     this._lastMs = this._clock.nowMs();
     this._lastWallMs = this._clock.wallMs();
   }
 
-  /** True if a pause lies between this call and the one before. A wall clock that is set does no harm. */
+  /** Returns true if the process was paused since the previous call. Setting the wall clock also counts as a pause. */
   wasPaused(): boolean {
     const passedMs = this._clock.nowMs() - this._lastMs;
     const wallPassedMs = this._clock.wallMs() - this._lastWallMs;
--- a/packages/gateway/src/hostChangeLog.ts
+++ b/packages/gateway/src/hostChangeLog.ts
@@ -31,7 +31,7 @@
   }
 
   private _write(): void {
-    this._context.log.info('hosts changed', { new: this._added.join(' '), gone: this._removed.join(' ') });
+    this._context.log.info('hosts', { new: this._added.join(' '), gone: this._removed.join(' ') });
     this._added = [];
     this._removed = [];
   }
--- a/packages/gateway/src/reachabilityMonitor.ts
+++ b/packages/gateway/src/reachabilityMonitor.ts
@@ -49,7 +49,7 @@
     this._failedRounds = isReached ? 0 : this._failedRounds + 1;
     if (this.isCutOff() === wasCutOff) return;
     const change = this.isCutOff() ? 'cut off' : 'connected';
-    this._context.log.warn('reachability', {
+    this._context.log.warn('reach', {
       change,
       sinceStoreMs: Math.round(this._store.sinceReachedMs()),
     });
--- a/packages/gateway/src/usageSender.ts
+++ b/packages/gateway/src/usageSender.ts
@@ -151,8 +151,8 @@
   private async _sendUsage(): Promise<boolean> {
     if (!this._meter.hasClockOffset() && !(await this._exchange([], () => undefined))) return false;
     this._updateReporter();
-    const { windows, told: acknowledge } = this._meter.nextUpdate(this._context.clock.nowMs());
-    return windows.length === 0 || this._exchange(windows, acknowledge);
+    const { windows, told } = this._meter.nextUpdate(this._context.clock.nowMs());
+    return windows.length === 0 || this._exchange(windows, told);
   }
 
   private async _exchange(windows: UsageUpdate['windows'], acknowledge: () => void): Promise<boolean> {
--- a/packages/metering/src/clockVote.ts
+++ b/packages/metering/src/clockVote.ts
@@ -1,15 +1,15 @@
 /**
- * True time by the wall clocks of most hosts, where some of them are wrong or jump.
+ * Estimates true time as the median of the hosts' wall clocks, some of which may be wrong or jump.
  *
- * Each clock is compared with this process's monotonic one, which never jumps, so that a wrong clock of this host has one vote
- * like any other. The error is half of what the clocks of the middle differ by, and a message's time on the way.
+ * Each clock is compared with the monotonic clock of this process. The error is bounded by half the difference of the median
+ * clocks plus the transit time of a message.
  */
 
-/** A clock counts for so long after its host was heard: tellers come every few seconds. */
+/** Covers several messages of a host. */
 const VALID_MS = 15_000;
 
 interface Vote {
-  /** Wall time of a host less this process's monotonic time. */
+  /** Wall time of a host minus the monotonic time of this process. */
   readonly offsetMs: number;
   readonly observedMs: number;
 }
@@ -17,17 +17,17 @@
 export class ClockVote {
   private readonly _votes = new Map<string, Vote>();
 
-  /** A host's wall clock showed `wallMs` at this process's monotonic time `nowMs`. */
+  /** Records that a host's wall clock showed `wallMs` at the monotonic time `nowMs` of this process. */
   observe(hostId: string, wallMs: number, nowMs: number): void {
     this._votes.set(hostId, { offsetMs: wallMs - nowMs, observedMs: nowMs });
   }
 
-  /** This process stood still: what was heard before says nothing any more. */
+  /** Discards all votes, which are invalid after a pause of the process. */
   reset(): void {
     this._votes.clear();
   }
 
-  /** True wall time less this process's monotonic time: the median of the votes. Undefined without any. */
+  /** Median of the votes: true time minus the monotonic time of this process. Undefined without votes. */
   offsetMs(nowMs: number): number | undefined {
     for (const [hostId, vote] of this._votes)
       if (nowMs - vote.observedMs > VALID_MS) this._votes.delete(hostId);
--- a/packages/metering/src/index.ts
+++ b/packages/metering/src/index.ts
@@ -1,4 +1,4 @@
-/** Requests that endpoints began, by client account and window of true time. */
+/** Metering of the requests that endpoints began, by client account and time window. */
 export * from './clockVote.js';
 export * from './usageLedger.js';
 export * from './usageMessages.js';
--- a/packages/metering/src/usageLedger.ts
+++ b/packages/metering/src/usageLedger.ts
@@ -1,10 +1,10 @@
 /**
- * What all hosts have told of their counts, at the host that reports usage.
+ * Usage received from all hosts, at the host that reports it.
  */
 import type { HostWindow, ProcessUsage } from './usageMessages.js';
 import { totalOf, type UsageCounts } from './usageWindow.js';
 
-/** A host that told something in one of so many windows before is waited for. */
+/** A process that counted requests within this many preceding windows is waited for. */
 const ACTIVE_WINDOWS = 2;
 
 /** One process of a host. */
@@ -16,14 +16,14 @@
 interface SourceWindows {
   readonly source: UsageSource;
   readonly windows: Map<number, HostWindow>;
-  /** Windows in which it counted something, also some that are decided. */
+  /** Windows with counts, including recently decided ones. */
   readonly busy: Set<number>;
 }
 
 export class UsageLedger {
   private readonly _sources = new Map<string, SourceWindows>();
 
-  /** Takes in what a host tells; what it told of a window before is replaced by what has grown since. */
+  /** Records the usage of a process. Counts of a window replace earlier, lower counts of the same window. */
   told({ hostId, incarnation, windows }: ProcessUsage): void {
     const key = `${hostId}\n${incarnation}`;
     const entry: SourceWindows = this._sources.get(key) ?? {
@@ -32,14 +32,14 @@
       busy: new Set(),
     };
     this._sources.set(key, entry);
-    for (const told of windows) {
-      if (isOlder(told, entry.windows.get(told.window))) continue;
-      entry.windows.set(told.window, told);
-      if (totalOf(told.counts) > 0) entry.busy.add(told.window);
+    for (const received of windows) {
+      if (isOlder(received, entry.windows.get(received.window))) continue;
+      entry.windows.set(received.window, received);
+      if (totalOf(received.counts) > 0) entry.busy.add(received.window);
     }
   }
 
-  /** The counts of all hosts together, their accounts in order. */
+  /** Sums of the counts of all processes, ordered by account. */
   countsOf(window: number): UsageCounts {
     const sums = new Map<string, number>();
     for (const { windows } of this._sources.values())
@@ -48,7 +48,7 @@
     return Object.fromEntries([...sums].sort(([a], [b]) => (a < b ? -1 : 1)));
   }
 
-  /** The processes that were busy just before, and have not said that they counted the window to its end. */
+  /** Recently busy processes that have not marked the window final. */
   missing(window: number): readonly UsageSource[] {
     return [...this._sources.values()]
       .filter(entry => wasRecentlyBusy(entry, window))
@@ -56,14 +56,14 @@
       .map(entry => entry.source);
   }
 
-  /** What is not decided yet, as hosts told it. */
+  /** Usage of windows that are not decided, by process. */
   undecided(): readonly ProcessUsage[] {
     return [...this._sources.values()]
       .filter(({ windows }) => windows.size > 0)
-      .map(({ source: teller, windows }) => ({ ...teller, windows: [...windows.values()] }));
+      .map(({ source, windows }) => ({ ...source, windows: [...windows.values()] }));
   }
 
-  /** Windows up to this one are decided, and what was told of them is needed no more. */
+  /** Drops the usage of decided windows, up to and including this one. */
   dropThrough(upTo: number): void {
     for (const [key, entry] of this._sources) {
       for (const window of entry.windows.keys()) if (window <= upTo) entry.windows.delete(window);
@@ -73,9 +73,9 @@
   }
 }
 
-/** True for a word that another has overtaken: counts only grow. */
-function isOlder(told: HostWindow, known: HostWindow | undefined): boolean {
-  return known !== undefined && totalOf(told.counts) < totalOf(known.counts);
+/** Detects reordered messages: counts only grow. */
+function isOlder(received: HostWindow, known: HostWindow | undefined): boolean {
+  return known !== undefined && totalOf(received.counts) < totalOf(known.counts);
 }
 
 function wasRecentlyBusy({ busy }: SourceWindows, window: number): boolean {
--- a/packages/metering/src/usageMessages.ts
+++ b/packages/metering/src/usageMessages.ts
@@ -1,5 +1,5 @@
 /**
- * What hosts tell the one that reports usage.
+ * Messages between hosts and the usage reporter, and stored usage records.
  */
 import * as z from 'zod';
 
@@ -7,12 +7,12 @@
 
 const countsSchema = z.record(z.string(), count).readonly();
 
-/** What one process has counted in one window: all of it so far, so that a repeated message changes nothing. */
+/** Cumulative counts of one process in one window, so that a repeated message has no effect. */
 export const hostWindowSchema = z
   .strictObject({
     window: z.number().int(),
     counts: countsSchema,
-    /** True if nothing can be added: the window is over, and no request of it is still on its way. */
+    /** True if the counts cannot grow: the window is over, and none of its requests is in flight. */
     isFinal: z.boolean(),
   })
   .readonly();
@@ -24,14 +24,14 @@
   windows: z.array(hostWindowSchema).max(64).readonly(),
 } as const;
 
-/** What one process of a host has counted. */
+/** Usage counted by one process of a host. */
 export const processUsageSchema = z.strictObject(processUsageFields).readonly();
 export type ProcessUsage = z.infer<typeof processUsageSchema>;
 
 export const usageUpdateSchema = z
   .strictObject({
     ...processUsageFields,
-    /** The teller's wall clock as it sends: hosts agree on true time by the clocks of most of them. */
+    /** Wall clock of the sender, for the estimate of true time. */
     wallMs: z.number(),
   })
   .readonly();
@@ -40,16 +40,16 @@
 export const usageUpdateReplySchema = z.discriminatedUnion('kind', [
   z.strictObject({
     kind: z.literal('taken'),
-    /** True time by the clocks of most hosts. */
+    /** Estimate of true time. */
     trueMs: z.number(),
-    /** Windows up to this one are decided: what is told of them later is lost. */
+    /** Last decided window; usage of decided windows that arrives later is lost. */
     decidedUpTo: z.number().int(),
   }),
   z.strictObject({ kind: z.literal('not-reporter') }),
 ]);
 export type UsageUpdateReply = z.infer<typeof usageUpdateReplySchema>;
 
-/** What is reported of a window, decided once. */
+/** Content of the report of one window, decided once. */
 export const usageReportSchema = z
   .strictObject({ window: z.number().int(), counts: countsSchema })
   .readonly();
@@ -57,7 +57,7 @@
 
 const processUsageListSchema = z.array(processUsageSchema).readonly();
 
-/** Nothing for a damaged record, or one of another version. */
+/** Returns an empty list for a damaged record, or one of another version. */
 export function decodeProcessUsages(text: string): readonly ProcessUsage[] {
   try {
     const parsed = processUsageListSchema.safeParse(JSON.parse(text));
@@ -67,7 +67,7 @@
   }
 }
 
-/** Undefined for a damaged record, or one of another version. */
+/** Returns undefined for a damaged record, or one of another version. */
 export function decodeUsageReport(text: string): UsageReport | undefined {
   try {
     const parsed = usageReportSchema.safeParse(JSON.parse(text));
--- a/packages/metering/src/usageMeter.ts
+++ b/packages/metering/src/usageMeter.ts
@@ -1,32 +1,32 @@
 /**
- * What this host saw endpoints begin, by client account and window.
+ * Counts the requests that endpoints began for this host, by client account and window.
  */
 import { windowAt, windowEndMs } from './usageWindow.js';
 import type { HostWindow } from './usageMessages.js';
 
 export interface UsageMeterOptions {
   readonly windowMs: number;
-  /** Counts that nobody has taken are kept this long after their window, and are lost then. */
+  /** Undelivered counts are retained for this time after their window, then dropped. */
   readonly keepMs: number;
 }
 
-/** A request on its way to an endpoint. */
+/** Metering of one request that was sent to an endpoint. */
 export interface MeteredRequest {
-  /** `didBegin`: whether the endpoint ran it, as far as this host can tell. */
+  /** `didBegin`: whether the endpoint ran the request, as far as this host can tell. */
   ended(didBegin: boolean): void;
 }
 
-/** A request that began before this host knew what time it was. */
+/** A request that cannot be assigned to a window while the clock offset is unknown. */
 interface UndatedRequest {
   readonly accountName: string;
   /** Monotonic time. */
   readonly atMs: number;
 }
 
-/** After its last request a host says of so many windows that there was nothing, so that nobody waits for it. */
+/** Number of empty windows reported after the last request, so that the reporter does not wait for this host. */
 const IDLE_WINDOWS = 2;
 const MAX_UNDATED = 20_000;
-/** Hosts agree on true time to within this: a window is not over for all a moment earlier. */
+/** Bound on the difference of true time between hosts. */
 const CLOCK_ERROR_MS = 100;
 
 export class UsageMeter {
@@ -34,7 +34,7 @@
   private readonly _windows = new Map<number, Map<string, number>>();
   private readonly _final = new Set<number>();
   private _undatedRequests: UndatedRequest[] = [];
-  /** True time less monotonic time; undefined while it is not known. */
+  /** True time minus monotonic time; undefined while it is not known. */
   private _offsetMs: number | undefined;
   private _lastWindow = -Infinity;
   private _decidedUpTo = -Infinity;
@@ -47,7 +47,7 @@
     this._options = options;
   }
 
-  /** A request of an account is sent at the monotonic time `nowMs`. */
+  /** Starts metering a request that is sent at the monotonic time `nowMs`. */
   sent(accountName: string, nowMs: number): MeteredRequest {
     const id = this._nextRequestId;
     this._nextRequestId += 1;
@@ -59,15 +59,15 @@
     };
   }
 
-  /** What time it truly is has become known: true time less monotonic time. */
+  /** `offsetMs`: true time minus monotonic time. */
   setClockOffset(offsetMs: number): void {
     this._offsetMs = offsetMs;
     const undated = this._undatedRequests;
     this._undatedRequests = [];
-    for (const began of undated) this._count(began);
+    for (const request of undated) this._count(request);
   }
 
-  /** This process stood still, or its clock was set: what time it is must be learnt anew. */
+  /** Called after a pause of the process or a change of its wall clock. */
   clearClockOffset(): void {
     this._offsetMs = undefined;
   }
@@ -76,12 +76,12 @@
     return this._offsetMs !== undefined;
   }
 
-  /** True if something was counted that nobody was told yet. */
+  /** Returns true if counts have not been delivered to the reporter. */
   hasUnreported(): boolean {
     return this._undatedRequests.length > 0 || this._version > this._reportedVersion;
   }
 
-  /** What a reporter must know. `told` is called once it has taken that. */
+  /** Windows to send to the reporter; `told` must be called when it has received them. */
   nextUpdate(nowMs: number): { readonly windows: readonly HostWindow[]; readonly told: () => void } {
     const version = this._version;
     const windows: HostWindow[] = [];
@@ -100,7 +100,7 @@
     };
   }
 
-  /** The next monotonic time at which a window becomes final for whoever reports; undefined while there is none to tell. */
+  /** Monotonic time at which the next window becomes final; undefined if no window is to be sent. */
   nextFinalMs(nowMs: number): number | undefined {
     const offsetMs = this._offsetMs;
     const [first] = this._due(nowMs).filter(window => !this._final.has(window));
@@ -108,20 +108,20 @@
     return windowEndMs(first, this._options.windowMs) + CLOCK_ERROR_MS - offsetMs;
   }
 
-  /** A new reporter knows nothing: everything is told again. */
+  /** Schedules all counts for sending to a new reporter. */
   reporterChanged(): void {
     this._final.clear();
     if (this._windows.size > 0) this._version += 1;
   }
 
-  /** Windows up to this one are decided. */
+  /** Drops the counts of decided windows, up to and including this one. */
   markDecided(upTo: number): void {
     this._decidedUpTo = Math.max(this._decidedUpTo, upTo);
     for (const window of this._windows.keys()) if (window <= upTo) this._windows.delete(window);
     for (const window of this._final) if (window <= upTo) this._final.delete(window);
   }
 
-  /** Counts that are too old for any report; they are forgotten. */
+  /** Removes and returns counts that are too old for any report. */
   takeExpired(nowMs: number): readonly HostWindow[] {
     if (this._offsetMs === undefined) return [];
     const lost: HostWindow[] = [];
@@ -135,7 +135,7 @@
     return lost;
   }
 
-  /** Windows that a reporter has to hear of: those with counts, and the empty ones just after them. */
+  /** Windows with counts, and the empty ones that follow the last request. */
   private _due(nowMs: number): readonly number[] {
     if (this._offsetMs === undefined) return [];
     const current = windowAt(nowMs + this._offsetMs, this._options.windowMs);
@@ -152,14 +152,14 @@
     return ![...this._inFlightSinceMs.values()].some(startedMs => startedMs < endMs);
   }
 
-  private _count(began: UndatedRequest): void {
+  private _count(request: UndatedRequest): void {
     if (this._offsetMs === undefined) {
-      if (this._undatedRequests.length < MAX_UNDATED) this._undatedRequests.push(began);
+      if (this._undatedRequests.length < MAX_UNDATED) this._undatedRequests.push(request);
       return;
     }
-    const window = windowAt(began.atMs + this._offsetMs, this._options.windowMs);
+    const window = windowAt(request.atMs + this._offsetMs, this._options.windowMs);
     const counts = this._windows.get(window) ?? new Map<string, number>();
-    counts.set(began.accountName, (counts.get(began.accountName) ?? 0) + 1);
+    counts.set(request.accountName, (counts.get(request.accountName) ?? 0) + 1);
     this._windows.set(window, counts);
     this._final.delete(window);
     this._lastWindow = Math.max(this._lastWindow, window);
--- a/packages/metering/src/usageWindow.ts
+++ b/packages/metering/src/usageWindow.ts
@@ -1,5 +1,5 @@
 /**
- * Windows of true time: number k begins k times their length after the start of 1970.
+ * Time windows: window k begins k window lengths after the Unix epoch.
  */
 
 /** Requests by client account. */
@@ -9,7 +9,7 @@
   return Math.floor(trueMs / windowMs);
 }
 
-/** True time at which a window is over. */
+/** True time of the end of a window. */
 export function windowEndMs(window: number, windowMs: number): number {
   return (window + 1) * windowMs;
 }
