--- a/packages/accounts/src/accountIndex.ts
+++ b/packages/accounts/src/accountIndex.ts
@@ -24,7 +24,7 @@
   private readonly _removed: KeyTable = new Map();
 
   private constructor() {
-    // Filled by `build`, which can fail.
+    // `build` fills it, since a list may contradict itself.
   }
 
   /** `before`: index of the previous version; its keys that are missing here count as removed. */
--- a/tests/accountFlood.spec.ts
+++ b/tests/accountFlood.spec.ts
@@ -1,5 +1,5 @@
 /**
- * One account floods: what the others get.
+ * Fairness between accounts while one floods the endpoints.
  */
 import tap from 'tap';
 import { SeededRandom, sleep } from '@fuchsiahitch/base';
@@ -13,10 +13,10 @@
 const SERVERS = 3;
 const SLOTS = 6;
 const WORK_MS = 40;
-/** Of an account's requests at least this share of what all get is served: less is starving it. */
+/** Minimum served share of an account's requests, relative to the served share of all requests. */
 const MIN_RELATIVE_SHARE = 0.25;
 
-/** Requests that were asked for and served, by account. */
+/** Requested and served requests, by account. */
 class Served {
   readonly requested = new Map<string, number>();
   readonly served = new Map<string, number>();
@@ -28,7 +28,7 @@
   }
 }
 
-/** Endpoints that run six requests at a time and refuse the others, as full ones do. */
+/** Makes each endpoint run six requests at a time and refuse the others. */
 function refuseWhenFull(fleet: GatewayFleet): void {
   const running = new Map<string, number>();
   fleet.client.reply = async ({ endpoint }): Promise<EndpointReply> => {
@@ -56,7 +56,7 @@
   const result = new Served();
   const add = (counts: Map<string, number>, name: string): unknown =>
     counts.set(name, (counts.get(name) ?? 0) + 1);
-  // 450 places a second are there; the flood alone asks for twice as many, all others together for a tenth.
+  // The endpoints serve 450 requests per second; the flood sends about twice as many, all others together a tenth.
   for (let ms = 0; ms < 20_000; ms++) {
     const isFlood = random.below(1000) < 950;
     const accountName = isFlood ? 'account-0' : `account-${1 + random.below(ACCOUNTS - 1)}`;
@@ -74,30 +74,33 @@
   return result;
 }
 
-await tap.test('should starve no account while one floods', async t => {
+await tap.test('should not starve any account while one floods', async t => {
   for (const seed of [1, 2]) {
     const result = await runFlood(seed);
     const all = result.share();
     t.ok(all < 0.9, `endpoints are full: ${all.toFixed(2)} of all served`);
     const shares = [...result.requested.keys()].map(name => result.share(name));
     const least = Math.min(...shares);
-    t.ok(least >= all * MIN_RELATIVE_SHARE, `seed ${seed}: ${least.toFixed(2)} of the worst-served account`);
+    t.ok(
+      least >= all * MIN_RELATIVE_SHARE,
+      `seed ${seed}: ${least.toFixed(2)} served of the account with the lowest share`,
+    );
   }
 });
 
-await tap.test('should share evenly what is there, and leave what some don’t ask for to others', t => {
-  const asked = (...counts: readonly number[]): ReadonlyMap<string, number> =>
+await tap.test('should share capacity evenly and distribute unused shares', t => {
+  const demand = (...counts: readonly number[]): ReadonlyMap<string, number> =>
     new Map(counts.map((count, i) => [`a${i}`, count]));
-  t.equal(evenShare(asked(100, 2, 3), 25), 20);
-  t.equal(evenShare(asked(100, 100), 30), 15);
-  t.equal(evenShare(asked(5, 5), 30), Infinity, 'there is enough');
-  t.equal(evenShare(asked(5, 5, 5), 0.3), 1, 'nobody gets nothing');
+  t.equal(evenShare(demand(100, 2, 3), 25), 20);
+  t.equal(evenShare(demand(100, 100), 30), 15);
+  t.equal(evenShare(demand(5, 5), 30), Infinity, 'capacity is sufficient');
+  t.equal(evenShare(demand(5, 5, 5), 0.3), 1, 'every account gets at least one');
   t.end();
 });
 
-await tap.test('should refuse nobody for its share while endpoints have room, nor by a few requests', t => {
+await tap.test('should enforce no share while endpoints have free slots or after few refusals', t => {
   const admission = new FairAdmission();
-  const ask = (count: number, isRefused: boolean, nowMs: number): number => {
+  const admit = (count: number, isRefused: boolean, nowMs: number): number => {
     let admitted = 0;
     for (let i = 0; i < count; i++)
       if (admission.admit('ann', nowMs)) {
@@ -106,12 +109,12 @@
       }
     return admitted;
   };
-  t.equal(ask(500, false, 0), 500);
-  t.equal(ask(500, false, 600), 500, 'all were served before');
-  t.equal(ask(10, true, 1200), 10);
-  t.equal(ask(10, true, 1800), 10, 'ten refusals may be chance');
-  t.equal(ask(100, true, 2400), 100);
-  t.ok(ask(100, true, 3000) < 100, 'endpoints were full');
-  t.equal(ask(100, true, 9000), 100, 'what was seconds ago says nothing');
+  t.equal(admit(500, false, 0), 500);
+  t.equal(admit(500, false, 600), 500, 'all earlier requests were served');
+  t.equal(admit(10, true, 1200), 10);
+  t.equal(admit(10, true, 1800), 10, 'ten refusals are not significant');
+  t.equal(admit(100, true, 2400), 100);
+  t.ok(admit(100, true, 3000) < 100, 'endpoints were full');
+  t.equal(admit(100, true, 9000), 100, 'old refusals are ignored');
   t.end();
 });
--- a/tests/accounts.spec.ts
+++ b/tests/accounts.spec.ts
@@ -1,5 +1,5 @@
 /**
- * Client accounts: whose key a caller brings, and what follows from it on every way in and to every endpoint.
+ * Client accounts: authentication of callers by key, on all interfaces and towards endpoints.
  */
 import fc from 'fast-check';
 import tap from 'tap';
@@ -51,7 +51,7 @@
 
 const key = (text: string): Credential => ({ kind: 'key', key: text });
 
-await tap.test('should tell a known key from one that was removed and one that never was', t => {
+await tap.test('should distinguish known, removed and unknown keys', t => {
   const first = indexOf([account('ann', 'a1', 'a2'), account('bob', 'b1')]);
   const second = indexOf([account('ann', 'a2')], first);
   t.same(decideAccess(second, key('a2'), false), { kind: 'granted', accountName: 'ann' });
@@ -65,34 +65,34 @@
   t.match(decideAccess(second, { kind: 'none' }, false), { reason: 'no-key' });
   t.match(decideAccess(second, { kind: 'unreadable' }, false), { reason: 'unreadable-key' });
   const third = indexOf([account('bob', 'b1', 'a1')], second);
-  t.match(decideAccess(third, key('a1'), false), { kind: 'granted', accountName: 'bob' }, 'given to another');
+  t.match(
+    decideAccess(third, key('a1'), false),
+    { kind: 'granted', accountName: 'bob' },
+    'assigned to another account',
+  );
   t.end();
 });
 
-await tap.test('should ask for no key on public routes, nor where no accounts are known', t => {
+await tap.test('should require no key on public routes or without accounts', t => {
   const index = indexOf([account('ann', 'a1')]);
   t.same(decideAccess(index, { kind: 'none' }, true), { kind: 'public' });
   t.same(decideAccess(index, key('other'), true), { kind: 'public' });
   t.match(decideAccess(index, key('a1'), true), { accountName: 'ann' });
   t.same(decideAccess(undefined, key('other'), false), { kind: 'unmanaged' });
-  t.match(
-    decideAccess(indexOf([]), key('a1'), false),
-    { kind: 'denied' },
-    'accounts are known, and there are none',
-  );
+  t.match(decideAccess(indexOf([]), key('a1'), false), { kind: 'denied' }, 'the list of accounts is empty');
   t.end();
 });
 
-await tap.test('should refuse lists that name an account or a key twice', t => {
+await tap.test('should reject lists with a duplicate account or key', t => {
   t.match(AccountIndex.build([account('ann', 'a'), account('ann', 'b')]), { error: { kind: 'name-twice' } });
   t.match(AccountIndex.build([account('ann', 'a'), account('bob', 'a')]), {
     error: { kind: 'key-shared', names: ['ann', 'bob'] },
   });
-  t.ok(AccountIndex.build([account('ann', 'a', 'a')]).ok, 'its own key twice does no harm');
+  t.ok(AccountIndex.build([account('ann', 'a', 'a')]).ok, 'a key may be repeated within an account');
   t.end();
 });
 
-await tap.test('should grant a key to the one account that holds it, whatever versions came before', t => {
+await tap.test('should grant a key to the account that holds it, regardless of earlier versions', t => {
   const names = fc.constantFrom('ann', 'bob', 'cat');
   const keys = fc.constantFrom('k1', 'k2', 'k3', 'k4');
   const version = fc.uniqueArray(fc.tuple(keys, names), { selector: ([held]) => held });
@@ -118,7 +118,7 @@
   t.end();
 });
 
-await tap.test('should index 5,000 accounts without holding the event loop up', t => {
+await tap.test('should index 5,000 accounts without blocking the event loop', t => {
   const random = new SeededRandom(34);
   const accounts = Array.from({ length: 5000 }, (_, i) =>
     account(`account-${i}`, ...Array.from({ length: 4 }, () => random.id())),
@@ -133,7 +133,7 @@
   t.end();
 });
 
-await tap.test('should keep the configuration in force when accounts contradict themselves', async t => {
+await tap.test('should keep the current configuration when accounts are contradictory', async t => {
   const clock = new VirtualClock();
   const store = new FakeStore(clock);
   const context = testContext(clock);
@@ -152,16 +152,16 @@
   t.match(
     service.access(key('ann-1'), false),
     { accountName: 'ann', revision: 1 },
-    'accounts that lack fields',
+    'accounts with missing fields',
   );
   await put(configuration(5, [{ name: 'cat', api_keys: ['ann-1'], more: 1 }]));
   t.match(service.access(key('ann-1'), false), { accountName: 'cat', revision: 5 });
-  t.notMatch(JSON.stringify(context.log.lines), /ann-1/, 'no key in a log');
+  t.notMatch(JSON.stringify(context.log.lines), /ann-1/, 'no key is logged');
   context.stop.abort();
 });
 
-await tap.test('should deny nobody by accounts that may be out of date', async t => {
-  // A host that the store is silent to tells the holder of a new key that there is no such key.
+await tap.test('should not deny access based on accounts that may be stale', async t => {
+  // Guards against rejecting a new key on a host that cannot reach the store.
   const clock = new VirtualClock();
   const store = new FakeStore(clock);
   const context = testContext(clock);
@@ -174,13 +174,13 @@
   client.mode = 'away';
   await clock.advance(5000);
   t.equal(service.access(key('new'), false).kind, 'unsure');
-  t.equal(service.access(key('ann-1'), false).kind, 'granted', 'what it knows it serves');
+  t.equal(service.access(key('ann-1'), false).kind, 'granted', 'known keys are still served');
   t.equal(service.access({ kind: 'none' }, true).kind, 'public');
   context.stop.abort();
 });
 
-await tap.test('should ask every caller for its key and tell endpoints the account only', async t => {
-  // A server runs a request that nobody's key allows, or learns a key, or believes the account that a caller names.
+await tap.test('should require a key from every caller and send endpoints only the account name', async t => {
+  // Guards against unauthenticated requests, keys sent to servers, and account names set by callers.
   const host = await PlatformHost.start(configuration(1), ['s1']);
   const { server } = host;
   server.answer = (request, socket) => void socket.write(genuine(request, 'whole'));
@@ -199,7 +199,7 @@
   for (const headers of denied)
     for (const path of ['/a/x', '/talk/x', '/b/x', '/v1/lots/x', '/v1/items/x?id=1'])
       t.equal(await ask(path, headers), 401, `${path} ${JSON.stringify(headers)}`);
-  t.equal(server.requests.length, 0, 'none of them ran');
+  t.equal(server.requests.length, 0, 'no request ran');
   t.equal(await ask('/a/x', { authorization: 'Token ann-2', tenant: 'bob' }), 200);
   t.equal(await ask('/a/x', { authorization: 'token  bob-1', Tenant: ['ann', 'cat'] }), 200);
   t.equal(await ask('/talk/x', { authorization: 'Token ann-1', connection: 'Tenant' }), 200);
@@ -209,13 +209,13 @@
     server.requests.map(({ headers }) => headers.tenant),
     ['ann', 'bob', 'ann', undefined, undefined],
   );
-  t.notMatch(JSON.stringify(server.requests), /ann-\d|bob-\d|nobody/, 'no key at a server');
-  t.notMatch(JSON.stringify(host.log.lines), /ann-\d|bob-\d|nobody/, 'no key in a log');
+  t.notMatch(JSON.stringify(server.requests), /ann-\d|bob-\d|nobody/, 'no key is sent to a server');
+  t.notMatch(JSON.stringify(host.log.lines), /ann-\d|bob-\d|nobody/, 'no key is logged');
   await host.stop();
 });
 
-await tap.test('should deny a key by two headers', async t => {
-  // One of two readers takes the first key of a request, and the other the last.
+await tap.test('should reject requests with two authorization headers', async t => {
+  // Guards against parsers that use different headers of the request.
   const host = await PlatformHost.start(configuration(1), ['s1']);
   const headers = ['Host', 'h', 'Authorization', 'Token ann-1', 'Authorization', 'Token bob-1'];
   t.equal((await host.ask({ path: '/a/x', headers: headers })).status, 401);
@@ -223,8 +223,8 @@
   await host.stop();
 });
 
-await tap.test('should not send a request again once its key was taken away', async t => {
-  // A request whose first endpoint refuses it runs at the next, though its key is gone by then.
+await tap.test('should not retry a request after its key was removed', async t => {
+  // Guards against a retry at the next endpoint with a key that is no longer valid.
   const host = await PlatformHost.start(configuration(1), ['s1', 's1']);
   const { server } = host;
   server.answer = (request, socket) => {
@@ -256,50 +256,47 @@
   ],
 };
 
-await tap.test(
-  'should keep a batch for its account, whichever key asks, and hide it from others',
-  async t => {
-    // Another account reads, ends or replaces a batch whose identifier it has learnt.
-    const host = await PlatformHost.start(configuration(1), ['s1']);
-    const { server } = host;
-    server.answer = (request, socket) =>
-      void socket.write(streamHead(request, 2) + chunk('id: 1\ndata: one\n\n') + LAST_CHUNK);
-    const as = (name: string): Record<string, string> => ({
-      host: 'h',
-      'request-id': 'b1',
-      'wait-ms': '1000',
-      authorization: `Token ${name}`,
-    });
-    const submit = async (name: string): Promise<number> =>
-      (await host.ask({ method: 'POST', path: '/b/lot', headers: as(name) }, JSON.stringify(SUBMISSION)))
-        .status;
-    const read = async (name: string): Promise<number> =>
-      (await host.ask({ path: '/v1/lots/b1?after=0', headers: as(name) })).status;
-    t.equal(await submit('ann-1'), 202);
-    t.equal(await read('bob-1'), 404);
-    t.equal((await host.ask({ path: '/v1/items/b1?id=x', headers: as('bob-1') })).status, 404);
-    t.equal((await host.ask({ method: 'DELETE', path: '/v1/lots/b1', headers: as('bob-1') })).status, 404);
-    t.equal(await read('ann-2'), 200);
-    t.equal((await host.ask({ path: '/v1/items/b1?id=x', headers: as('ann-2') })).body, 'prompt');
-    await host.until(() => server.requests.length > 0);
-    t.same(
-      server.requests.map(request => [request.headers.tenant, request.headers.authorization]),
-      [['ann', undefined]],
-    );
-    t.equal(await submit('bob-1'), 202, 'under the same identifier');
-    await host.until(() => server.requests.length > 1);
-    t.same(server.requests[1]?.headers.tenant, 'bob');
-    await host.configure(configuration(2, [{ name: 'ann', api_keys: ['ann-3'] }]));
-    t.equal(await read('ann-1'), 401);
-    t.equal(await read('ann-3'), 200, 'a newer key of the account');
-    t.equal((await host.ask({ method: 'DELETE', path: '/v1/lots/b1', headers: as('ann-3') })).status, 200);
-    t.notMatch(JSON.stringify(host.store.data.keys('').map(name => host.store.data.value(name))), /ann-1/);
-    await host.stop();
-  },
-);
+await tap.test('should restrict a batch to its account, regardless of which of its keys is used', async t => {
+  // Guards against another account that reads, ends or replaces a batch by its identifier.
+  const host = await PlatformHost.start(configuration(1), ['s1']);
+  const { server } = host;
+  server.answer = (request, socket) =>
+    void socket.write(streamHead(request, 2) + chunk('id: 1\ndata: one\n\n') + LAST_CHUNK);
+  const as = (name: string): Record<string, string> => ({
+    host: 'h',
+    'request-id': 'b1',
+    'wait-ms': '1000',
+    authorization: `Token ${name}`,
+  });
+  const submit = async (name: string): Promise<number> =>
+    (await host.ask({ method: 'POST', path: '/b/lot', headers: as(name) }, JSON.stringify(SUBMISSION)))
+      .status;
+  const read = async (name: string): Promise<number> =>
+    (await host.ask({ path: '/v1/lots/b1?after=0', headers: as(name) })).status;
+  t.equal(await submit('ann-1'), 202);
+  t.equal(await read('bob-1'), 404);
+  t.equal((await host.ask({ path: '/v1/items/b1?id=x', headers: as('bob-1') })).status, 404);
+  t.equal((await host.ask({ method: 'DELETE', path: '/v1/lots/b1', headers: as('bob-1') })).status, 404);
+  t.equal(await read('ann-2'), 200);
+  t.equal((await host.ask({ path: '/v1/items/b1?id=x', headers: as('ann-2') })).body, 'prompt');
+  await host.until(() => server.requests.length > 0);
+  t.same(
+    server.requests.map(request => [request.headers.tenant, request.headers.authorization]),
+    [['ann', undefined]],
+  );
+  t.equal(await submit('bob-1'), 202, 'under the same identifier');
+  await host.until(() => server.requests.length > 1);
+  t.same(server.requests[1]?.headers.tenant, 'bob');
+  await host.configure(configuration(2, [{ name: 'ann', api_keys: ['ann-3'] }]));
+  t.equal(await read('ann-1'), 401);
+  t.equal(await read('ann-3'), 200, 'a newer key of the account');
+  t.equal((await host.ask({ method: 'DELETE', path: '/v1/lots/b1', headers: as('ann-3') })).status, 200);
+  t.notMatch(JSON.stringify(host.store.data.keys('').map(name => host.store.data.value(name))), /ann-1/);
+  await host.stop();
+});
 
-await tap.test('should name a batch’s account to endpoints after a takeover', async t => {
-  // The next owner has never seen who submitted the batch, and its items run as nobody's.
+await tap.test('should send the account of a batch to endpoints after a takeover', async t => {
+  // Guards against a new owner that runs the items without the account of the submitter.
   const world = new GatewayWorld();
   const [a, b] = [world.start('a'), world.start('b')];
   await world.clock.advance(200);
@@ -313,9 +310,9 @@
   t.match(await world.until(b.batches.read(id, 0, 0)), { kind: 'page' });
   await world.clock.advance(300);
   const accounts = world.client.items.map(({ accountName }) => accountName);
-  t.ok(accounts.length >= 4, 'both owners have sent both');
+  t.ok(accounts.length >= 4, 'both owners sent both items');
   t.same([...new Set(accounts)], ['ann']);
   t.notSame(batchIdOf('bob', 'b1'), id);
-  t.notSame(batchIdOf(undefined, id), id, 'no caller can name another account’s batch');
+  t.notSame(batchIdOf(undefined, id), id, 'no caller can address a batch of another account');
   world.stop();
 });
--- a/tests/capacity.spec.ts
+++ b/tests/capacity.spec.ts
@@ -1,5 +1,5 @@
 /**
- * Capacity: how many endpoints are wanted, and that orders for them never loop.
+ * Capacity: wanted numbers of endpoints, and orders for them without loops.
  */
 import fc from 'fast-check';
 import tap from 'tap';
@@ -20,12 +20,12 @@
 const POOL_VIEW: PoolView = { scaling: SCALING, models: 4, present: new Map() };
 const ORDER_LIMITS = { maxPerMinute: 20, initialBackoffMs: 5000, maxBackoffMs: 15_000 };
 
-await tap.test('should keep what there is where nothing else is asked', t => {
+await tap.test('should want no changes with the keep policy', t => {
   t.equal(new KeepCapacity().wanted().size, 0);
   t.end();
 });
 
-await tap.test('should want more endpoints where they are cheaper, and some everywhere', t => {
+await tap.test('should want more endpoints in cheaper domains and some in all domains', t => {
   t.same(
     [...new CapacityByModel(12).wanted(POOL_VIEW)],
     [
@@ -47,23 +47,23 @@
   t.end();
 });
 
-await tap.test('should order once, and again only where endpoints don’t come', async t => {
+await tap.test('should order once, and again only if endpoints remain missing', async t => {
   const clock = new VirtualClock();
   const book = new OrderTracker(clock, ORDER_LIMITS);
   t.notOk(book.isDue('s', 5, 5, 4000), 'nothing is missing');
   t.ok(book.isDue('s', 6, 5, 4000));
   book.recordOrder('s', 6, 'accepted');
-  t.notOk(book.isDue('s', 6, 5, 4000), 'they are on their way');
+  t.notOk(book.isDue('s', 6, 5, 4000), 'ordered endpoints are booting');
   await clock.advance(14_000);
-  t.notOk(book.isDue('s', 6, 5, 4000), 'nor long enough overdue');
+  t.notOk(book.isDue('s', 6, 5, 4000), 'not yet overdue');
   await clock.advance(2000);
   t.ok(book.isDue('s', 6, 5, 4000));
   t.notOk(book.isDue('s', 6, 6, 4000));
-  t.ok(book.isDue('s', 7, 6, 4000), 'another number is wanted');
+  t.ok(book.isDue('s', 7, 6, 4000), 'wanted number has changed');
 });
 
-await tap.test('should rest longer after each refusal, and give up at a bound a minute', async t => {
-  // The platform has no more endpoints, and is asked at every look.
+await tap.test('should back off after each refusal and limit the orders per minute', async t => {
+  // Guards against an order at every check while the platform has no endpoints.
   const clock = new VirtualClock();
   const book = new OrderTracker(clock, ORDER_LIMITS);
   let orders = 0;
@@ -76,10 +76,10 @@
     await clock.advance(1000);
   }
   t.ok(orders <= 4 * 12, `${orders} orders in two minutes`);
-  t.ok(orders >= 8, 'it does ask again');
+  t.ok(orders >= 8, 'orders are retried');
 });
 
-await tap.test('should read what operators allow, and pass over what it does not understand', t => {
+await tap.test('should read scaling limits and ignore invalid ones', t => {
   const limits = { max_header_bytes: 1, max_body_bytes: 1, header_timeout_ms: 1, idle_timeout_ms: 1 };
   const scaling = { min: 1, max: 22, boot_s: 4, spot_price: 0.18, zone_prices: { tekapo: 0.8 } };
   const services = [{ name: 's1', scaling }, { name: 's2', scaling: { min: 'one' } }, { name: 's3' }];
@@ -104,37 +104,40 @@
 
 function holderOf(fleet: GatewayFleet): FleetHost {
   const host = fleet.at(fleet.store.value('fuchsiahitch/live/capacity') ?? '');
-  if (!host) throw new Error('nobody orders');
+  if (!host) throw new Error('no host holds the capacity lease');
   return host;
 }
 
-await tap.test('should order for each domain by one host, and nothing again once they are there', async t => {
-  const fleet = await startedFleet(new CapacityByModel(6));
-  await fleet.clock.advance(12_000);
-  const wanted = [...fleet.duties.orders].sort((a, b) => (a.domain < b.domain ? -1 : 1));
-  t.same(
-    wanted.map(({ domain, count }) => [domain, count]),
-    [
-      ['domain-0', 4],
-      ['domain-1', 5],
-      ['domain-2', 3],
-    ],
-  );
-  for (const { domain, count } of wanted)
-    for (let i = 0; i < count; i++)
-      fleet.store.put(
-        `${keys.endpointPrefix}new-${domain}-${i}`,
-        endpointRecord({ domain, address: `10.9.0.1:${i}` }),
-      );
-  for (let i = 0; i < 6; i++)
-    fleet.store.put(`${keys.endpointPrefix}e${i}`, endpointRecord({ isLeaving: true }));
-  await fleet.clock.advance(30_000);
-  t.equal(fleet.duties.orders.length, 3);
-  t.same(fleet.duties.broken, []);
-  fleet.stop();
-});
+await tap.test(
+  'should order for each domain from one host, and not again once the endpoints are present',
+  async t => {
+    const fleet = await startedFleet(new CapacityByModel(6));
+    await fleet.clock.advance(12_000);
+    const wanted = [...fleet.duties.orders].sort((a, b) => (a.domain < b.domain ? -1 : 1));
+    t.same(
+      wanted.map(({ domain, count }) => [domain, count]),
+      [
+        ['domain-0', 4],
+        ['domain-1', 5],
+        ['domain-2', 3],
+      ],
+    );
+    for (const { domain, count } of wanted)
+      for (let i = 0; i < count; i++)
+        fleet.store.put(
+          `${keys.endpointPrefix}new-${domain}-${i}`,
+          endpointRecord({ domain, address: `10.9.0.1:${i}` }),
+        );
+    for (let i = 0; i < 6; i++)
+      fleet.store.put(`${keys.endpointPrefix}e${i}`, endpointRecord({ isLeaving: true }));
+    await fleet.clock.advance(30_000);
+    t.equal(fleet.duties.orders.length, 3);
+    t.same(fleet.duties.broken, []);
+    fleet.stop();
+  },
+);
 
-await tap.test('should not order in a loop when none are left, nor when the holder changes', async t => {
+await tap.test('should not loop when no endpoints are left or the holder changes', async t => {
   const fleet = await startedFleet(new CapacityByModel(6));
   fleet.duties.isSoldOut = true;
   await fleet.clock.advance(10_000);
@@ -151,7 +154,7 @@
   fleet.stop();
 });
 
-await tap.test('should order nothing where there is no policy but to keep', async t => {
+await tap.test('should order nothing with the keep policy', async t => {
   const fleet = await startedFleet(new KeepCapacity());
   await fleet.clock.advance(20_000);
   t.same(fleet.duties.arrivals, []);
--- a/tests/daemonAccounts.spec.ts
+++ b/tests/daemonAccounts.spec.ts
@@ -1,5 +1,5 @@
 /**
- * Client accounts at the product's own daemon: its callers' interface, and what operators see.
+ * Client accounts at the daemon: the caller interface and the operator interface.
  */
 import fs from 'node:fs';
 import os from 'node:os';
@@ -14,7 +14,7 @@
 const ACCOUNTS =
   'accounts:\n  - name: ann\n    keys: [ann-1, ann-2]\n    rank: 1\n  - name: bob\n    keys: [bob-1]\n';
 
-await tap.test('should name every problem of an accounts file, and no key', t => {
+await tap.test('should report all problems of an accounts file without its keys', t => {
   t.ok(readAccountsFile(ACCOUNTS).ok);
   const wrong = [
     'accounts:\n  - name: Ann\n    keys: [secret-1]\n  - keys: secret-1\n',
@@ -30,8 +30,8 @@
   t.end();
 });
 
-await tap.test('should serve callers by their keys, and tell services the account only', async t => {
-  // A caller without a key is served as whoever it says it is.
+await tap.test('should authenticate callers by key and send services only the account name', async t => {
+  // Guards against trusting an account name that the caller sends without a key.
   fs.writeFileSync(FILE, ACCOUNTS);
   const fleet = await TestFleet.start({
     domains: ['tekapo'],
@@ -41,7 +41,7 @@
     accountsFile: FILE,
   });
   const [service] = fleet.services;
-  const ask = async (authorization: string): Promise<number> => {
+  const request = async (authorization: string): Promise<number> => {
     const headers = { authorization, 'fuchsiahitch-caller': 'bob' };
     return (await fleet.call('tekapo-0', 'callers', '/svc/skybook/listings', { headers })).status;
   };
@@ -51,11 +51,11 @@
       .status;
   };
   for (const wrong of ['', 'Bearer nobody', 'Token ann-1', 'Bearer ANN-1', 'Bearer ann-1, Bearer bob-1']) {
-    t.equal(await ask(wrong), 401, wrong);
+    t.equal(await request(wrong), 401, wrong);
     t.equal(await complete(wrong), 401, wrong);
   }
   t.equal(service?.lookups.length, 0);
-  t.equal(await ask('Bearer ann-2'), 200);
+  t.equal(await request('Bearer ann-2'), 200);
   t.equal(await complete('bearer ann-1'), 200);
   t.match(service?.lookups[0], { 'fuchsiahitch-caller': 'ann' });
   t.equal(service?.lookups[0]?.authorization, undefined);
@@ -69,11 +69,11 @@
 
   fs.writeFileSync(FILE, 'accounts:\n  - name: ann\n    keys: [ann-2, ann-2]\n  - name: ann\n    keys: []\n');
   await fleet.host('tekapo-0').reload();
-  t.equal(await ask('Bearer bob-1'), 200, 'a wrong file changes nothing');
+  t.equal(await request('Bearer bob-1'), 200, 'an invalid file changes nothing');
   fs.writeFileSync(FILE, 'accounts:\n  - name: ann\n    keys: [ann-2]\n');
   await fleet.host('tekapo-0').reload();
-  t.equal(await ask('Bearer bob-1'), 401);
-  t.equal(await ask('Bearer ann-2'), 200);
+  t.equal(await request('Bearer bob-1'), 401);
+  t.equal(await request('Bearer ann-2'), 200);
   t.match(await explain('bob-1'), { kind: 'denied', reason: 'removed-key', accountName: 'bob' });
   await fleet.stop();
 });
--- a/tests/dutyStandIn.ts
+++ b/tests/dutyStandIn.ts
@@ -1,29 +1,29 @@
 /**
- * The platform's side of duties in memory: it remembers every call, and which rules of theirs were broken.
+ * In-memory stand-in of the platform's side of duties, which records all calls and rule violations.
  */
 import { sleep, type Clock } from '@fuchsiahitch/base';
 import type { CapacityOrder, DutyAct, DutyAnswer, PlatformDuties } from '@fuchsiahitch/gateway';
 import { totalOf, type UsageReport } from '@fuchsiahitch/metering';
 
-/** `late`: no answer, and carried out seconds later, as the platform may do with any call. */
+/** `late`: not answered, and executed seconds later, as the platform may do with any call. */
 export type DutyMode = 'well' | 'silent' | 'busy' | 'away' | 'lost' | 'late';
 
 const ANSWER_MS = 2;
 const SILENT_MS = 1500;
 
 interface Arrival extends DutyAct {
-  readonly machine: string;
+  readonly hostId: string;
   readonly atMs: number;
 }
 
 export class DutyStandIn {
   mode: DutyMode = 'well';
-  /** Machines that can't reach it. */
+  /** Hosts that cannot reach the stand-in. */
   readonly unreachableFrom = new Set<string>();
   readonly reports = new Map<number, UsageReport>();
   readonly orders: CapacityOrder[] = [];
   readonly arrivals: Arrival[] = [];
-  /** What broke a rule of duties. */
+  /** Violations of the rules of duties. */
   readonly broken: string[] = [];
   /** No endpoints are left to order. */
   isSoldOut = false;
@@ -36,11 +36,11 @@
     this._handoverMs = handoverMs;
   }
 
-  /** Calls from one machine. */
-  from(machine: string): PlatformDuties {
+  /** Returns the platform as seen from one host. */
+  from(hostId: string): PlatformDuties {
     return {
-      reportUsage: (act, report) => this._call(machine, act, () => this._recordReport(report)),
-      orderCapacity: (act, order) => this._call(machine, act, () => this.orders.push(order)),
+      reportUsage: (act, report) => this._call(hostId, act, () => this._recordReport(report)),
+      orderCapacity: (act, order) => this._call(hostId, act, () => this.orders.push(order)),
     };
   }
 
@@ -48,12 +48,12 @@
     return [...this.reports.values()].reduce((sum, report) => sum + totalOf(report.counts), 0);
   }
 
-  private async _call(machine: string, act: DutyAct, execute: () => void): Promise<DutyAnswer> {
+  private async _call(hostId: string, act: DutyAct, execute: () => void): Promise<DutyAnswer> {
     await sleep(this._clock, ANSWER_MS);
-    const mode = this.unreachableFrom.has(machine) ? 'away' : this.mode;
+    const mode = this.unreachableFrom.has(hostId) ? 'away' : this.mode;
     if (mode === 'away') return 'unreached';
     if (mode === 'late') return this._executeLate(execute);
-    this._checkRules({ ...act, machine, atMs: this._clock.nowMs() });
+    this._checkRules({ ...act, hostId, atMs: this._clock.nowMs() });
     if (mode === 'busy') return 'busy';
     if (this.isSoldOut) return 'refused';
     if (mode !== 'silent') execute();
@@ -62,8 +62,8 @@
     return 'unknown';
   }
 
-  private async _executeLate(carryOut: () => void): Promise<DutyAnswer> {
-    this._clock.after(this.lateMs, carryOut);
+  private async _executeLate(execute: () => void): Promise<DutyAnswer> {
+    this._clock.after(this.lateMs, execute);
     await sleep(this._clock, SILENT_MS);
     return 'unknown';
   }
@@ -75,17 +75,17 @@
     this.reports.set(report.window, before ?? report);
   }
 
-  /** Tokens never fall, belong to one machine, and machines don't take turns within the bound. */
+  /** Checks that tokens never decrease and belong to one host, and that hosts don't alternate within the bound. */
   private _checkRules(arrival: Arrival): void {
-    const { machine, fencingToken, atMs } = arrival;
+    const { hostId, fencingToken, atMs } = arrival;
     const highest = Math.max(0, ...this.arrivals.map(other => other.fencingToken));
     if (fencingToken < highest) this.broken.push(`token ${fencingToken} after ${highest}`);
-    if (this.arrivals.some(other => other.machine !== machine && other.fencingToken === fencingToken))
-      this.broken.push(`token ${fencingToken} of two machines`);
+    if (this.arrivals.some(other => other.hostId !== hostId && other.fencingToken === fencingToken))
+      this.broken.push(`token ${fencingToken} of two hosts`);
     const recent = this.arrivals.filter(other => atMs - other.atMs < this._handoverMs);
-    const lastOther = recent.findLastIndex(other => other.machine !== machine);
-    if (recent.slice(0, Math.max(0, lastOther)).some(other => other.machine === machine))
-      this.broken.push(`${machine} took its turn again within the bound`);
+    const lastOther = recent.findLastIndex(other => other.hostId !== hostId);
+    if (recent.slice(0, Math.max(0, lastOther)).some(other => other.hostId === hostId))
+      this.broken.push(`${hostId} acted again within the bound`);
     this.arrivals.push(arrival);
   }
 }
--- a/tests/dutyWire.spec.ts
+++ b/tests/dutyWire.spec.ts
@@ -1,5 +1,5 @@
 /**
- * Duties on the platform's wire: settings, the calls, and what their ends prove.
+ * Wire protocol of the platform duties: settings, calls, and their outcomes.
  */
 import http from 'node:http';
 import net from 'node:net';
@@ -20,7 +20,7 @@
 const REPORT = { window: 353, counts: { ann: 412, bob: 3 } };
 const TIMEOUTS = { connectMs: 200, answerMs: 400 };
 
-await tap.test('should report usage only where the platform asks for it', t => {
+await tap.test('should report usage only if the platform requests it', t => {
   const usageOf = (settings: unknown): unknown => {
     const parsed = parseSettings(JSON.stringify(settings));
     return parsed.ok ? parsed.value.duties.usage : parsed.error;
@@ -61,7 +61,7 @@
   return { address: `127.0.0.1:${port}`, seen, close };
 }
 
-await tap.test('should send a report with its holder and token, on a connection of its own', async t => {
+await tap.test('should send a report with its holder and fencing token', async t => {
   const platform = await serve(200);
   const client = new DutyClient(platform.address);
   t.equal(await client.reportUsage(ACT, REPORT, TIMEOUTS), 'accepted');
@@ -76,8 +76,8 @@
   platform.close();
 });
 
-await tap.test('should tell what the end of a call proves', async t => {
-  // -1: read and never answered. 0: read, and its connection reset.
+await tap.test('should map the end of a call to its outcome', async t => {
+  // -1: the request is never answered. 0: the connection is reset.
   const ends = { 429: 'busy', 503: 'busy', 500: 'busy', 400: 'refused', '-1': 'unknown', 0: 'unknown' };
   for (const [status, end] of Object.entries(ends)) {
     const platform = await serve(Number(status));
--- a/tests/eventLoopLag.spec.ts
+++ b/tests/eventLoopLag.spec.ts
@@ -1,5 +1,5 @@
 /**
- * An event loop that runs late: what has arrived is read before anything is given up.
+ * Event loop lag: pending I/O is read before time-outs take effect.
  */
 import tap from 'tap';
 import { Deadline, SystemClock } from '@fuchsiahitch/base';
@@ -17,9 +17,9 @@
   number: number;
 }
 
-/** Streams whose events arrive when the test says so. */
+/** Item streams whose events are delivered by the test. */
 class Streams {
-  /** Every run that was begun, those that were given up too. */
+  /** Number of runs that were started, including abandoned ones. */
   begun = 0;
   private readonly _open = new Set<Run>();
 
@@ -33,7 +33,7 @@
     return { kind: 'cancelled' };
   }
 
-  /** The next events of each run arrive, or of those at one endpoint. */
+  /** Delivers the next events of each run, or of the runs at one endpoint. */
   arrive(events: number, endpointId?: string): void {
     for (const run of this._open) {
       if (endpointId !== undefined && run.endpointId !== endpointId) continue;
@@ -51,20 +51,20 @@
   readonly streams: Streams;
 }
 
-/** Two items that run at two endpoints, for two seconds on a loop that is on time. */
+/** Runs two items at two endpoints for two seconds without lag. */
 async function twoRuns(): Promise<Running> {
   const world = new GatewayWorld();
   const streams = new Streams();
   world.client.runItem = (...args) => streams.run(...args);
   const host = world.start('a');
   await world.clock.advance(200);
-  const given = batch('b1', [item('x', { group: 'g1' }), item('y', { group: 'g2' })]);
-  await world.until(host.batches.submit(given, Deadline.after(world.clock, 1000)));
+  const submitted = batch('b1', [item('x', { group: 'g1' }), item('y', { group: 'g2' })]);
+  await world.until(host.batches.submit(submitted, Deadline.after(world.clock, 1000)));
   await flow({ world, host, streams }, 2000);
   return { world, host, streams };
 }
 
-/** Events come evenly, and the loop is on time. */
+/** Delivers events at a constant pace without lag. */
 async function flow({ world, streams }: Running, durationMs: number): Promise<void> {
   for (let passedMs = 0; passedMs < durationMs; passedMs += EVENT_MS) {
     await world.clock.advance(EVENT_MS);
@@ -76,37 +76,37 @@
   return host.endpoints.all().map(endpoint => Math.round(endpoint.paceMs() ?? 0));
 }
 
-await tap.test('should keep the runs whose events arrived while the process was held up', async t => {
-  // Symptom: an owner on a host with a third of a core makes four attempts an item, most of them `stalled` or
-  // `cancelled`, and lists hardly a result. Sequence: its process is held up for longer than an endpoint may be silent;
-  // meanwhile the events come. Cause: the loop runs the timers that fell due before it reads what has arrived.
+await tap.test('should continue runs whose events arrived while the event loop was blocked', async t => {
+  // Guards against stall time-outs that fire before events which have already arrived are read.
   const running = await twoRuns();
   const { world, host, streams } = running;
   t.equal(streams.begun, 2);
   await world.clock.hold(2000, () => streams.arrive(44));
   await flow(running, 500);
-  t.equal(streams.begun, 2, 'no run was given up');
+  t.equal(streams.begun, 2, 'no run was abandoned');
   t.notOk(host.context.log.has('item attempt'));
-  t.same(paces(host), [EVENT_MS, EVENT_MS], 'nor a pace taken from that time');
+  t.same(paces(host), [EVENT_MS, EVENT_MS], 'the blocked time does not affect the pace');
   world.stop();
 });
 
-await tap.test('should move nothing for a pace of the time in which the process was held up', async t => {
-  // Symptom: items leave sound endpoints, and each move costs a prompt. Sequence: the process is held up; of one endpoint
-  // it then reads one event, of the other all that have come. Cause: the pause counts as one endpoint's pace.
-  const running = await twoRuns();
-  const { world, host, streams } = running;
-  await world.clock.hold(340, () => {
-    streams.arrive(1, 'e1');
-    streams.arrive(7, 'e2');
-  });
-  await flow(running, 500);
-  t.equal(streams.begun, 2);
-  t.same(paces(host), [EVENT_MS, EVENT_MS]);
-  world.stop();
-});
-
-await tap.test('should give a silent endpoint up soon after the process was held up', async t => {
+await tap.test(
+  'should not move items because of a pace measured while the event loop was blocked',
+  async t => {
+    // Guards against counting the blocked time as the pace of one endpoint, which would move its items.
+    const running = await twoRuns();
+    const { world, host, streams } = running;
+    await world.clock.hold(340, () => {
+      streams.arrive(1, 'e1');
+      streams.arrive(7, 'e2');
+    });
+    await flow(running, 500);
+    t.equal(streams.begun, 2);
+    t.same(paces(host), [EVENT_MS, EVENT_MS]);
+    world.stop();
+  },
+);
+
+await tap.test('should abandon an unresponsive endpoint soon after the event loop was blocked', async t => {
   const running = await twoRuns();
   const { world, streams } = running;
   await world.clock.hold(1000, () => streams.arrive(22, 'e2'));
@@ -119,18 +119,20 @@
   world.stop();
 });
 
-await tap.test('should give a silent endpoint up while the process is held up again and again', async t => {
-  const { world, streams } = await twoRuns();
-  let heldMs = 0;
-  for (; heldMs < 5000 && streams.begun === 2; heldMs += 200)
-    await world.clock.hold(200, () => streams.arrive(4, 'e2'));
-  t.ok(heldMs <= 1200, `given up after ${heldMs} ms`);
-  world.stop();
-});
-
-await tap.test('should read between the starts of the items of a large batch', async t => {
-  // Symptom: a host with a third of a core reads nothing for half a second after it took a batch; its lease and the calls
-  // that it answers wait. Sequence: a batch of 144 items begins. Cause: all its runs begin in one turn of the loop.
+await tap.test(
+  'should abandon an unresponsive endpoint while the event loop is blocked repeatedly',
+  async t => {
+    const { world, streams } = await twoRuns();
+    let heldMs = 0;
+    for (; heldMs < 5000 && streams.begun === 2; heldMs += 200)
+      await world.clock.hold(200, () => streams.arrive(4, 'e2'));
+    t.ok(heldMs <= 1200, `abandoned after ${heldMs} ms`);
+    world.stop();
+  },
+);
+
+await tap.test('should read pending I/O between the starts of the items of a large batch', async t => {
+  // Guards against starting all runs of a batch in one iteration of the event loop, which delays leases and calls.
   const world = new GatewayWorld();
   world.store.put(`${keys.endpointPrefix}e1`, endpointRecord({ slots: 200 }));
   const streams = new Streams();
@@ -149,22 +151,22 @@
   await world.clock.advance(200);
   const items = Array.from({ length: 144 }, (_, i) => item(`x${i}`));
   await world.until(host.batches.submit(batch('b1', items), Deadline.after(world.clock, 1000)));
-  // A turn of the loop each.
+  // Each advance is one iteration of the event loop.
   for (let turn = 0; turn < 10; turn++) await world.clock.advance(1);
-  t.equal(streams.begun, 144, 'at once, all the same');
-  t.ok(mostInTurn <= 16, `${mostInTurn} in one turn`);
+  t.equal(streams.begun, 144, 'without a noticeable delay');
+  t.ok(mostInTurn <= 16, `${mostInTurn} in one iteration`);
   world.stop();
 });
 
-await tap.test('should tell how late the loop ran in the last seconds', async t => {
+await tap.test('should measure the event loop lag of the last seconds', async t => {
   const world = new GatewayWorld();
   const { loop } = world.start('a').context;
   await world.clock.advance(1000);
   t.equal(loop.recentMs(), 0);
   const beforeMs = world.clock.nowMs();
   t.ok(loop.isPunctualSince(beforeMs));
-  await world.clock.hold(1000, () => t.notOk(loop.isPunctualSince(beforeMs), 'while it reads late'));
-  t.ok(loop.recentMs() >= 950, 'a tick is due each 50 ms');
+  await world.clock.hold(1000, () => t.notOk(loop.isPunctualSince(beforeMs), 'while pending I/O is read'));
+  t.ok(loop.recentMs() >= 950, 'a tick is due every 50 ms');
   await world.clock.advance(100);
   t.notOk(loop.isPunctualSince(beforeMs));
   t.ok(loop.isPunctualSince(world.clock.nowMs()));
@@ -175,21 +177,19 @@
   world.stop();
 });
 
-/** How long a call may take: far longer than a local answer on a busy machine. */
+/** Far longer than a local answer takes on a busy machine. */
 const ANSWER_MS = 600;
-/** The process is held up until after that. */
+/** Blocks the event loop beyond the time-out. */
 const LATE_MS = 800;
 
-/** The process gets no processor time: nothing in it runs. */
+/** Blocks the event loop. */
 function blockLoop(durationMs: number): void {
   const endMs = performance.now() + durationMs;
   while (performance.now() < endMs);
 }
 
-await tap.test('should take an answer that arrived while the process was held up', async t => {
-  // Symptom: writes that the store has done count as unknown, are repeated, and the lease of their host ends. Sequence:
-  // a call's answer arrives; the process is held up until the call's time is over. Cause: the time-out comes before the
-  // reading.
+await tap.test('should accept an answer that arrived while the event loop was blocked', async t => {
+  // Guards against a time-out that takes effect before an answer which has already arrived is read.
   const server = new WireServer();
   const address = await server.listen();
   server.answer = (request, socket) => {
--- a/tests/eventLoopLagPeers.spec.ts
+++ b/tests/eventLoopLagPeers.spec.ts
@@ -1,5 +1,5 @@
 /**
- * An event loop that runs late: what other hosts have sent is read before they count as silent.
+ * Event loop lag: pending I/O from other hosts is read before they count as unresponsive.
  */
 import tap from 'tap';
 import {
@@ -61,14 +61,14 @@
   return { hostId, incarnation: '1', domain: 'tekapo', programVersion: '0' };
 }
 
-/** A link to a peer that answers `asked` when the test says so, and `never` not at all. */
+/** Peer that answers `asked` on request of the test, and never answers `never`. */
 class Peer<T extends Clock> {
   readonly counters = new Counters();
-  /** Calls of `echo` that were carried out. */
+  /** Number of executed `echo` calls. */
   echoed = 0;
-  /** Called when `asked` has come. */
+  /** Called when a call of `asked` was received. */
   onAsked: () => void = () => undefined;
-  /** Lets the peer answer `asked`. */
+  /** Answers the pending call of `asked`. */
   answer: () => void = () => undefined;
   private readonly _clock: T;
   private readonly _server: PeerServer;
@@ -100,7 +100,7 @@
     return this._link;
   }
 
-  /** Resolves when the peer has a call of `asked`. */
+  /** Resolves when the peer has received a call of `asked`. */
   async hasReceivedCall(): Promise<void> {
     await new Promise<void>(resolve => {
       this.onAsked = resolve;
@@ -113,21 +113,20 @@
   }
 }
 
-/** The process gets no processor time: nothing in it runs. */
+/** Blocks the event loop. */
 function blockLoop(durationMs: number): void {
   const endMs = performance.now() + durationMs;
   while (performance.now() < endMs);
 }
 
-await tap.test('should take a reply that arrived while the process was held up', async t => {
-  // Symptom: batches are taken over whose owners live, and confirmed it. Sequence: the reply of a peer arrives; the
-  // process is held up until the call's time is over. Cause: the time-out comes before the reading.
+await tap.test('should accept a reply that arrived while the event loop was blocked', async t => {
+  // Guards against taking over batches of a live owner whose reply had arrived but was not read before the time-out.
   const clock = new SystemClock();
   const peer = new Peer(clock);
   const link = await peer.open();
   await link.call(echo, {}, Deadline.after(clock, 5000));
   peer.onAsked = () => {
-    // The reply is written when this handler has returned, before the next round of the loop begins.
+    // The reply is written when this handler has returned, before the next iteration of the event loop.
     peer.answer();
     setImmediate(() => blockLoop(800));
   };
@@ -136,10 +135,8 @@
   await peer.close();
 });
 
-await tap.test('should keep a sound link whose replies come as a late loop reads again', async t => {
-  // Symptom: all calls to a sound peer fail at once as `broken`, relays to the store pause for 2 s. Sequence: a call
-  // waits; the process is held up for longer than a link may be silent; the peer's reply comes as it goes on. Cause: the
-  // process's own delay counts as the silence of the link.
+await tap.test('should keep a link whose replies arrive when the event loop resumes', async t => {
+  // Guards against counting the event loop's own lag as silence of the link, which breaks all pending calls.
   const clock = new VirtualClock();
   const peer = new Peer(clock);
   const link = await peer.open();
@@ -157,28 +154,31 @@
   t.same(await link.call(echo, {}, Deadline.after(clock, 1000)), { ok: true, value: {} });
   await clock.advance(1000);
   t.same(peer.counters.refusals, [], 'the link was kept');
-  t.notOk(isLongOver, 'its other call waits on');
+  t.notOk(isLongOver, 'its other call is still pending');
   await peer.close();
   t.match(await long, { ok: false, error: { kind: 'broken' } });
 });
 
-await tap.test('should give a silent peer up within 100 ms after the process was held up', async t => {
-  const clock = new VirtualClock();
-  const peer = new Peer(clock);
-  const link = await peer.open();
-  await link.call(echo, {}, Deadline.after(clock, 5000));
-  await clock.advance(10);
-  const isAsked = peer.hasReceivedCall();
-  const first: Reply = link.call(asked, {}, Deadline.after(clock, 300));
-  await isAsked;
-  await clock.hold(2000, () => undefined);
-  await clock.advance(100);
-  t.match(await first, { ok: false, error: { kind: 'timed-out' } });
-  t.same(peer.counters.refusals, ['silent']);
-  await peer.close();
-});
+await tap.test(
+  'should abandon an unresponsive peer within 100 ms after the event loop was blocked',
+  async t => {
+    const clock = new VirtualClock();
+    const peer = new Peer(clock);
+    const link = await peer.open();
+    await link.call(echo, {}, Deadline.after(clock, 5000));
+    await clock.advance(10);
+    const isAsked = peer.hasReceivedCall();
+    const first: Reply = link.call(asked, {}, Deadline.after(clock, 300));
+    await isAsked;
+    await clock.hold(2000, () => undefined);
+    await clock.advance(100);
+    t.match(await first, { ok: false, error: { kind: 'timed-out' } });
+    t.same(peer.counters.refusals, ['silent']);
+    await peer.close();
+  },
+);
 
-await tap.test('should give a call up at its limit while the loop is on time', async t => {
+await tap.test('should end a call at its time-out while the event loop has no lag', async t => {
   const clock = new VirtualClock();
   const peer = new Peer(clock);
   const link = await peer.open();
@@ -197,11 +197,10 @@
 });
 
 await tap.test(
-  'should take up a connection whose handshake came late, and write no call on it too late',
+  'should accept a connection with a delayed handshake and send no expired call on it',
   async t => {
-    // Symptom: a sound peer gets no calls for a while after a host was held up. Sequence: a connection is made; the process
-    // is held up for longer than that may take; the peer's part of the handshake has arrived. Cause: the time-out of the
-    // connection comes before the reading. A call whose own time is over by then must not be written any more.
+    // Guards against a connection time-out that takes effect before an arrived handshake is read, and against sending calls
+    // whose deadline has passed.
     const clock = new VirtualClock();
     const peer = new Peer(clock);
     const link = await peer.open();
@@ -210,7 +209,7 @@
     await clock.hold(2000, () => undefined);
     t.same(await long, { ok: true, value: {} });
     t.match(await short, { ok: false, error: { kind: 'not-sent' } });
-    t.equal(peer.echoed, 1, 'the call whose time was over was not written');
+    t.equal(peer.echoed, 1, 'the expired call was not sent');
     await peer.close();
   },
 );
@@ -218,12 +217,12 @@
 interface Watched {
   readonly clock: VirtualClock;
   readonly monitor: ReachabilityMonitor;
-  /** The store's answer to the question under way is read, and the next one asked. */
+  /** Answers the pending store call and starts the next one. */
   readonly storeAnswers: () => void;
   readonly stop: AbortController;
 }
 
-/** A host that has a question at the store at all times, and whose peers are silent. */
+/** Monitor of a host that always has a pending store call, and whose peers are unresponsive. */
 function watched(): Watched {
   const clock = new VirtualClock();
   const context = testContext(clock);
@@ -266,27 +265,25 @@
   };
 }
 
-await tap.test('should not take itself for cut off while it reads the answers of the store late', async t => {
-  // Symptom: hosts are not ready for seconds though the store answers them. Sequence: the process is held up again and
-  // again, for longer than the store may be silent; each time the store's answer has arrived. Cause: the host judges by
-  // the time since it last read, before it reads.
+await tap.test('should not consider itself isolated while it reads store answers late', async t => {
+  // Guards against judging the store by the time since the last read before pending answers are read.
   const { clock, monitor, storeAnswers, stop } = watched();
   for (let i = 0; i < 12; i++) {
     await clock.hold(1000, storeAnswers);
-    t.notOk(monitor.isCutOff(), `held up ${i + 1} times`);
+    t.notOk(monitor.isCutOff(), `blocked ${i + 1} times`);
   }
   stop.abort();
 });
 
-await tap.test('should take itself for cut off though it is held up again and again', async t => {
+await tap.test('should consider itself isolated although its event loop is blocked repeatedly', async t => {
   const { clock, monitor, stop } = watched();
   let heldMs = 0;
   for (; heldMs < 6000 && !monitor.isCutOff(); heldMs += 200) {
     await clock.hold(200, () => undefined);
-    // The host decides in the round of the loop after its timer; no time passes in it.
+    // The monitor decides in the event loop iteration after its timer, during which no time passes.
     await settle();
   }
-  t.ok(heldMs <= 1800, `known after ${heldMs} ms`);
+  t.ok(heldMs <= 1800, `detected after ${heldMs} ms`);
   stop.abort();
 });
 
@@ -294,12 +291,12 @@
   readonly clock: VirtualClock;
   readonly client: ScriptedClient;
   readonly outcome: Promise<ForwardOutcome>;
-  /** The answer of the first endpoint arrives. */
+  /** Delivers the answer of the first endpoint. */
   readonly answerFirst: () => void;
   readonly stop: AbortController;
 }
 
-/** A request that may be sent to a second endpoint after 120 ms, and waits for the first. */
+/** Forwards a request that may be hedged after 120 ms, and waits for the first endpoint. */
 async function forwarding(): Promise<Forwarding> {
   const clock = new VirtualClock();
   const store = new FakeStore(clock);
@@ -330,20 +327,21 @@
   return { clock, client, outcome, answerFirst, stop: context.stop };
 }
 
-await tap.test('should send no request twice whose answer arrived while the process was held up', async t => {
-  // Symptom: a host with little processor time sends its endpoints every request twice, and gets later still. Sequence: a
-  // request is sent; the process is held up until a second send is due; the answer has arrived. Cause: the second send
-  // comes before the reading.
-  const { clock, client, outcome, answerFirst, stop } = await forwarding();
-  await clock.hold(400, answerFirst);
-  await clock.advance(200);
-  const end = await outcome;
-  t.ok(end.kind === 'answered' && end.answer.body.toString() === 'first');
-  t.equal(client.sends.length, 1);
-  stop.abort();
-});
+await tap.test(
+  'should not hedge a request whose answer arrived while the event loop was blocked',
+  async t => {
+    // Guards against a hedge that is sent before an answer which has already arrived is read.
+    const { clock, client, outcome, answerFirst, stop } = await forwarding();
+    await clock.hold(400, answerFirst);
+    await clock.advance(200);
+    const end = await outcome;
+    t.ok(end.kind === 'answered' && end.answer.body.toString() === 'first');
+    t.equal(client.sends.length, 1);
+    stop.abort();
+  },
+);
 
-await tap.test('should send a late request twice within 100 ms after the process was held up', async t => {
+await tap.test('should hedge a request within 100 ms after the event loop was blocked', async t => {
   const { clock, client, outcome, stop } = await forwarding();
   await clock.hold(400, () => undefined);
   await clock.advance(100);
@@ -354,9 +352,9 @@
 });
 
 await tap.test(
-  'should send nothing after the time of a request, also where the loop reads once more',
+  'should send nothing after the deadline of a request, even if pending I/O is read first',
   async t => {
-    // The second send is due at 120 ms and the request over at 1500: a late loop's 100 ms more reach past the end.
+    // The hedge is due at 120 ms and the deadline at 1500 ms; the 100 ms allowed for lag extend past the deadline.
     const { clock, client, outcome, stop } = await forwarding();
     await clock.hold(1450, () => undefined);
     await clock.advance(1000);
--- a/tests/metering.spec.ts
+++ b/tests/metering.spec.ts
@@ -1,12 +1,12 @@
 /**
- * Usage: what endpoints began is reported once, whole, for each window of true time.
+ * Usage metering and reporting: each window is reported once, completely and in time.
  */
 import tap from 'tap';
 import { SeededRandom } from '@fuchsiahitch/base';
 import { ClockVote, UsageLedger, UsageMeter } from '@fuchsiahitch/metering';
 import { reporterOf, SMALL_FLEET, startedFleet, WINDOW_MS } from './usageFleet.js';
 
-await tap.test('should take true time from most clocks, whichever jump', t => {
+await tap.test('should estimate true time by the median clock when some clocks jump', t => {
   const vote = new ClockVote();
   t.equal(vote.offsetMs(0), undefined);
   for (const [i, skewMs] of [0, 5, -5, 2000, 2000].entries())
@@ -14,7 +14,7 @@
   t.equal(vote.offsetMs(100), 1_000_005);
   vote.observe('h3', 1_000_200, 200);
   t.equal(vote.offsetMs(200), 1_000_000);
-  t.equal(vote.offsetMs(60_000), undefined, 'old words say nothing');
+  t.equal(vote.offsetMs(60_000), undefined, 'expired votes are ignored');
   t.end();
 });
 
@@ -23,14 +23,14 @@
   const open = meter.sent('ann', 900);
   meter.sent('ann', 950).ended(true);
   meter.sent('bob', 960).ended(false);
-  t.same(meter.nextUpdate(2000).windows, [], 'nothing before the time is known');
+  t.same(meter.nextUpdate(2000).windows, [], 'no windows before the clock offset is known');
   meter.setClockOffset(10_000);
   t.same(
     meter.nextUpdate(1050).windows,
     [{ window: 10, counts: { ann: 1 }, isFinal: false }],
-    'not over for all',
+    'not over on all hosts',
   );
-  t.same(meter.nextUpdate(1200).windows[0]?.isFinal, false, 'one is still on its way');
+  t.same(meter.nextUpdate(1200).windows[0]?.isFinal, false, 'a request is in flight');
   open.ended(true);
   open.ended(true);
   t.same(meter.nextUpdate(1200).windows[0], { window: 10, counts: { ann: 2 }, isFinal: true });
@@ -40,12 +40,12 @@
   t.same(
     meter.nextUpdate(2200).windows,
     [{ window: 11, counts: {}, isFinal: true }],
-    'the next window, so that nobody waits for this host',
+    'the next window is final, so that the reporter does not wait for this host',
   );
   t.end();
 });
 
-await tap.test('should keep what it could not tell, up to a bound, and then say so', t => {
+await tap.test('should retain undelivered counts for a limited time and return them when they expire', t => {
   const meter = new UsageMeter({ windowMs: 1000, keepMs: 5000 });
   meter.setClockOffset(0);
   meter.sent('ann', 500).ended(true);
@@ -58,24 +58,24 @@
   t.end();
 });
 
-await tap.test('should add up what processes tell, and replace what they told before', t => {
+await tap.test('should sum the counts of processes and replace earlier counts of the same process', t => {
   const ledger = new UsageLedger();
-  const told = (hostId: string, incarnation: string, ann: number, isFinal = false): void =>
+  const record = (hostId: string, incarnation: string, ann: number, isFinal = false): void =>
     ledger.told({ hostId, incarnation, windows: [{ window: 7, counts: { ann }, isFinal }] });
-  told('a', '1', 2);
-  told('a', '1', 3, true);
-  told('a', '2', 4);
-  told('b', '1', 5, true);
+  record('a', '1', 2);
+  record('a', '1', 3, true);
+  record('a', '2', 4);
+  record('b', '1', 5, true);
   t.same(ledger.countsOf(7), { ann: 12 });
   t.same(ledger.missing(7), [{ hostId: 'a', incarnation: '2' }]);
-  t.same(ledger.missing(8).length, 3, 'who was busy just before');
+  t.same(ledger.missing(8).length, 3, 'recently busy processes');
   t.same(ledger.missing(12), []);
   ledger.dropThrough(7);
   t.same(ledger.countsOf(7), {});
   t.end();
 });
 
-await tap.test('should report every window whole and in time, and each once', async t => {
+await tap.test('should report every window completely, in time and once', async t => {
   const { fleet, truth } = await startedFleet();
   const random = new SeededRandom(1);
   await truth.load(random, 20, 30_000);
@@ -84,12 +84,12 @@
   t.same(fleet.duties.broken, []);
   t.ok(fleet.duties.arrivals.length <= fleet.duties.reports.size, 'each sent once');
   const lateMs = fleet.duties.arrivals.map(({ atMs }) => atMs % WINDOW_MS);
-  t.ok(Math.max(...lateMs) < 2500, 'as soon as all are in');
+  t.ok(Math.max(...lateMs) < 2500, 'as soon as all counts have arrived');
   fleet.stop();
 });
 
-await tap.test('should wait for no host of a large fleet that has few requests', async t => {
-  // Hosts that count something now and then are waited for until the time is nearly up.
+await tap.test('should not wait for hosts of a large fleet with few requests', async t => {
+  // Guards against waiting for rarely active hosts until the report is almost due.
   const { fleet, truth } = await startedFleet({ ...SMALL_FLEET, hosts: 69 });
   const random = new SeededRandom(6);
   await truth.load(random, 7, 40_000);
@@ -101,7 +101,7 @@
   fleet.stop();
 });
 
-await tap.test('should report by true time where clocks are off, and where they jump', async t => {
+await tap.test('should report by true time when clocks are wrong or jump', async t => {
   const { fleet, truth } = await startedFleet();
   const random = new SeededRandom(2);
   for (const [i, host] of fleet.hosts.entries()) host.skewMs = [0, 3, -4, 2000, -2000, 1, 0, 2, -1][i] ?? 0;
@@ -116,9 +116,9 @@
 });
 
 await tap.test(
-  'should lose at most a second of a host that ends, and nothing of one that reports',
+  'should lose at most a second of a terminated host and nothing of a terminated reporter',
   async t => {
-    // The host that reports dies with all that it was told, and its successor reports less.
+    // Guards against a successor that reports less than the terminated reporter had received.
     for (const seed of [3, 4, 5]) {
       const { fleet, truth } = await startedFleet();
       const random = new SeededRandom(seed);
@@ -135,9 +135,9 @@
 );
 
 await tap.test(
-  'should send the same content again whoever sends it, and break no rule under faults',
+  'should resend the same content after a takeover and violate no rule under faults',
   async t => {
-    // The reporter dies between sending and the answer, and its successor bills another sum for the same window.
+    // Guards against a second, different report of a window after a reporter failed before the answer.
     for (let seed = 10; seed < 22; seed++) {
       const { fleet, truth } = await startedFleet();
       const random = new SeededRandom(seed);
@@ -164,7 +164,7 @@
   },
 );
 
-await tap.test('should leave the duty to a host that reaches the platform', async t => {
+await tap.test('should yield the duty to a host that reaches the platform', async t => {
   const { fleet, truth } = await startedFleet();
   const random = new SeededRandom(30);
   await truth.load(random, 20, 7000);
@@ -178,7 +178,7 @@
   fleet.stop();
 });
 
-await tap.test('should report the windows of an outage of the store that ends in time', async t => {
+await tap.test('should report the windows of a store outage that ends in time', async t => {
   const { fleet, truth } = await startedFleet();
   const random = new SeededRandom(31);
   await truth.load(random, 20, 7000);
--- a/tests/sharedWatch.spec.ts
+++ b/tests/sharedWatch.spec.ts
@@ -1,5 +1,5 @@
 /**
- * One watch of the store for the hosts of a failure domain.
+ * Store watch that is shared by the hosts of a failure domain.
  */
 import tap from 'tap';
 import { err, every, ok, sleep, VirtualClock } from '@fuchsiahitch/base';
@@ -13,7 +13,7 @@
   readonly endpoints: EndpointDirectory;
 }
 
-/** Hosts of one domain that share the watch of endpoints. */
+/** Starts hosts of one domain that share a watch of the endpoint records. */
 async function startedHosts(
   ids: readonly string[],
   changeEveryMs = 300,
@@ -64,7 +64,7 @@
     endpoints.start();
     return { client, endpoints };
   });
-  // A record changes so often; never where it is 0.
+  // 0: the record never changes.
   if (changeEveryMs > 0)
     every(clock, changeEveryMs, new AbortController().signal, () =>
       store.put(`${keys.endpointPrefix}e2`, endpointRecord({ slots: 4 + (++changes % 2) })),
@@ -73,8 +73,8 @@
   return { clock, store, hosts, silent, end: () => stops.forEach(stop => stop.abort()) };
 }
 
-await tap.test('should ask the store once for a domain', async t => {
-  // Symptom: calls of the store grow with every host. Sequence: a quiet day. Cause: each host watches by itself.
+await tap.test('should watch the store once per failure domain', async t => {
+  // Guards against store calls that grow with the number of hosts.
   const { clock, store, hosts, end } = await startedHosts(['a', 'b', 'c']);
   const before = hosts.map(host => host.client.calls);
   await clock.advance(9000);
@@ -88,11 +88,9 @@
 });
 
 await tap.test(
-  'should hear of a leaving endpoint in time when the host that watches is gone or blind',
+  'should learn of a leaving endpoint in time when the watching host has failed or lost the store',
   async t => {
-    // Symptom: requests reach an endpoint seconds after it said that it leaves. Sequence: the host that watches for its
-    // domain falls silent, or the store falls silent to it alone, and the endpoint says that it leaves right then. Cause:
-    // hosts that could ask the store wait for a neighbour.
+    // Guards against followers that depend on an unresponsive watching host and send requests to a leaving endpoint.
     for (const fault of ['gone', 'blind'] as const) {
       const { clock, store, hosts, silent, end } = await startedHosts(['a', 'b', 'c']);
       const [watching, ...others] = hosts;
@@ -110,10 +108,8 @@
   },
 );
 
-await tap.test('should follow a host whose endpoints seldom have something to tell', async t => {
-  // Symptom: three of four calls to the store are watches, and hosts log every few seconds that the watching host has no fresh
-  // view. Sequence: no endpoint's record changes for seconds, or one does now and then. Cause: the watching host's question
-  // to the store, with the pause before it, lasts longer than its view counts as fresh.
+await tap.test('should follow the watching host when endpoint records change rarely', async t => {
+  // Guards against a watch whose wait and spacing together exceed the time for which its view counts as fresh.
   for (const changeEveryMs of [0, 2300, 3700]) {
     const { clock, hosts, end } = await startedHosts(['a', 'b', 'c'], changeEveryMs);
     const before = hosts.map(host => host.client.calls);
--- a/tests/usageFleet.ts
+++ b/tests/usageFleet.ts
@@ -1,5 +1,5 @@
 /**
- * A fleet whose usage is reported, and what its endpoints truly began.
+ * Test fleet that reports usage, and the expected content of its reports.
  */
 import type { SeededRandom } from '@fuchsiahitch/base';
 import { GatewayFleet, type FleetHost, type FleetSize } from './gatewayFleet.js';
@@ -10,10 +10,10 @@
 const DUE_MS = 10_000;
 const USAGE = { windowMs: WINDOW_MS, dueMs: DUE_MS };
 export const SMALL_FLEET: FleetSize = { hosts: 9, domains: 3, endpoints: 3, isQuiet: true, usage: USAGE };
-/** So much of a window may be missing from its report. */
+/** Allowed relative error of a report. */
 const TOLERANCE = 0.05;
 
-/** What endpoints truly began, by window, and what may be missing from its report: what hosts had not told when they ended. */
+/** Requests that the endpoints began, by window, for comparison with the reports. */
 export class ExpectedUsage {
   readonly began = new Map<number, number>();
   private readonly _fleet: GatewayFleet;
@@ -32,7 +32,7 @@
     };
   }
 
-  /** Requests a second at hosts drawn by chance, for a while. */
+  /** Sends requests at a constant rate to random hosts. */
   async load(random: SeededRandom, perSecond: number, durationMs: number): Promise<void> {
     const spacingMs = 1000 / perSecond;
     for (let ms = 0; ms < durationMs; ms += spacingMs) {
@@ -49,7 +49,7 @@
     void host.gateway.forwarder.forward(request, LOOKUP, NOBODY_LEFT);
   }
 
-  /** Windows whose report is missing, or off by more than allowed. */
+  /** Returns the windows whose report is missing, or wrong by more than the tolerance. */
   mismatches(from: number, to: number): readonly string[] {
     const wrong: string[] = [];
     for (let window = from; window <= to; window++) {
@@ -76,6 +76,6 @@
 export function reporterOf(fleet: GatewayFleet): FleetHost {
   const hostId = fleet.store.value('fuchsiahitch/live/usage') ?? '';
   const host = fleet.at(hostId);
-  if (!host) throw new Error('nobody reports');
+  if (!host) throw new Error('no host holds the usage lease');
   return host;
 }
