--- a/packages/gateway/src/hostDirectory.ts
+++ b/packages/gateway/src/hostDirectory.ts
@@ -2,7 +2,7 @@
  * Directory of the live hosts, from store keys that are bound to their leases, and calls to them.
  */
 import type { CancelTimer, Result } from '@fuchsiahitch/base';
-import { isSameOwner, ownerFields, ROOT, type Owner } from '@fuchsiahitch/batches';
+import { isSameOwner, ownerFields, KEY_ROOT, type Owner } from '@fuchsiahitch/batches';
 import type { RevisionedStore } from '@fuchsiahitch/clients';
 import { decodeHandover, type DutyHandover } from '@fuchsiahitch/duties';
 import type { CallDefinition, CallError, PeerServer } from '@fuchsiahitch/protocol';
@@ -14,7 +14,7 @@
 import { StoreMirror, type MirrorSource } from './storeMirror.js';
 
 /** Prefix of keys that are bound to leases, most of them to the lease of the process that wrote them. */
-export const LIVE_PREFIX = `${ROOT}live/`;
+export const LIVE_PREFIX = `${KEY_ROOT}live/`;
 const HOST_PREFIX = `${LIVE_PREFIX}host/`;
 
 /** Key of the hand-over record of a domain's weight orders. It outlives the holder's lease. */
--- a/packages/gateway/src/itemScoring.ts
+++ b/packages/gateway/src/itemScoring.ts
@@ -1,9 +1,9 @@
 /**
- * Asks for the scores of a batch's whole texts.
+ * Requests scores for the complete texts of a batch.
  *
- * A request for a score goes by the rules, limits and retries of a caller's request, and leaves places of each endpoint
- * to callers. It may be repeated, so that no answer but a whole success counts, and a broken or late one is asked for
- * again elsewhere. It is never sent before its text is whole: the ledger gives out whole texts only.
+ * Score requests follow the rules, limits and retries of caller requests, and leave some places of each endpoint to
+ * callers. They are idempotent: broken or late requests are repeated at other endpoints, and only a complete successful
+ * answer counts.
  */
 import { setMaxListeners } from 'node:events';
 import type { BatchItem, BatchLedger, ScoreRequest } from '@fuchsiahitch/batches';
@@ -12,7 +12,7 @@
 import type { CallerRequest, ForwardOutcome } from './callerRequest.js';
 import type { Forwarder } from './forwarder.js';
 import type { GatewayContext } from './gatewayContext.js';
-import { ItemPauses } from './itemPauses.js';
+import { ItemBackoff } from './itemBackoff.js';
 import type { EndpointClient } from './ports.js';
 
 export interface ScoringPorts {
@@ -21,10 +21,7 @@
   readonly forwarder: Forwarder;
 }
 
-/**
- * How a request for a score ended. `failed`: scoring services answered so often with a failure of their own.
- * `not-scored` says nothing about the text.
- */
+/** `failed`: scoring services failed on this text `failures` times. `not-scored`: no verdict about the text. */
 export type ScoreEnd =
   | { readonly kind: 'scored'; readonly score: string }
   | { readonly kind: 'failed'; readonly failures: number; readonly status: number }
@@ -33,10 +30,6 @@
 const FIRST_SUCCESS = 200;
 const LAST_SUCCESS = 299;
 const SERVER_ERROR = 500;
-/**
- * A score takes some 43 ms, and up to 220: one that is not there by then is asked for anew, at endpoints that were not
- * tried. Trainers read their results twice a second.
- */
 const SCORE_TIMEOUT_MS = 1000;
 
 export class ItemScoring {
@@ -44,14 +37,14 @@
   private readonly _ports: ScoringPorts;
   private readonly _ledger: BatchLedger;
   private readonly _maxItemFailures: number;
-  private readonly _ended: () => void;
-  private _asking = newAborter();
-  /** True if something was asked for since the last interruption. */
-  private _isAsking = false;
+  private readonly _onResult: () => void;
+  private _abort = newAbortController();
+  /** True if scores were requested since the last interruption. */
+  private _hasRequests = false;
   private _isStopped = false;
-  private readonly _pauses: ItemPauses;
+  private readonly _backoff: ItemBackoff;
 
-  /** `maxItemFailures`: the failures after which the route of the items lets one go. `ended`: a result is there. */
+  /** `maxItemFailures`: failures after which the items' route terminates one. `ended`: called when a result is available. */
   constructor(
     context: GatewayContext,
     ports: ScoringPorts,
@@ -63,42 +56,42 @@
     this._ports = ports;
     this._ledger = ledger;
     this._maxItemFailures = maxItemFailures;
-    this._ended = ended;
-    this._pauses = new ItemPauses(context, ledger.batch.id, 'scoring');
+    this._onResult = ended;
+    this._backoff = new ItemBackoff(context, ledger.batch.id, 'scoring');
   }
 
-  /** Asks for every score that is missing and not paused. */
+  /** Requests all missing scores that are not paused. */
   run(): void {
     if (this._isStopped) return;
-    for (const item of this._pauses.ready(this._ledger.unscored())) {
+    for (const item of this._backoff.ready(this._ledger.unscored())) {
       if (!item.scoring) continue;
-      this._isAsking = true;
+      this._hasRequests = true;
       this._ledger.beginScoring(item.id);
       void this._score(item, item.scoring);
     }
   }
 
-  /** Drops what is being asked for: endpoints stop when their connections close. */
+  /** Aborts all requests. Endpoints stop when their connections close. */
   stop(): void {
     this._isStopped = true;
-    this._asking.abort();
+    this._abort.abort();
   }
 
-  /** As `stop`, for the time being: `run` asks again. */
+  /** Aborts all requests. `run` sends them again. */
   interrupt(): void {
-    if (this._isStopped || !this._isAsking) return;
-    this._isAsking = false;
-    this._asking.abort();
-    this._asking = newAborter();
+    if (this._isStopped || !this._hasRequests) return;
+    this._hasRequests = false;
+    this._abort.abort();
+    this._abort = newAbortController();
   }
 
   private async _score(item: BatchItem, request: ScoreRequest): Promise<void> {
     const startedMs = this._context.clock.nowMs();
-    const { signal } = this._asking;
+    const { signal } = this._abort;
     const routed = this._ports.configuration.route(request.host, request.path);
     const end: ScoreEnd =
       routed.kind === 'routed'
-        ? await this._ask(request, routed.route, signal)
+        ? await this._request(request, routed.route, signal)
         : { kind: 'not-scored', reason: 'no route' };
     if (this._isStopped) return;
     if (signal.aborted) {
@@ -110,7 +103,7 @@
     this._settle(item.id, end, Math.max(maxFailures, this._maxItemFailures));
   }
 
-  private async _ask(request: ScoreRequest, route: Route, signal: AbortSignal): Promise<ScoreEnd> {
+  private async _request(request: ScoreRequest, route: Route, signal: AbortSignal): Promise<ScoreEnd> {
     const call: CallerRequest = {
       id: request.id,
       caller: this._ledger.batch.accountName ?? '',
@@ -118,7 +111,7 @@
       host: request.host,
       method: 'POST',
       target: request.path,
-      headers: this._ports.client.ownHeaders(request.id, request.host),
+      headers: this._ports.client.internalRequestHeaders(request.id, request.host),
       body: Buffer.from(request.bodyBase64, 'base64'),
       waitMs: SCORE_TIMEOUT_MS,
       isBackground: true,
@@ -137,10 +130,10 @@
         break;
       case 'not-scored':
         this._ledger.scoringInterrupted(itemId);
-        this._pauses.tried(itemId);
+        this._backoff.attemptFailed(itemId);
         return;
     }
-    this._ended();
+    this._onResult();
   }
 
   private _log(item: BatchItem, request: ScoreRequest, end: ScoreEnd, tookMs: number): void {
@@ -155,20 +148,20 @@
       reason: 'reason' in end ? end.reason : undefined,
       status: 'status' in end ? end.status : undefined,
       failures: 'failures' in end ? end.failures : undefined,
-      events: this._ledger.progress(item.id).lastEvent(),
+      events: this._ledger.progress(item.id).lastEventNumber(),
       tookMs: Math.round(tookMs),
     });
   }
 }
 
-/** Each request that is under way listens: a batch has as many as items end at a time. */
-function newAborter(): AbortController {
+/** Returns a controller without a listener limit: every request in flight listens to its signal. */
+function newAbortController(): AbortController {
   const aborter = new AbortController();
   setMaxListeners(0, aborter.signal);
   return aborter;
 }
 
-/** What an answer to a request for a score says. Only a whole success with its proof of origin is a score. */
+/** Interprets the answer to a score request. Only a complete success with proof of origin is a score. */
 export function toScoreEnd(outcome: ForwardOutcome): ScoreEnd {
   if (outcome.kind !== 'answered') {
     const reason = 'reason' in outcome ? outcome.reason : outcome.kind;
--- a/packages/gateway/src/modelShares.ts
+++ b/packages/gateway/src/modelShares.ts
@@ -1,7 +1,7 @@
 /**
- * How the endpoints of a pool are divided among its models, as every host computes it from its own view.
+ * Divides the endpoints of a pool among its models. Every host computes this from its own view of the pool.
  */
-import { shareEndpoints, type ModelTargets, type SharedEndpoint } from '@fuchsiahitch/batches';
+import { assignEndpoints, type ModelTargets, type SharedEndpoint } from '@fuchsiahitch/batches';
 import type { ConfigurationService } from './configurationService.js';
 import type { Endpoint } from './endpoint.js';
 import type { EndpointDirectory } from './endpointDirectory.js';
@@ -9,9 +9,9 @@
 export interface ModelShares {
   /** The endpoints of the pool that are not leaving. */
   readonly endpoints: readonly Endpoint[];
-  /** The newest version of each model by its name. */
+  /** The newest version of each model, by model name. */
   readonly targets: ModelTargets;
-  /** The identifiers of each model's endpoints. */
+  /** Endpoint identifiers by model name. */
   readonly shares: ReadonlyMap<string, readonly string[]>;
 }
 
@@ -21,10 +21,10 @@
   directory: EndpointDirectory,
 ): ModelShares {
   const models = configuration.models().get(pool) ?? [];
-  const endpoints = directory.ofPool(pool).filter(endpoint => !endpoint.isLeaving);
+  const endpoints = directory.inPool(pool).filter(endpoint => !endpoint.isLeaving);
   const targets = new Map(models.map(model => [model, configuration.namedVersion(model)]));
   const views = endpoints.map(endpoint => sharedView(endpoint, models));
-  return { endpoints, targets, shares: shareEndpoints(views, targets) };
+  return { endpoints, targets, shares: assignEndpoints(views, targets) };
 }
 
 function sharedView(endpoint: Endpoint, models: readonly string[]): SharedEndpoint {
--- a/packages/gateway/src/reachabilityMonitor.ts
+++ b/packages/gateway/src/reachabilityMonitor.ts
@@ -7,7 +7,7 @@
  * After a delay of the event loop, replies may have arrived that were not read. The monitor therefore reads pending I/O before
  * it considers the store or a round unanswered.
  */
-import { every, haveRead } from '@fuchsiahitch/base';
+import { every, pendingIoRead } from '@fuchsiahitch/base';
 import type { GatewayContext } from './gatewayContext.js';
 import type { Hosts } from './hostDirectory.js';
 import type { RelayedStore } from './relayedStore.js';
@@ -57,7 +57,7 @@
 
   private async _isStoreReached(): Promise<boolean> {
     if (this._store.sinceReachedMs() < STORE_SILENCE_MS) return true;
-    await haveRead();
+    await pendingIoRead();
     return this._store.sinceReachedMs() < STORE_SILENCE_MS;
   }
 
--- a/packages/gateway/src/usageRecords.ts
+++ b/packages/gateway/src/usageRecords.ts
@@ -5,7 +5,7 @@
  * same content again.
  */
 import { Deadline, err, ok, type Result } from '@fuchsiahitch/base';
-import { ROOT } from '@fuchsiahitch/batches';
+import { KEY_ROOT } from '@fuchsiahitch/batches';
 import type { RevisionedStore } from '@fuchsiahitch/clients';
 import {
   decodeProcessUsages,
@@ -15,7 +15,7 @@
 } from '@fuchsiahitch/metering';
 import type { GatewayContext } from './gatewayContext.js';
 
-const PREFIX = `${ROOT}usage/`;
+const PREFIX = `${KEY_ROOT}usage/`;
 const SETTLED_KEY = `${PREFIX}settled`;
 const TOLD_KEY = `${PREFIX}told`;
 const DECIDED_PREFIX = `${PREFIX}decided/`;
--- a/packages/gateway/src/weightOrders.ts
+++ b/packages/gateway/src/weightOrders.ts
@@ -6,7 +6,7 @@
 import type { RevisionedStore } from '@fuchsiahitch/clients';
 import {
   LoadWindow,
-  orderLoads,
+  prioritizeLoads,
   SwapPlanner,
   type DueLoad,
   type ModelLoads,
@@ -37,7 +37,7 @@
   loadsPerSecond: 1000,
   swapTimeoutMs: 4000,
   maxTries: 8,
-  readBackAfterMs: 250,
+  readBackIntervalMs: 250,
 };
 /** Exceeds the duration of a load while many endpoints load. */
 const WINDOW_TIMEOUT_MS = 2500;
@@ -120,7 +120,7 @@
       const share = endpoints.filter(endpoint => shares.get(model)?.includes(endpoint.id));
       loads.push(this._loadsOf(pool, model, version, share));
     }
-    const due = orderLoads(loads, ALLOWED_LAG);
+    const due = prioritizeLoads(loads, ALLOWED_LAG);
     const limit = Math.max(1, Math.floor(LOADING_SHARE * endpoints.length));
     const loading = endpoints.filter(endpoint => endpoint.isLoading()).length;
     const window = new Set(this._windowOf(pool).next(due, limit - loading));
@@ -133,14 +133,14 @@
     planner.setTarget({ pool, version: named, sequence: named, share: 1 });
     for (const endpoint of share)
       if (endpoint.domain === this._domain) this._updatePlanner(planner, endpoint, model);
-    for (const id of planner.toReadBack()) void this._readBack(id, model);
+    for (const id of planner.dueForReadBack()) void this._readBack(id, model);
     const candidates = share.map(endpoint => ({
       id: endpoint.id,
       version: endpoint.expectedVersionOf(model),
       load: endpoint.stats.estimatedLoad(),
-      takesOrders: this._takesOrders(endpoint),
+      acceptsOrders: this._takesOrders(endpoint),
     }));
-    return { model, named, candidates };
+    return { model, namedVersion: named, candidates };
   }
 
   private _orderLoad(pool: string, load: DueLoad, token: number): void {
@@ -255,14 +255,14 @@
   private _isSameStart(endpoint: Endpoint, report: WeightReport): boolean {
     const { startWallMs, versions } = report;
     if (startWallMs === undefined || startWallMs === endpoint.info().startWallMs) return true;
-    this._ports.endpoints.restarted(endpoint.id, startWallMs, versions);
+    this._ports.endpoints.recordRestart(endpoint.id, startWallMs, versions);
     return false;
   }
 
   /** Notifies peers at once: batch owners send no items to the endpoint before they have its new version. */
   private _onVersionSeen(endpoint: Endpoint, model: string, version: number): void {
     if (version <= endpoint.versionOf(model)) return;
-    endpoint.heardVersion(model, version);
+    endpoint.recordVersion(model, version);
     this._notifyPeers(calls.versionSeen, toEndpointVersion(endpoint, model, version));
   }
 
@@ -282,7 +282,7 @@
 /** Handles version updates from the hosts that send orders. */
 export function serveVersions(server: CallRegistry, endpoints: EndpointDirectory): void {
   server.handle(calls.versionSeen, update => {
-    endpointOfStart(endpoints, update)?.heardVersion(update.model, update.version);
+    endpointOfStart(endpoints, update)?.recordVersion(update.model, update.version);
     return {};
   });
   server.handle(calls.loadBegan, update => {
--- a/packages/requests/src/slotMap.ts
+++ b/packages/requests/src/slotMap.ts
@@ -1,27 +1,26 @@
 /**
- * Which host of a failure domain answers for which idempotency keys.
+ * Assigns the idempotency keys of a failure domain to its hosts.
  *
- * The map is one small value in the platform's key-value service for each failure domain, changed by
- * compare-and-swap when hosts come and go. Its epochs fence: a holder that learnt a later epoch of a slot
- * takes no part in the earlier one (docs/design/keys.md).
+ * The map is one value per failure domain in the platform's key-value service, updated by compare-and-swap when hosts
+ * join or leave. Its epochs fence: a holder that received a later epoch of a slot accepts nothing of earlier ones
+ * (docs/design/keys.md).
  */
 import { hash32, rendezvous } from '@fuchsiahitch/base';
 import * as z from 'zod';
 
-/** Slots of one failure domain. At 33 hosts each owns four and copies four. */
-export const SLOTS_A_DOMAIN = 128;
-/** Generations that were not confirmed as settled yet. Longer chains are not begun. */
-const MAX_OLDER = 16;
-/** An owner shortens the chains of its settled slots when one is this long. */
-const TRIM_AT = 4;
-/** Hosts whose loads differ by less than this share of the mean, or this number, are left alone. */
-const UNEVEN_SHARE = 0.25;
-const MIN_GAP = 2;
-
-/** One process of a host: `hostId#incarnation`. A restarted host is another holder. */
+export const SLOTS_PER_DOMAIN = 128;
+/** The maximum number of earlier generations that are not confirmed as settled. */
+const MAX_OLDER_GENERATIONS = 16;
+/** An owner removes the earlier generations of a settled slot from this number on. */
+const TRIM_LENGTH = 4;
+/** Differences up to this share of the mean, or up to `MIN_IMBALANCE`, are not rebalanced. */
+const IMBALANCE_SHARE = 0.25;
+const MIN_IMBALANCE = 2;
+
+/** One process of a host, as `hostId#incarnation`: a restarted host is another holder. */
 export const holderIdSchema = z.string().regex(/^[^#]+#\d+$/, 'not a holder hostId#incarnation');
 
-/** Who held a slot in an epoch; an empty copy means that the owner stood alone. */
+/** The holders of a slot in one epoch; `copy` is empty if the owner is the only one. */
 export const generationSchema = z
   .strictObject({
     epoch: z.number().int(),
@@ -31,11 +30,11 @@
   .readonly();
 export type Generation = z.infer<typeof generationSchema>;
 
-/** A slot's present generation and the earlier ones that may hold its records. */
+/** A slot's current generation, and in `older` the earlier ones that may hold its records. */
 export const slotEntrySchema = z
   .strictObject({
     ...generationSchema.unwrap().shape,
-    older: z.array(generationSchema).max(MAX_OLDER).readonly(),
+    older: z.array(generationSchema).max(MAX_OLDER_GENERATIONS).readonly(),
   })
   .readonly();
 export type SlotEntry = z.infer<typeof slotEntrySchema>;
@@ -46,8 +45,8 @@
     revision: z.number().int(),
     /** Digest of the deployment's list of failure domains: hosts with another list serve no keys. */
     domains: z.string(),
-    slots: z.array(slotEntrySchema).length(SLOTS_A_DOMAIN).readonly(),
-    /** Holders that an operator declared to have ended: nothing else proves it when a host never returns. */
+    slots: z.array(slotEntrySchema).length(SLOTS_PER_DOMAIN).readonly(),
+    /** Holders that an operator declared terminated, for hosts that never return. */
     gone: z.array(holderIdSchema).max(1000).readonly(),
   })
   .readonly();
@@ -62,14 +61,13 @@
   return { hostId, incarnation: Number(incarnation) };
 }
 
-/** The slot of a key. */
 export function slotOf(key: string): number {
-  return hash32(key) % SLOTS_A_DOMAIN;
+  return hash32(key) % SLOTS_PER_DOMAIN;
 }
 
 /**
- * The failure domain that answers for a key: the one that the key names before a colon, or else one by
- * hash. It never depends on who is alive, or two cut-off domains could both run the request.
+ * Returns the failure domain responsible for a key: the one named before the key's first colon, or else one by hash.
+ * It must not depend on which hosts are alive: two partitioned domains could otherwise both run the request.
  */
 export function homeDomain(key: string, domains: readonly string[]): string {
   const prefix = key.slice(0, Math.max(0, key.indexOf(':')));
@@ -77,18 +75,17 @@
   return rendezvous(key, domains)[0] ?? '';
 }
 
-/** What a plan may take for granted about hosts. */
-export interface PlanInput {
+export interface SlotPlanInput {
   readonly domain: string;
   readonly domains: string;
-  /** Holders that can take duties, sorted. */
+  /** Holders that can be assigned duties, sorted. */
   readonly live: readonly string[];
-  /** Slots that this host owns and has settled: their earlier generations are no longer needed. */
+  /** Slots that this host owns and has settled, whose earlier generations are no longer needed. */
   readonly settled: ReadonlySet<number>;
 }
 
-/** The map that suits the live holders, or undefined when the present one does. */
-export function planSlotMap(current: SlotMap | undefined, input: PlanInput): SlotMap | undefined {
+/** Returns a new map for the live holders, or undefined if the current one needs no change. */
+export function planSlotMap(current: SlotMap | undefined, input: SlotPlanInput): SlotMap | undefined {
   if (input.live.length === 0) return undefined;
   const plan = new SlotPlan(current?.slots, input);
   const slots = plan.run();
@@ -97,23 +94,23 @@
   return { domain: input.domain, domains: input.domains, revision, slots, gone: current?.gone ?? [] };
 }
 
-/** One run of the planner: keeps surviving holders where they are and spreads the rest evenly. */
+/** One planning run: keeps the assignments of live holders and distributes the rest evenly. */
 class SlotPlan {
   private readonly _entries: readonly (SlotEntry | undefined)[];
-  private readonly _input: PlanInput;
+  private readonly _input: SlotPlanInput;
   private readonly _live: ReadonlySet<string>;
-  /** Slots that a holder owns or copies. */
-  private readonly _duties = new Map<string, number>();
-  private readonly _owned = new Map<string, number>();
+  /** The number of slots that each holder owns or copies. */
+  private readonly _dutyCounts = new Map<string, number>();
+  private readonly _ownedCounts = new Map<string, number>();
   private _changed = false;
 
-  constructor(entries: readonly SlotEntry[] | undefined, input: PlanInput) {
-    this._entries = entries ?? Array.from({ length: SLOTS_A_DOMAIN }, () => undefined);
+  constructor(entries: readonly SlotEntry[] | undefined, input: SlotPlanInput) {
+    this._entries = entries ?? Array.from({ length: SLOTS_PER_DOMAIN }, () => undefined);
     this._input = input;
     this._live = new Set(input.live);
-    for (const holder of input.live) this._duties.set(holder, 0);
+    for (const holder of input.live) this._dutyCounts.set(holder, 0);
     for (const entry of this._entries) {
-      if (entry) this._take(entry.owner, entry.copy, 1);
+      if (entry) this._adjustCounts(entry.owner, entry.copy, 1);
     }
   }
 
@@ -126,73 +123,77 @@
   }
 
   private _place(entry: SlotEntry | undefined, slot: number): SlotEntry {
-    if (!entry) return this._first();
+    if (!entry) return this._newEntry();
     const hasOwner = this._live.has(entry.owner);
     const hasCopy = this._live.has(entry.copy);
     const wantsCopy = this._input.live.length > 1;
     if (hasOwner && hasCopy) return this._rebalanced(this._trimmed(entry, slot), slot);
     if (hasOwner && !wantsCopy && entry.copy === '') return entry;
-    const older = this._olderOf(entry, slot);
-    if (older.length > MAX_OLDER) return entry;
+    const older = this._olderGenerations(entry, slot);
+    if (older.length > MAX_OLDER_GENERATIONS) return entry;
     const owner = hasOwner ? entry.owner : hasCopy ? entry.copy : this._leastLoaded('');
     const copy = hasOwner && hasCopy ? entry.copy : this._leastLoaded(owner);
-    return this._changedTo(entry, owner, copy, older);
+    return this._reassigned(entry, owner, copy, older);
   }
 
   /**
-   * Evens out what joined hosts left uneven: first copies move to them, then owner and copy change roles.
-   * A slot whose chain is long waits until its owner has shortened it. Waiting for every single generation to
-   * be confirmed made each join cost a map for each host, since only owners know what is settled.
+   * Rebalances a slot after hosts have joined: moves the copy or else swaps the roles of owner and copy. A slot with
+   * many earlier generations is left until its owner has trimmed them.
    */
   private _rebalanced(entry: SlotEntry, slot: number): SlotEntry {
-    const older = this._olderOf(entry, slot);
-    if (older.length > TRIM_AT) return entry;
-    return this._copyMoved(entry, older) ?? this._rolesChanged(entry, older) ?? entry;
+    const older = this._olderGenerations(entry, slot);
+    if (older.length > TRIM_LENGTH) return entry;
+    return this._withCopyMoved(entry, older) ?? this._withRolesSwapped(entry, older) ?? entry;
   }
 
   /**
-   * Forgets the earlier generations of a slot that this planner owns and has settled. Without it chains grow with
-   * every change until none can be begun, and a slot whose holder dies stays without one.
+   * Removes the earlier generations of a settled slot. Without it they reach their maximum, and a slot that loses a
+   * holder could not be reassigned.
    */
   private _trimmed(entry: SlotEntry, slot: number): SlotEntry {
-    if (entry.older.length < TRIM_AT || !this._input.settled.has(slot)) return entry;
+    if (entry.older.length < TRIM_LENGTH || !this._input.settled.has(slot)) return entry;
     this._changed = true;
     return { ...entry, older: [] };
   }
 
-  private _copyMoved(entry: SlotEntry, older: readonly Generation[]): SlotEntry | undefined {
+  private _withCopyMoved(entry: SlotEntry, older: readonly Generation[]): SlotEntry | undefined {
     const lightest = this._leastLoaded(entry.owner);
     if (lightest === '' || lightest === entry.copy) return undefined;
-    const gap = this._dutiesOf(entry.copy) - this._dutiesOf(lightest);
-    const mean = (2 * SLOTS_A_DOMAIN) / this._input.live.length;
-    if (gap <= Math.max(MIN_GAP, mean * UNEVEN_SHARE)) return undefined;
-    return this._changedTo(entry, entry.owner, lightest, older);
+    const gap = this._dutyCount(entry.copy) - this._dutyCount(lightest);
+    const mean = (2 * SLOTS_PER_DOMAIN) / this._input.live.length;
+    if (gap <= Math.max(MIN_IMBALANCE, mean * IMBALANCE_SHARE)) return undefined;
+    return this._reassigned(entry, entry.owner, lightest, older);
   }
 
-  private _rolesChanged(entry: SlotEntry, older: readonly Generation[]): SlotEntry | undefined {
-    const gap = this._ownedBy(entry.owner) - this._ownedBy(entry.copy);
-    const mean = SLOTS_A_DOMAIN / this._input.live.length;
-    if (gap <= Math.max(MIN_GAP, mean * UNEVEN_SHARE)) return undefined;
-    return this._changedTo(entry, entry.copy, entry.owner, older);
+  private _withRolesSwapped(entry: SlotEntry, older: readonly Generation[]): SlotEntry | undefined {
+    const gap = this._ownedCount(entry.owner) - this._ownedCount(entry.copy);
+    const mean = SLOTS_PER_DOMAIN / this._input.live.length;
+    if (gap <= Math.max(MIN_IMBALANCE, mean * IMBALANCE_SHARE)) return undefined;
+    return this._reassigned(entry, entry.copy, entry.owner, older);
   }
 
-  private _changedTo(entry: SlotEntry, owner: string, copy: string, older: readonly Generation[]): SlotEntry {
+  private _reassigned(
+    entry: SlotEntry,
+    owner: string,
+    copy: string,
+    older: readonly Generation[],
+  ): SlotEntry {
     if (owner === entry.owner && copy === entry.copy) return entry;
     this._changed = true;
-    this._take(entry.owner, entry.copy, -1);
-    this._take(owner, copy, 1);
+    this._adjustCounts(entry.owner, entry.copy, -1);
+    this._adjustCounts(owner, copy, 1);
     return { epoch: entry.epoch + 1, owner, copy, older };
   }
 
-  private _first(): SlotEntry {
+  private _newEntry(): SlotEntry {
     this._changed = true;
     const owner = this._leastLoaded('');
     const copy = this._leastLoaded(owner);
-    this._take(owner, copy, 1);
+    this._adjustCounts(owner, copy, 1);
     return { epoch: 1, owner, copy, older: [] };
   }
 
-  private _olderOf(entry: SlotEntry, slot: number): readonly Generation[] {
+  private _olderGenerations(entry: SlotEntry, slot: number): readonly Generation[] {
     const last: Generation = { epoch: entry.epoch, owner: entry.owner, copy: entry.copy };
     return this._input.settled.has(slot) ? [last] : [last, ...entry.older];
   }
@@ -201,22 +202,22 @@
     let best = '';
     for (const holder of this._input.live) {
       if (holder === except) continue;
-      if (best === '' || this._dutiesOf(holder) < this._dutiesOf(best)) best = holder;
+      if (best === '' || this._dutyCount(holder) < this._dutyCount(best)) best = holder;
     }
     return best;
   }
 
-  private _dutiesOf(holder: string): number {
-    return this._duties.get(holder) ?? 0;
+  private _dutyCount(holder: string): number {
+    return this._dutyCounts.get(holder) ?? 0;
   }
 
-  private _ownedBy(holder: string): number {
-    return this._owned.get(holder) ?? 0;
+  private _ownedCount(holder: string): number {
+    return this._ownedCounts.get(holder) ?? 0;
   }
 
-  private _take(owner: string, copy: string, change: number): void {
-    this._owned.set(owner, this._ownedBy(owner) + change);
-    this._duties.set(owner, this._dutiesOf(owner) + change);
-    if (copy !== '') this._duties.set(copy, this._dutiesOf(copy) + change);
+  private _adjustCounts(owner: string, copy: string, change: number): void {
+    this._ownedCounts.set(owner, this._ownedCount(owner) + change);
+    this._dutyCounts.set(owner, this._dutyCount(owner) + change);
+    if (copy !== '') this._dutyCounts.set(copy, this._dutyCount(copy) + change);
   }
 }
--- a/tests/accountFlood.spec.ts
+++ b/tests/accountFlood.spec.ts
@@ -4,10 +4,10 @@
 import tap from 'tap';
 import { SeededRandom, sleep } from '@fuchsiahitch/base';
 import type { EndpointReply } from '@fuchsiahitch/gateway';
-import { evenShare, FairAdmission } from '@fuchsiahitch/requests';
+import { maxMinFairShare, FairAdmission } from '@fuchsiahitch/requests';
 import { GatewayFleet } from './gatewayFleet.js';
 import { answer, endpointRecord, keys } from './gatewayWorld.js';
-import { lookup, LOOKUP, NOBODY_LEFT } from './lookups.js';
+import { lookupRequest, LOOKUP_ROUTE, NEVER_ABORTED } from './lookupRequests.js';
 
 const ACCOUNTS = 76;
 const SERVERS = 3;
@@ -63,8 +63,8 @@
     const host = fleet.hosts[random.below(fleet.hosts.length)];
     if (!host) continue;
     add(result.requested, accountName);
-    const request = lookup(random.id(), '/a/x', { accountName });
-    void host.gateway.forwarder.forward(request, LOOKUP, NOBODY_LEFT).then(outcome => {
+    const request = lookupRequest(random.id(), '/a/x', { accountName });
+    void host.gateway.forwarder.forward(request, LOOKUP_ROUTE, NEVER_ABORTED).then(outcome => {
       if (outcome.kind === 'answered') add(result.served, accountName);
     });
     await fleet.clock.advance(1);
@@ -91,10 +91,10 @@
 await tap.test('should share capacity evenly and distribute unused shares', t => {
   const demand = (...counts: readonly number[]): ReadonlyMap<string, number> =>
     new Map(counts.map((count, i) => [`a${i}`, count]));
-  t.equal(evenShare(demand(100, 2, 3), 25), 20);
-  t.equal(evenShare(demand(100, 100), 30), 15);
-  t.equal(evenShare(demand(5, 5), 30), Infinity, 'capacity is sufficient');
-  t.equal(evenShare(demand(5, 5, 5), 0.3), 1, 'every account gets at least one');
+  t.equal(maxMinFairShare(demand(100, 2, 3), 25), 20);
+  t.equal(maxMinFairShare(demand(100, 100), 30), 15);
+  t.equal(maxMinFairShare(demand(5, 5), 30), Infinity, 'capacity is sufficient');
+  t.equal(maxMinFairShare(demand(5, 5, 5), 0.3), 1, 'every account gets at least one');
   t.end();
 });
 
--- a/tests/dutyStandIn.ts
+++ b/tests/dutyStandIn.ts
@@ -2,7 +2,7 @@
  * In-memory stand-in of the platform's side of duties, which records all calls and rule violations.
  */
 import { sleep, type Clock } from '@fuchsiahitch/base';
-import type { CapacityOrder, DutyAct, DutyAnswer, PlatformDuties } from '@fuchsiahitch/gateway';
+import type { CapacityOrder, DutyHolder, DutyAnswer, PlatformDuties } from '@fuchsiahitch/gateway';
 import { totalOf, type UsageReport } from '@fuchsiahitch/metering';
 
 /** `late`: not answered, and executed seconds later, as the platform may do with any call. */
@@ -11,7 +11,7 @@
 const ANSWER_MS = 2;
 const SILENT_MS = 1500;
 
-interface Arrival extends DutyAct {
+interface Arrival extends DutyHolder {
   readonly hostId: string;
   readonly atMs: number;
 }
@@ -48,7 +48,7 @@
     return [...this.reports.values()].reduce((sum, report) => sum + totalOf(report.counts), 0);
   }
 
-  private async _call(hostId: string, act: DutyAct, execute: () => void): Promise<DutyAnswer> {
+  private async _call(hostId: string, act: DutyHolder, execute: () => void): Promise<DutyAnswer> {
     await sleep(this._clock, ANSWER_MS);
     const mode = this.unreachableFrom.has(hostId) ? 'away' : this.mode;
     if (mode === 'away') return 'unreached';
--- a/tests/eventLoopLag.spec.ts
+++ b/tests/eventLoopLag.spec.ts
@@ -81,7 +81,7 @@
   const running = await twoRuns();
   const { world, host, streams } = running;
   t.equal(streams.begun, 2);
-  await world.clock.hold(2000, () => streams.arrive(44));
+  await world.clock.blockEventLoop(2000, () => streams.arrive(44));
   await flow(running, 500);
   t.equal(streams.begun, 2, 'no run was abandoned');
   t.notOk(host.context.log.has('item attempt'));
@@ -95,7 +95,7 @@
     // Guards against counting the blocked time as the pace of one endpoint, which would move its items.
     const running = await twoRuns();
     const { world, host, streams } = running;
-    await world.clock.hold(340, () => {
+    await world.clock.blockEventLoop(340, () => {
       streams.arrive(1, 'e1');
       streams.arrive(7, 'e2');
     });
@@ -109,7 +109,7 @@
 await tap.test('should abandon an unresponsive endpoint soon after the event loop was blocked', async t => {
   const running = await twoRuns();
   const { world, streams } = running;
-  await world.clock.hold(1000, () => streams.arrive(22, 'e2'));
+  await world.clock.blockEventLoop(1000, () => streams.arrive(22, 'e2'));
   for (let passedMs = 0; passedMs < 100; passedMs += EVENT_MS) {
     await world.clock.advance(EVENT_MS);
     streams.arrive(1, 'e2');
@@ -125,7 +125,7 @@
     const { world, streams } = await twoRuns();
     let heldMs = 0;
     for (; heldMs < 5000 && streams.begun === 2; heldMs += 200)
-      await world.clock.hold(200, () => streams.arrive(4, 'e2'));
+      await world.clock.blockEventLoop(200, () => streams.arrive(4, 'e2'));
     t.ok(heldMs <= 1200, `abandoned after ${heldMs} ms`);
     world.stop();
   },
@@ -160,20 +160,22 @@
 
 await tap.test('should measure the event loop lag of the last seconds', async t => {
   const world = new GatewayWorld();
-  const { loop } = world.start('a').context;
+  const { eventLoop: loop } = world.start('a').context;
   await world.clock.advance(1000);
-  t.equal(loop.recentMs(), 0);
+  t.equal(loop.recentLagMs(), 0);
   const beforeMs = world.clock.nowMs();
-  t.ok(loop.isPunctualSince(beforeMs));
-  await world.clock.hold(1000, () => t.notOk(loop.isPunctualSince(beforeMs), 'while pending I/O is read'));
-  t.ok(loop.recentMs() >= 950, 'a tick is due every 50 ms');
+  t.ok(loop.isOnTimeSince(beforeMs));
+  await world.clock.blockEventLoop(1000, () =>
+    t.notOk(loop.isOnTimeSince(beforeMs), 'while pending I/O is read'),
+  );
+  t.ok(loop.recentLagMs() >= 950, 'a tick is due every 50 ms');
   await world.clock.advance(100);
-  t.notOk(loop.isPunctualSince(beforeMs));
-  t.ok(loop.isPunctualSince(world.clock.nowMs()));
+  t.notOk(loop.isOnTimeSince(beforeMs));
+  t.ok(loop.isOnTimeSince(world.clock.nowMs()));
   await world.clock.advance(2000);
-  t.ok(loop.recentMs() >= 950);
+  t.ok(loop.recentLagMs() >= 950);
   await world.clock.advance(4000);
-  t.equal(loop.recentMs(), 0);
+  t.equal(loop.recentLagMs(), 0);
   world.stop();
 });
 
--- a/tests/eventLoopLagPeers.spec.ts
+++ b/tests/eventLoopLagPeers.spec.ts
@@ -149,7 +149,7 @@
     isLongOver = true;
   });
   await isAsked;
-  await clock.hold(2000, () => peer.answer());
+  await clock.blockEventLoop(2000, () => peer.answer());
   t.same(await short, { ok: true, value: {} });
   t.same(await link.call(echo, {}, Deadline.after(clock, 1000)), { ok: true, value: {} });
   await clock.advance(1000);
@@ -170,7 +170,7 @@
     const isAsked = peer.hasReceivedCall();
     const first: Reply = link.call(asked, {}, Deadline.after(clock, 300));
     await isAsked;
-    await clock.hold(2000, () => undefined);
+    await clock.blockEventLoop(2000, () => undefined);
     await clock.advance(100);
     t.match(await first, { ok: false, error: { kind: 'timed-out' } });
     t.same(peer.counters.refusals, ['silent']);
@@ -206,7 +206,7 @@
     const link = await peer.open();
     const short = link.call(echo, {}, Deadline.after(clock, 300));
     const long = link.call(echo, {}, Deadline.after(clock, 30_000));
-    await clock.hold(2000, () => undefined);
+    await clock.blockEventLoop(2000, () => undefined);
     t.same(await long, { ok: true, value: {} });
     t.match(await short, { ok: false, error: { kind: 'not-sent' } });
     t.equal(peer.echoed, 1, 'the expired call was not sent');
@@ -269,7 +269,7 @@
   // Guards against judging the store by the time since the last read before pending answers are read.
   const { clock, monitor, storeAnswers, stop } = watched();
   for (let i = 0; i < 12; i++) {
-    await clock.hold(1000, storeAnswers);
+    await clock.blockEventLoop(1000, storeAnswers);
     t.notOk(monitor.isCutOff(), `blocked ${i + 1} times`);
   }
   stop.abort();
@@ -279,7 +279,7 @@
   const { clock, monitor, stop } = watched();
   let heldMs = 0;
   for (; heldMs < 6000 && !monitor.isCutOff(); heldMs += 200) {
-    await clock.hold(200, () => undefined);
+    await clock.blockEventLoop(200, () => undefined);
     // The monitor decides in the event loop iteration after its timer, during which no time passes.
     await settle();
   }
@@ -332,7 +332,7 @@
   async t => {
     // Guards against a hedge that is sent before an answer which has already arrived is read.
     const { clock, client, outcome, answerFirst, stop } = await forwarding();
-    await clock.hold(400, answerFirst);
+    await clock.blockEventLoop(400, answerFirst);
     await clock.advance(200);
     const end = await outcome;
     t.ok(end.kind === 'answered' && end.answer.body.toString() === 'first');
@@ -343,7 +343,7 @@
 
 await tap.test('should hedge a request within 100 ms after the event loop was blocked', async t => {
   const { clock, client, outcome, stop } = await forwarding();
-  await clock.hold(400, () => undefined);
+  await clock.blockEventLoop(400, () => undefined);
   await clock.advance(100);
   const end = await outcome;
   t.ok(end.kind === 'answered' && end.answer.body.toString() === 'second');
@@ -356,7 +356,7 @@
   async t => {
     // The hedge is due at 120 ms and the deadline at 1500 ms; the 100 ms allowed for lag extend past the deadline.
     const { clock, client, outcome, stop } = await forwarding();
-    await clock.hold(1450, () => undefined);
+    await clock.blockEventLoop(1450, () => undefined);
     await clock.advance(1000);
     t.equal((await outcome).kind, 'unknown');
     t.equal(client.sends.length, 1);
