--- a/packages/gateway/src/dutyLease.ts
+++ b/packages/gateway/src/dutyLease.ts
@@ -165,7 +165,8 @@
   /** Encodes the recent actions of this holder and of its predecessors for a successor. */
   private _handover(): string {
     const { clock, hostId } = this._context;
-    // Includes the entries of the previous holder: a successor may start while they are still within the hand-over time.
+    // Includes the entries of the previous holder, which may still be within the hand-over time. Their ages are too low, which
+    // only prolongs the wait.
     const before = this._previousHandover?.quietMs ?? {};
     const quietMs = { ...before, ...this._actionTimes.quietMs(clock.nowMs()) };
     return encodeHandover({ hostId, isReleased: this._isReleased, quietMs });
@@ -195,12 +196,12 @@
     const { domain } = this._name;
     const waitMs = domain === undefined || domain === this._context.domain ? 0 : FOREIGN_DOMAIN_DELAY_MS;
     const lastHolderMs = last === undefined || last.isReleased ? 0 : LAST_HOLDER_GRACE_MS;
-    const rankDelayMs = Math.min(this._rank(), MAX_ACQUIRE_STEPS) * ACQUIRE_STEP_MS;
+    const rankDelayMs = Math.min(this._candidateRank(), MAX_ACQUIRE_STEPS) * ACQUIRE_STEP_MS;
     return waitMs + lastHolderMs + rankDelayMs + this._context.random.below(ACQUIRE_JITTER_MS);
   }
 
   /** Number of candidates that precede this host: hosts of its own domain for that domain's duty, all hosts otherwise. */
-  private _rank(): number {
+  private _candidateRank(): number {
     const { hosts } = this._ports;
     const isCandidate = (hostId: string): boolean =>
       this._name.domain !== this._context.domain || hosts.isOwnDomain(hostId);
--- a/packages/gateway/src/storeLease.ts
+++ b/packages/gateway/src/storeLease.ts
@@ -13,7 +13,7 @@
 /** Callbacks of the owner of a `StoreLease`. */
 export interface LeaseHolder {
   value(): string;
-  /** Delay before the key is acquired: 0 for now, Infinity until `recheck` is called. */
+  /** Delay before the key is acquired: 0 to acquire it now, Infinity to wait until `recheck` is called. */
   acquireDelayMs(): number;
   /** Called when the key was acquired or renewed. `sentMs`: when the request was sent; `token` grows with each holder. */
   held(token: number, sentMs: number): void;
--- a/packages/gateway/src/usageReporter.ts
+++ b/packages/gateway/src/usageReporter.ts
@@ -113,7 +113,7 @@
     return { kind: 'taken', trueMs: this._trueMs(), decidedUpTo: this._decidedUpTo() };
   }
 
-  /** Retains the ledger: hosts resend their counts only to a process that has not reported before. */
+  /** Retains the ledger: hosts don't resend their counts if the reporter is the same process as before. */
   taken(): void {
     this._acquiredMs = this._context.clock.nowMs();
     this._progress = undefined;
--- a/tests/dutyWire.spec.ts
+++ b/tests/dutyWire.spec.ts
@@ -34,14 +34,14 @@
   t.end();
 });
 
-interface Seen {
+interface ReceivedCall {
   readonly line: string;
   readonly headers: http.IncomingHttpHeaders;
   readonly body: string;
 }
 
-async function serve(status: number): Promise<{ address: string; seen: Seen[]; close: () => void }> {
-  const seen: Seen[] = [];
+async function serve(status: number): Promise<{ address: string; seen: ReceivedCall[]; close: () => void }> {
+  const seen: ReceivedCall[] = [];
   const server = http.createServer((request, response) => {
     const chunks: Buffer[] = [];
     request.on('data', (chunk: Buffer) => chunks.push(chunk));
@@ -85,7 +85,7 @@
     t.equal(platform.seen.length, 1, 'sent once');
     platform.close();
   }
-  const gone = await serve(200);
-  gone.close();
-  t.equal(await new DutyClient(gone.address).reportUsage(ACT, REPORT, TIMEOUTS), 'unreached');
+  const closed = await serve(200);
+  closed.close();
+  t.equal(await new DutyClient(closed.address).reportUsage(ACT, REPORT, TIMEOUTS), 'unreached');
 });
--- a/tests/eventLoopLag.spec.ts
+++ b/tests/eventLoopLag.spec.ts
@@ -20,11 +20,11 @@
 /** Item streams whose events are delivered by the test. */
 class Streams {
   /** Number of runs that were started, including abandoned ones. */
-  begun = 0;
+  startedRuns = 0;
   private readonly _open = new Set<Run>();
 
   async run(call: ItemCall, listener: ItemListener, signal: AbortSignal): Promise<ItemEnd> {
-    this.begun += 1;
+    this.startedRuns += 1;
     const run = { endpointId: call.endpoint.id, listener, number: call.afterEvent };
     listener.began(1, undefined);
     this._open.add(run);
@@ -34,7 +34,7 @@
   }
 
   /** Delivers the next events of each run, or of the runs at one endpoint. */
-  arrive(events: number, endpointId?: string): void {
+  deliver(events: number, endpointId?: string): void {
     for (const run of this._open) {
       if (endpointId !== undefined && run.endpointId !== endpointId) continue;
       for (let i = 0; i < events; i++) {
@@ -52,7 +52,7 @@
 }
 
 /** Runs two items at two endpoints for two seconds without lag. */
-async function twoRuns(): Promise<Running> {
+async function startTwoRuns(): Promise<Running> {
   const world = new GatewayWorld();
   const streams = new Streams();
   world.client.runItem = (...args) => streams.run(...args);
@@ -60,15 +60,15 @@
   await world.clock.advance(200);
   const submitted = batch('b1', [item('x', { group: 'g1' }), item('y', { group: 'g2' })]);
   await world.until(host.batches.submit(submitted, Deadline.after(world.clock, 1000)));
-  await flow({ world, host, streams }, 2000);
+  await deliverEvents({ world, host, streams }, 2000);
   return { world, host, streams };
 }
 
 /** Delivers events at a constant pace without lag. */
-async function flow({ world, streams }: Running, durationMs: number): Promise<void> {
+async function deliverEvents({ world, streams }: Running, durationMs: number): Promise<void> {
   for (let passedMs = 0; passedMs < durationMs; passedMs += EVENT_MS) {
     await world.clock.advance(EVENT_MS);
-    streams.arrive(1);
+    streams.deliver(1);
   }
 }
 
@@ -78,12 +78,12 @@
 
 await tap.test('should continue runs whose events arrived while the event loop was blocked', async t => {
   // Guards against stall time-outs that fire before events which have already arrived are read.
-  const running = await twoRuns();
+  const running = await startTwoRuns();
   const { world, host, streams } = running;
-  t.equal(streams.begun, 2);
-  await world.clock.blockEventLoop(2000, () => streams.arrive(44));
-  await flow(running, 500);
-  t.equal(streams.begun, 2, 'no run was abandoned');
+  t.equal(streams.startedRuns, 2);
+  await world.clock.blockEventLoop(2000, () => streams.deliver(44));
+  await deliverEvents(running, 500);
+  t.equal(streams.startedRuns, 2, 'no run was abandoned');
   t.notOk(host.context.log.has('item attempt'));
   t.same(paces(host), [EVENT_MS, EVENT_MS], 'the blocked time does not affect the pace');
   world.stop();
@@ -93,40 +93,40 @@
   'should not move items because of a pace measured while the event loop was blocked',
   async t => {
     // Guards against counting the blocked time as the pace of one endpoint, which would move its items.
-    const running = await twoRuns();
+    const running = await startTwoRuns();
     const { world, host, streams } = running;
     await world.clock.blockEventLoop(340, () => {
-      streams.arrive(1, 'e1');
-      streams.arrive(7, 'e2');
+      streams.deliver(1, 'e1');
+      streams.deliver(7, 'e2');
     });
-    await flow(running, 500);
-    t.equal(streams.begun, 2);
+    await deliverEvents(running, 500);
+    t.equal(streams.startedRuns, 2);
     t.same(paces(host), [EVENT_MS, EVENT_MS]);
     world.stop();
   },
 );
 
 await tap.test('should abandon an unresponsive endpoint soon after the event loop was blocked', async t => {
-  const running = await twoRuns();
+  const running = await startTwoRuns();
   const { world, streams } = running;
-  await world.clock.blockEventLoop(1000, () => streams.arrive(22, 'e2'));
+  await world.clock.blockEventLoop(1000, () => streams.deliver(22, 'e2'));
   for (let passedMs = 0; passedMs < 100; passedMs += EVENT_MS) {
     await world.clock.advance(EVENT_MS);
-    streams.arrive(1, 'e2');
+    streams.deliver(1, 'e2');
   }
   await world.clock.advance(10);
-  t.equal(streams.begun, 3, 'in 150 ms');
+  t.equal(streams.startedRuns, 3, 'in 150 ms');
   world.stop();
 });
 
 await tap.test(
   'should abandon an unresponsive endpoint while the event loop is blocked repeatedly',
   async t => {
-    const { world, streams } = await twoRuns();
-    let heldMs = 0;
-    for (; heldMs < 5000 && streams.begun === 2; heldMs += 200)
-      await world.clock.blockEventLoop(200, () => streams.arrive(4, 'e2'));
-    t.ok(heldMs <= 1200, `abandoned after ${heldMs} ms`);
+    const { world, streams } = await startTwoRuns();
+    let blockedMs = 0;
+    for (; blockedMs < 5000 && streams.startedRuns === 2; blockedMs += 200)
+      await world.clock.blockEventLoop(200, () => streams.deliver(4, 'e2'));
+    t.ok(blockedMs <= 1200, `abandoned after ${blockedMs} ms`);
     world.stop();
   },
 );
@@ -136,15 +136,15 @@
   const world = new GatewayWorld();
   world.store.put(`${keys.endpointPrefix}e1`, endpointRecord({ slots: 200 }));
   const streams = new Streams();
-  let inTurn = 0;
-  let mostInTurn = 0;
+  let inIteration = 0;
+  let mostInIteration = 0;
   world.client.runItem = (...args) => {
-    if (inTurn === 0)
+    if (inIteration === 0)
       setImmediate(() => {
-        inTurn = 0;
+        inIteration = 0;
       });
-    inTurn += 1;
-    mostInTurn = Math.max(mostInTurn, inTurn);
+    inIteration += 1;
+    mostInIteration = Math.max(mostInIteration, inIteration);
     return streams.run(...args);
   };
   const host = world.start('a');
@@ -153,8 +153,8 @@
   await world.until(host.batches.submit(batch('b1', items), Deadline.after(world.clock, 1000)));
   // Each advance is one iteration of the event loop.
   for (let turn = 0; turn < 10; turn++) await world.clock.advance(1);
-  t.equal(streams.begun, 144, 'without a noticeable delay');
-  t.ok(mostInTurn <= 16, `${mostInTurn} in one iteration`);
+  t.equal(streams.startedRuns, 144, 'without a noticeable delay');
+  t.ok(mostInIteration <= 16, `${mostInIteration} in one iteration`);
   world.stop();
 });
 
@@ -182,7 +182,7 @@
 /** Far longer than a local answer takes on a busy machine. */
 const ANSWER_MS = 600;
 /** Blocks the event loop beyond the time-out. */
-const LATE_MS = 800;
+const BLOCKED_MS = 800;
 
 /** Blocks the event loop. */
 function blockLoop(durationMs: number): void {
@@ -198,7 +198,7 @@
     const isReport = request.target === '/v1/report';
     const answer = isReport ? { models: [], busy: false, seq: 4 } : { key: 'k', value: 'djE=', revision: 3 };
     socket.write(genuine(request, JSON.stringify(answer)));
-    blockLoop(LATE_MS);
+    blockLoop(BLOCKED_MS);
   };
   const store = new StoreClient(address, () => undefined);
   const got = await store.get('k', Deadline.after(new SystemClock(), ANSWER_MS));
--- a/tests/eventLoopLagPeers.spec.ts
+++ b/tests/eventLoopLagPeers.spec.ts
@@ -214,7 +214,7 @@
   },
 );
 
-interface Watched {
+interface MonitorSetup {
   readonly clock: VirtualClock;
   readonly monitor: ReachabilityMonitor;
   /** Answers the pending store call and starts the next one. */
@@ -223,7 +223,7 @@
 }
 
 /** Monitor of a host that always has a pending store call, and whose peers are unresponsive. */
-function watched(): Watched {
+function startMonitor(): MonitorSetup {
   const clock = new VirtualClock();
   const context = testContext(clock);
   const direct = new FakeStore(clock).client();
@@ -235,18 +235,18 @@
     return ok(undefined);
   };
   const store = new RelayedStore(context, direct);
-  const ask = (): void => void store.get('k', Deadline.after(clock, 60_000));
-  ask();
+  const callStore = (): void => void store.get('k', Deadline.after(clock, 60_000));
+  callStore();
   const storeAnswers = (): void => {
     answerGet();
-    ask();
+    callStore();
   };
-  const monitor = new ReachabilityMonitor(context, store, silentHosts(clock));
+  const monitor = new ReachabilityMonitor(context, store, unresponsiveHosts(clock));
   monitor.start();
   return { clock, monitor, storeAnswers, stop: context.stop };
 }
 
-function silentHosts(clock: VirtualClock): Hosts {
+function unresponsiveHosts(clock: VirtualClock): Hosts {
   return {
     self: () => ({ hostId: 'a', incarnation: '1', address: 'a' }),
     isSynced: () => true,
@@ -267,7 +267,7 @@
 
 await tap.test('should not consider itself isolated while it reads store answers late', async t => {
   // Guards against judging the store by the time since the last read before pending answers are read.
-  const { clock, monitor, storeAnswers, stop } = watched();
+  const { clock, monitor, storeAnswers, stop } = startMonitor();
   for (let i = 0; i < 12; i++) {
     await clock.blockEventLoop(1000, storeAnswers);
     t.notOk(monitor.isCutOff(), `blocked ${i + 1} times`);
@@ -276,18 +276,18 @@
 });
 
 await tap.test('should consider itself isolated although its event loop is blocked repeatedly', async t => {
-  const { clock, monitor, stop } = watched();
-  let heldMs = 0;
-  for (; heldMs < 6000 && !monitor.isCutOff(); heldMs += 200) {
+  const { clock, monitor, stop } = startMonitor();
+  let blockedMs = 0;
+  for (; blockedMs < 6000 && !monitor.isCutOff(); blockedMs += 200) {
     await clock.blockEventLoop(200, () => undefined);
     // The monitor decides in the event loop iteration after its timer, during which no time passes.
     await settle();
   }
-  t.ok(heldMs <= 1800, `detected after ${heldMs} ms`);
+  t.ok(blockedMs <= 1800, `detected after ${blockedMs} ms`);
   stop.abort();
 });
 
-interface Forwarding {
+interface ForwardingSetup {
   readonly clock: VirtualClock;
   readonly client: ScriptedClient;
   readonly outcome: Promise<ForwardOutcome>;
@@ -297,7 +297,7 @@
 }
 
 /** Forwards a request that may be hedged after 120 ms, and waits for the first endpoint. */
-async function forwarding(): Promise<Forwarding> {
+async function startForwarding(): Promise<ForwardingSetup> {
   const clock = new VirtualClock();
   const store = new FakeStore(clock);
   const context = testContext(clock);
@@ -331,7 +331,7 @@
   'should not hedge a request whose answer arrived while the event loop was blocked',
   async t => {
     // Guards against a hedge that is sent before an answer which has already arrived is read.
-    const { clock, client, outcome, answerFirst, stop } = await forwarding();
+    const { clock, client, outcome, answerFirst, stop } = await startForwarding();
     await clock.blockEventLoop(400, answerFirst);
     await clock.advance(200);
     const end = await outcome;
@@ -342,7 +342,7 @@
 );
 
 await tap.test('should hedge a request within 100 ms after the event loop was blocked', async t => {
-  const { clock, client, outcome, stop } = await forwarding();
+  const { clock, client, outcome, stop } = await startForwarding();
   await clock.blockEventLoop(400, () => undefined);
   await clock.advance(100);
   const end = await outcome;
@@ -355,7 +355,7 @@
   'should send nothing after the deadline of a request, even if pending I/O is read first',
   async t => {
     // The hedge is due at 120 ms and the deadline at 1500 ms; the 100 ms allowed for lag extend past the deadline.
-    const { clock, client, outcome, stop } = await forwarding();
+    const { clock, client, outcome, stop } = await startForwarding();
     await clock.blockEventLoop(1450, () => undefined);
     await clock.advance(1000);
     t.equal((await outcome).kind, 'unknown');
--- a/tests/sharedWatch.spec.ts
+++ b/tests/sharedWatch.spec.ts
@@ -8,7 +8,7 @@
 import { FakeStore, type FakeStoreClient } from './fakeStore.js';
 import { endpointRecord, keys, PlainRecords, testContext } from './gatewayWorld.js';
 
-interface WatchingHost {
+interface DomainHost {
   readonly client: FakeStoreClient;
   readonly endpoints: EndpointDirectory;
 }
@@ -20,7 +20,7 @@
 ): Promise<{
   readonly clock: VirtualClock;
   readonly store: FakeStore;
-  readonly hosts: readonly WatchingHost[];
+  readonly hosts: readonly DomainHost[];
   readonly silent: Set<string>;
   readonly end: () => void;
 }> {
