--- a/tests/eventLoopLag.spec.ts
+++ b/tests/eventLoopLag.spec.ts
@@ -1,5 +1,5 @@
 /**
- * An event loop that runs late: what has arrived is read before anything is given up.
+ * Event loop lag: pending I/O is read before time-outs take effect.
  */
 import tap from 'tap';
 import { Deadline, SystemClock } from '@fuchsiahitch/base';
@@ -17,14 +17,14 @@
   number: number;
 }
 
-/** Streams whose events arrive when the test says so. */
+/** Item streams whose events are delivered by the test. */
 class Streams {
-  /** Every run that was begun, those that were given up too. */
-  begun = 0;
+  /** Number of runs that were started, including abandoned ones. */
+  startedRuns = 0;
   private readonly _open = new Set<Run>();
 
   async run(call: ItemCall, listener: ItemProgressListener, signal: AbortSignal): Promise<ItemEnd> {
-    this.begun += 1;
+    this.startedRuns += 1;
     const run = { endpointId: call.endpoint.id, listener, number: call.afterEvent };
     listener.began(1, undefined);
     this._open.add(run);
@@ -33,8 +33,8 @@
     return { kind: 'cancelled' };
   }
 
-  /** The next events of each run arrive, or of those at one endpoint. */
-  arrive(events: number, endpointId?: string): void {
+  /** Delivers the next events of each run, or of the runs at one endpoint. */
+  deliver(events: number, endpointId?: string): void {
     for (const run of this._open) {
       if (endpointId !== undefined && run.endpointId !== endpointId) continue;
       for (let i = 0; i < events; i++) {
@@ -51,24 +51,24 @@
   readonly streams: Streams;
 }
 
-/** Two items that run at two endpoints, for two seconds on a loop that is on time. */
-async function twoRuns(): Promise<Running> {
+/** Runs two items at two endpoints for two seconds without lag. */
+async function startTwoRuns(): Promise<Running> {
   const world = new GatewayWorld();
   const streams = new Streams();
   world.client.runItem = (...args) => streams.run(...args);
   const host = world.start('a');
   await world.clock.advance(200);
-  const given = batch('b1', [item('x', { group: 'g1' }), item('y', { group: 'g2' })]);
-  await world.until(host.batches.submit(given, Deadline.after(world.clock, 1000)));
-  await flow({ world, host, streams }, 2000);
+  const submitted = batch('b1', [item('x', { group: 'g1' }), item('y', { group: 'g2' })]);
+  await world.until(host.batches.submit(submitted, Deadline.after(world.clock, 1000)));
+  await deliverEvents({ world, host, streams }, 2000);
   return { world, host, streams };
 }
 
-/** Events come evenly, and the loop is on time. */
-async function flow({ world, streams }: Running, durationMs: number): Promise<void> {
+/** Delivers events at a constant pace without lag. */
+async function deliverEvents({ world, streams }: Running, durationMs: number): Promise<void> {
   for (let passedMs = 0; passedMs < durationMs; passedMs += EVENT_MS) {
     await world.clock.advance(EVENT_MS);
-    streams.arrive(1);
+    streams.deliver(1);
   }
 }
 
@@ -76,95 +76,99 @@
   return host.endpoints.all().map(endpoint => Math.round(endpoint.paceMs() ?? 0));
 }
 
-await tap.test('should keep the runs whose events arrived while the process was held up', async t => {
-  // Symptom: an owner on a host with a third of a core makes four attempts an item, most of them `stalled` or
-  // `cancelled`, and lists hardly a result. Sequence: its process is held up for longer than an endpoint may be silent;
-  // meanwhile the events come. Cause: the loop runs the timers that fell due before it reads what has arrived.
-  const running = await twoRuns();
+await tap.test('should continue runs whose events arrived while the event loop was blocked', async t => {
+  // Guards against stall time-outs that fire before events which have already arrived are read.
+  const running = await startTwoRuns();
   const { world, host, streams } = running;
-  t.equal(streams.begun, 2);
-  await world.clock.blockEventLoop(2000, () => streams.arrive(44));
-  await flow(running, 500);
-  t.equal(streams.begun, 2, 'no run was given up');
+  t.equal(streams.startedRuns, 2);
+  await world.clock.blockEventLoop(2000, () => streams.deliver(44));
+  await deliverEvents(running, 500);
+  t.equal(streams.startedRuns, 2, 'no run was abandoned');
   t.notOk(host.context.log.has('item attempt'));
-  t.same(paces(host), [EVENT_MS, EVENT_MS], 'nor a pace taken from that time');
+  t.same(paces(host), [EVENT_MS, EVENT_MS], 'the blocked time does not affect the pace');
   world.stop();
 });
 
-await tap.test('should move nothing for a pace of the time in which the process was held up', async t => {
-  // Symptom: items leave sound endpoints, and each move costs a prompt. Sequence: the process is held up; of one endpoint
-  // it then reads one event, of the other all that have come. Cause: the pause counts as one endpoint's pace.
-  const running = await twoRuns();
-  const { world, host, streams } = running;
-  await world.clock.blockEventLoop(340, () => {
-    streams.arrive(1, 'e1');
-    streams.arrive(7, 'e2');
-  });
-  await flow(running, 500);
-  t.equal(streams.begun, 2);
-  t.same(paces(host), [EVENT_MS, EVENT_MS]);
-  world.stop();
-});
-
-await tap.test('should give a silent endpoint up soon after the process was held up', async t => {
-  const running = await twoRuns();
+await tap.test(
+  'should not move items because of a pace measured while the event loop was blocked',
+  async t => {
+    // Guards against counting the blocked time as the pace of one endpoint, which would move its items.
+    const running = await startTwoRuns();
+    const { world, host, streams } = running;
+    await world.clock.blockEventLoop(340, () => {
+      streams.deliver(1, 'e1');
+      streams.deliver(7, 'e2');
+    });
+    await deliverEvents(running, 500);
+    t.equal(streams.startedRuns, 2);
+    t.same(paces(host), [EVENT_MS, EVENT_MS]);
+    world.stop();
+  },
+);
+
+await tap.test('should abandon an unresponsive endpoint soon after the event loop was blocked', async t => {
+  const running = await startTwoRuns();
   const { world, streams } = running;
-  await world.clock.blockEventLoop(1000, () => streams.arrive(22, 'e2'));
+  await world.clock.blockEventLoop(1000, () => streams.deliver(22, 'e2'));
   for (let passedMs = 0; passedMs < 100; passedMs += EVENT_MS) {
     await world.clock.advance(EVENT_MS);
-    streams.arrive(1, 'e2');
+    streams.deliver(1, 'e2');
   }
   await world.clock.advance(10);
-  t.equal(streams.begun, 3, 'in 150 ms');
-  world.stop();
-});
-
-await tap.test('should give a silent endpoint up while the process is held up again and again', async t => {
-  const { world, streams } = await twoRuns();
-  let heldMs = 0;
-  for (; heldMs < 5000 && streams.begun === 2; heldMs += 200)
-    await world.clock.blockEventLoop(200, () => streams.arrive(4, 'e2'));
-  t.ok(heldMs <= 1200, `given up after ${heldMs} ms`);
+  t.equal(streams.startedRuns, 3, 'in 150 ms');
   world.stop();
 });
 
-await tap.test('should read between the starts of the items of a large batch', async t => {
-  // Symptom: a host with a third of a core reads nothing for half a second after it took a batch; its lease and the calls
-  // that it answers wait. Sequence: a batch of 144 items begins. Cause: all its runs begin in one turn of the loop.
+await tap.test(
+  'should abandon an unresponsive endpoint while the event loop is blocked repeatedly',
+  async t => {
+    const { world, streams } = await startTwoRuns();
+    let blockedMs = 0;
+    for (; blockedMs < 5000 && streams.startedRuns === 2; blockedMs += 200)
+      await world.clock.blockEventLoop(200, () => streams.deliver(4, 'e2'));
+    t.ok(blockedMs <= 1200, `abandoned after ${blockedMs} ms`);
+    world.stop();
+  },
+);
+
+await tap.test('should read pending I/O between the starts of the items of a large batch', async t => {
+  // Guards against starting all runs of a batch in one iteration of the event loop, which delays leases and calls.
   const world = new GatewayWorld();
   world.store.put(`${keys.endpointPrefix}e1`, endpointRecord({ slots: 200 }));
   const streams = new Streams();
-  let inTurn = 0;
-  let mostInTurn = 0;
+  let inIteration = 0;
+  let mostInIteration = 0;
   world.client.runItem = (...args) => {
-    if (inTurn === 0)
+    if (inIteration === 0)
       setImmediate(() => {
-        inTurn = 0;
+        inIteration = 0;
       });
-    inTurn += 1;
-    mostInTurn = Math.max(mostInTurn, inTurn);
+    inIteration += 1;
+    mostInIteration = Math.max(mostInIteration, inIteration);
     return streams.run(...args);
   };
   const host = world.start('a');
   await world.clock.advance(200);
   const items = Array.from({ length: 144 }, (_, i) => item(`x${i}`));
   await world.until(host.batches.submit(batch('b1', items), Deadline.after(world.clock, 1000)));
-  // A turn of the loop each.
+  // Each advance is one iteration of the event loop.
   for (let turn = 0; turn < 10; turn++) await world.clock.advance(1);
-  t.equal(streams.begun, 144, 'at once, all the same');
-  t.ok(mostInTurn <= 16, `${mostInTurn} in one turn`);
+  t.equal(streams.startedRuns, 144, 'without a noticeable delay');
+  t.ok(mostInIteration <= 16, `${mostInIteration} in one iteration`);
   world.stop();
 });
 
-await tap.test('should tell how late the loop ran in the last seconds', async t => {
+await tap.test('should measure the event loop lag of the last seconds', async t => {
   const world = new GatewayWorld();
   const { eventLoop: loop } = world.start('a').context;
   await world.clock.advance(1000);
   t.equal(loop.recentLagMs(), 0);
   const beforeMs = world.clock.nowMs();
   t.ok(loop.isOnTimeSince(beforeMs));
-  await world.clock.blockEventLoop(1000, () => t.notOk(loop.isOnTimeSince(beforeMs), 'while it reads late'));
-  t.ok(loop.recentLagMs() >= 950, 'a tick is due each 50 ms');
+  await world.clock.blockEventLoop(1000, () =>
+    t.notOk(loop.isOnTimeSince(beforeMs), 'while pending I/O is read'),
+  );
+  t.ok(loop.recentLagMs() >= 950, 'a tick is due every 50 ms');
   await world.clock.advance(100);
   t.notOk(loop.isOnTimeSince(beforeMs));
   t.ok(loop.isOnTimeSince(world.clock.nowMs()));
@@ -175,28 +179,26 @@
   world.stop();
 });
 
-/** How long a call may take: far longer than a local answer on a busy machine. */
+/** Far longer than a local answer takes on a busy machine. */
 const ANSWER_MS = 600;
-/** The process is held up until after that. */
-const LATE_MS = 800;
+/** Blocks the event loop beyond the time-out. */
+const BLOCKED_MS = 800;
 
-/** The process gets no processor time: nothing in it runs. */
+/** Blocks the event loop. */
 function blockLoop(durationMs: number): void {
   const endMs = performance.now() + durationMs;
   while (performance.now() < endMs);
 }
 
-await tap.test('should take an answer that arrived while the process was held up', async t => {
-  // Symptom: writes that the store has done count as unknown, are repeated, and the lease of their host ends. Sequence:
-  // a call's answer arrives; the process is held up until the call's time is over. Cause: the time-out comes before the
-  // reading.
+await tap.test('should accept an answer that arrived while the event loop was blocked', async t => {
+  // Guards against a time-out that takes effect before an answer which has already arrived is read.
   const server = new WireServer();
   const address = await server.listen();
   server.answer = (request, socket) => {
     const isReport = request.target === '/v1/report';
     const answer = isReport ? { models: [], busy: false, seq: 4 } : { key: 'k', value: 'djE=', revision: 3 };
     socket.write(genuine(request, JSON.stringify(answer)));
-    blockLoop(LATE_MS);
+    blockLoop(BLOCKED_MS);
   };
   const store = new StoreClient(address, () => undefined);
   const got = await store.get('k', Deadline.after(new SystemClock(), ANSWER_MS));
