--- a/packages/batches/src/storedEvents.ts
+++ b/packages/batches/src/storedEvents.ts
@@ -66,7 +66,7 @@
   }
 
   /** Returns the current text number of each item. */
-  texts(items: readonly ItemEvents[]): ReadonlyMap<string, number> {
+  currentTextNumbers(items: readonly ItemEvents[]): ReadonlyMap<string, number> {
     return new Map(items.map(({ itemId }) => [itemId, this._ledger.progress(itemId).textNumber()]));
   }
 
--- a/packages/gateway/src/progressKeeper.ts
+++ b/packages/gateway/src/progressKeeper.ts
@@ -91,6 +91,6 @@
 
   private _next(minEvents?: number): Writing | undefined {
     const events = this._kept.missing(minEvents);
-    return events.length > 0 ? { events, texts: this._kept.texts(events) } : undefined;
+    return events.length > 0 ? { events, texts: this._kept.currentTextNumbers(events) } : undefined;
   }
 }
--- a/tests/batches.spec.ts
+++ b/tests/batches.spec.ts
@@ -35,7 +35,12 @@
 
 const RULES = { maxAttempts: 3, isSingleVersion: false };
 
-function place(id: string, freePlaces: number, paceMs?: number, domain = 'tekapo'): PlacementEndpoint {
+function placementEndpoint(
+  id: string,
+  freePlaces: number,
+  paceMs?: number,
+  domain = 'tekapo',
+): PlacementEndpoint {
   return { id, domain, freePlaces, paceMs };
 }
 
@@ -109,21 +114,21 @@
     for (let number = from; number <= to; number++)
       ledger.event('x', { number, text: `${version}.${number}`, version });
   };
-  const keep = (): readonly number[] => {
+  const storeMissing = (): readonly number[] => {
     const missing = kept.missing();
-    kept.keep(missing, kept.texts(missing));
+    kept.keep(missing, kept.currentTextNumbers(missing));
     return missing.flatMap(({ events }) => [events[0]?.number ?? 0, events.at(-1)?.number ?? 0]);
   };
   add(1, 10, 1);
-  t.same(keep(), [], 'a short text is not kept');
+  t.same(storeMissing(), [], 'a short text is not kept');
   add(11, 30, 1);
-  t.same(keep(), [1, 30]);
-  t.same(keep(), [], 'nothing is written twice');
+  t.same(storeMissing(), [1, 30]);
+  t.same(storeMissing(), [], 'nothing is written twice');
   add(31, 35, 1);
-  t.same(keep(), [31, 35]);
+  t.same(storeMissing(), [31, 35]);
   add(36, 36, 2);
   add(1, 40, 2);
-  t.same(keep(), [1, 40], 'the new text from its beginning');
+  t.same(storeMissing(), [1, 40], 'the new text from its beginning');
   t.end();
 });
 
@@ -134,16 +139,16 @@
   const kept = new StoredEvents(ledger);
   for (let number = 1; number <= 60; number++)
     ledger.event('x', { number, text: 'x'.repeat(10_000), version: 1 });
-  const lasts: (number | undefined)[] = [];
+  const lastStored: (number | undefined)[] = [];
   for (;;) {
     const missing = kept.missing();
     if (missing.length === 0) break;
     t.ok(JSON.stringify(missing).length < 330_000);
-    kept.keep(missing, kept.texts(missing));
-    lasts.push(missing.at(-1)?.events.at(-1)?.number);
+    kept.keep(missing, kept.currentTextNumbers(missing));
+    lastStored.push(missing.at(-1)?.events.at(-1)?.number);
   }
-  t.equal(lasts.at(-1), 60);
-  t.ok(lasts.length > 3);
+  t.equal(lastStored.at(-1), 60);
+  t.ok(lastStored.length > 3);
   t.end();
 });
 
@@ -190,15 +195,15 @@
   };
   const changed = item('changed', { bodyBase64: 'AAAA' });
   const next = batch('b2', [item('new', { group: 'g9' }), ...same, changed], { minVersion: 3 });
-  const before = carryOver(next, earlier, false);
+  const carried = carryOver(next, earlier, false);
   t.same(
-    before.results.map(result => result.id),
+    carried.results.map(result => result.id),
     ['done'],
     'neither what is too old, nor what belongs to another request or to no item',
   );
   t.same(carryOver(next, earlier, true).results, [], 'one version where one is demanded');
   const ledger = new BatchLedger(next, [], RULES);
-  ledger.applyCarryOver(before);
+  ledger.applyCarryOver(carried);
   t.same(
     ledger.unconfirmed().map(result => result.id),
     ['done'],
@@ -253,10 +258,15 @@
 });
 
 await tap.test('should keep a group together, unless its endpoint is full or slow', t => {
-  const endpoints = [place('a', 2, 40), place('b', 9, 40), place('c', 9, 200)];
+  const endpoints = [
+    placementEndpoint('a', 2, 40),
+    placementEndpoint('b', 9, 40),
+    placementEndpoint('c', 9, 200),
+  ];
   t.equal(placeItem(endpoints, { ...REQUEST, groupEndpointId: 'a' })?.id, 'a');
   t.equal(
-    placeItem([place('a', 0, 40), ...endpoints.slice(1)], { ...REQUEST, groupEndpointId: 'a' })?.id,
+    placeItem([placementEndpoint('a', 0, 40), ...endpoints.slice(1)], { ...REQUEST, groupEndpointId: 'a' })
+      ?.id,
     'b',
   );
   t.equal(placeItem(endpoints, { ...REQUEST, groupEndpointId: 'c' })?.id, 'b');
@@ -266,9 +276,13 @@
 await tap.test('should wait for a quick endpoint rather than use a slow one', t => {
   // Symptom: a group is held up for seconds by one item. Sequence: every quick endpoint is full for a moment, the
   // slow one is free. Cause: free places counted without pace.
-  const endpoints = [place('quick', 0, 40), place('other', 0, 45), place('slow', 12, 160)];
+  const endpoints = [
+    placementEndpoint('quick', 0, 40),
+    placementEndpoint('other', 0, 45),
+    placementEndpoint('slow', 12, 160),
+  ];
   t.equal(placeItem(endpoints, REQUEST), undefined);
-  t.equal(placeItem([place('slow', 12, 160)], REQUEST)?.id, 'slow', 'the only one serves');
+  t.equal(placeItem([placementEndpoint('slow', 12, 160)], REQUEST)?.id, 'slow', 'the only one serves');
   t.end();
 });
 
@@ -284,15 +298,19 @@
 });
 
 await tap.test('should send long items to the best pace', t => {
-  const endpoints = [place('a', 9, 53), place('b', 3, 40)];
+  const endpoints = [placementEndpoint('a', 9, 53), placementEndpoint('b', 3, 40)];
   t.equal(placeItem(endpoints, { ...REQUEST, isLong: true })?.id, 'b');
   t.equal(placeItem(endpoints, REQUEST)?.id, 'a');
   t.end();
 });
 
 await tap.test('should not send an item back to where it just failed', t => {
-  t.equal(placeItem([place('a', 4), place('b', 1)], { ...REQUEST, avoid: new Set(['a']) })?.id, 'b');
-  t.equal(placeItem([place('a', 4)], { ...REQUEST, avoid: new Set(['a']) }), undefined);
+  t.equal(
+    placeItem([placementEndpoint('a', 4), placementEndpoint('b', 1)], { ...REQUEST, avoid: new Set(['a']) })
+      ?.id,
+    'b',
+  );
+  t.equal(placeItem([placementEndpoint('a', 4)], { ...REQUEST, avoid: new Set(['a']) }), undefined);
   t.end();
 });
 
--- a/tests/keyFleet.ts
+++ b/tests/keyFleet.ts
@@ -24,7 +24,7 @@
 const DIGEST = 'list';
 const CALL_MS = 200;
 const CLAIM_MS = 2000;
-const LEARN_MS = 100;
+const MAP_POLL_MS = 100;
 
 /** The platform's store, as far as the slot map needs it. */
 class MapStore {
@@ -55,7 +55,7 @@
     this.process = new SimProcess(id, fleet.clock);
     this.holder = new KeyHolder({ self: this.holderId, domains: DIGEST, clock: this.process, peers: this });
     this.client = new KeyClient([DOMAIN], DIGEST, this);
-    this._learnForever();
+    this._pollMap();
   }
 
   get holderId(): string {
@@ -85,9 +85,9 @@
 
   isProvenTerminated(holder: string): boolean {
     const { hostId, incarnation } = splitHolder(holder);
-    const isGone = (this._fleet.hosts.get(hostId)?.incarnation ?? 0) > incarnation;
+    const isTerminated = (this._fleet.hosts.get(hostId)?.incarnation ?? 0) > incarnation;
     // Word of a restart spreads in its own time.
-    return isGone && this._fleet.random.below(2) === 0;
+    return isTerminated && this._fleet.random.below(2) === 0;
   }
 
   async claim(_domain: string, claim: Claim, deadline: Deadline): Promise<ClaimReply | undefined> {
@@ -103,7 +103,7 @@
   }
 
   async refresh(): Promise<void> {
-    await new Promise<void>(resolve => this.process.after(LEARN_MS, resolve));
+    await new Promise<void>(resolve => this.process.after(MAP_POLL_MS, resolve));
   }
 
   private async _call<T>(
@@ -116,17 +116,17 @@
     return this._fleet.net.call(this.process, target.process, timeoutMs, () => handler(target));
   }
 
-  private _learnForever(): void {
-    this.process.after(LEARN_MS, () => {
+  private _pollMap(): void {
+    this.process.after(MAP_POLL_MS, () => {
       const { map, isDown } = this._fleet.store;
       if (map && !isDown && !this.isCutOff) this.holder.updateMap(map);
-      this._learnForever();
+      this._pollMap();
     });
   }
 }
 
 /** What a caller was told of one arrival, and how often its key had run by then. */
-export interface Told {
+export interface ArrivalResult {
   readonly key: string;
   readonly result: ClaimResult['kind'] | 'not-run';
   readonly runsBefore: number;
@@ -139,7 +139,7 @@
   readonly store = new MapStore();
   readonly hosts = new Map<string, KeyHost>();
   readonly runs = new Map<string, number>();
-  readonly told: Told[] = [];
+  readonly told: ArrivalResult[] = [];
   private _nextIncarnation = 1;
 
   constructor(seed: number, ids: readonly string[]) {
@@ -197,7 +197,7 @@
   }
 
   /** An arrival whose granted attempt is proved not to have run, so that its caller is told so. */
-  arriveUnrun(at: string, key: string): void {
+  arriveReleased(at: string, key: string): void {
     const host = this.host(at);
     const attemptId = this.random.id();
     const deadline = Deadline.after(host.process, CLAIM_MS);
@@ -211,7 +211,7 @@
   }
 
   /** The last thing that a caller was told of a key. */
-  lastTold(key: string): string | undefined {
+  lastResult(key: string): string | undefined {
     return this.told.filter(told => told.key === key).at(-1)?.result;
   }
 
--- a/tests/keys.spec.ts
+++ b/tests/keys.spec.ts
@@ -32,7 +32,7 @@
   }
 }
 
-function copyOf(fleet: KeyFleet, key: string): string {
+function copyHostOf(fleet: KeyFleet, key: string): string {
   return fleet.store.map?.slots[slotOf(key)]?.copy.split('#')[0] ?? '';
 }
 
@@ -73,7 +73,7 @@
   fleet.arrive('h2', key);
   await fleet.clock.advance(5000);
   t.equal(fleet.runs.get(key), 1);
-  t.equal(fleet.lastTold(key), 'answered');
+  t.equal(fleet.lastResult(key), 'answered');
 });
 
 await tap.test('should grant nothing at an owner that was paused and replaced', async t => {
@@ -92,7 +92,7 @@
   fleet.arrive('h0', key);
   await fleet.clock.advance(5000);
   t.equal(fleet.runs.get(key), 1);
-  t.ok(['answered', 'unknown'].includes(fleet.lastTold(key) ?? ''));
+  t.ok(['answered', 'unknown'].includes(fleet.lastResult(key) ?? ''));
 });
 
 await tap.test('should grant nothing at an owner whose copy promised a successor', async t => {
@@ -101,7 +101,7 @@
   // Cause: the copy gave its records away and went on taking new ones in the old epoch.
   const fleet = await settledFleet();
   const key = keyOwnedBy(fleet, 'h0');
-  const copy = copyOf(fleet, key);
+  const copy = copyHostOf(fleet, key);
   const third = IDS.find(id => id !== 'h0' && id !== copy) ?? 'h2';
   fleet.host('h0').isCutOff = true;
   fleet.host(copy).isCutOff = true;
@@ -113,7 +113,7 @@
   fleet.arrive(third, key);
   await fleet.clock.advance(3000);
   t.equal(fleet.runs.get(key), 1);
-  t.equal(fleet.lastTold(key), 'granted', 'the successor serves');
+  t.equal(fleet.lastResult(key), 'granted', 'the successor serves');
 });
 
 await tap.test('should tell unknown when owner and copy were lost together', async t => {
@@ -123,7 +123,7 @@
   const key = keyOwnedBy(fleet, 'h0');
   fleet.arrive('h2', key);
   await fleet.clock.advance(500);
-  const copy = copyOf(fleet, key);
+  const copy = copyHostOf(fleet, key);
   fleet.start('h0');
   fleet.start(copy);
   const rest = IDS.find(id => id !== 'h0' && id !== copy) ?? 'h2';
@@ -132,7 +132,7 @@
   fleet.arrive(rest, key);
   await fleet.clock.advance(5000);
   t.equal(fleet.runs.get(key), 1);
-  t.equal(fleet.lastTold(key), 'unknown');
+  t.equal(fleet.lastResult(key), 'unknown');
   await fleet.clock.advance(KEY_RETENTION_MS);
   fleet.arrive(rest, 'a-new-key');
   await fleet.clock.advance(5000);
@@ -144,7 +144,7 @@
   // Cause: an empty process answers "nothing granted" in the name of the one that granted.
   const fleet = await settledFleet();
   const key = keyOwnedBy(fleet, 'h0');
-  const copy = copyOf(fleet, key);
+  const copy = copyHostOf(fleet, key);
   const third = IDS.find(id => id !== 'h0' && id !== copy) ?? 'h2';
   fleet.arrive(third, key);
   await fleet.clock.advance(500);
@@ -154,13 +154,13 @@
   await fleet.settle();
   fleet.arrive(third, key);
   await fleet.clock.advance(5000);
-  t.equal(fleet.lastTold(key), 'unknown', 'while the copy, which knows, is paused');
+  t.equal(fleet.lastResult(key), 'unknown', 'while the copy, which knows, is paused');
   fleet.host(copy).process.wake();
   await fleet.settle();
   fleet.arrive(third, key);
   await fleet.clock.advance(5000);
   t.equal(fleet.runs.get(key), 1);
-  t.equal(fleet.lastTold(key), 'answered');
+  t.equal(fleet.lastResult(key), 'answered');
 });
 
 await tap.test(
@@ -170,10 +170,10 @@
     // on both sides. Cause: one of them alone would have to guess.
     const fleet = await settledFleet();
     const key = keyOwnedBy(fleet, 'h0');
-    fleet.net.cut('h0', copyOf(fleet, key));
+    fleet.net.cut('h0', copyHostOf(fleet, key));
     fleet.arrive('h0', key);
     await fleet.clock.advance(3000);
-    t.equal(fleet.lastTold(key), 'unknown');
+    t.equal(fleet.lastResult(key), 'unknown');
     t.equal(fleet.runs.get(key), undefined);
     fleet.net.heal();
     fleet.arrive('h0', key);
@@ -196,7 +196,7 @@
   fleet.net.cut('h0', 'h1');
   fleet.arrive('h1', key);
   await fleet.clock.advance(5000);
-  t.equal(fleet.lastTold(key), 'unreachable');
+  t.equal(fleet.lastResult(key), 'unreachable');
 });
 
 await tap.test('should refuse a key with another request', async t => {
@@ -215,7 +215,7 @@
   // the copy times out. Cause: silence of the copy was taken for proof that the key never ran.
   const fleet = await settledFleet();
   const key = keyOwnedBy(fleet, 'h0');
-  const copy = copyOf(fleet, key);
+  const copy = copyHostOf(fleet, key);
   const third = IDS.find(id => id !== 'h0' && id !== copy) ?? 'h2';
   fleet.net.cut('h0', copy);
   fleet.net.cut('h0', third);
@@ -227,7 +227,7 @@
   fleet.arrive('h0', key);
   await fleet.clock.advance(5000);
   t.equal(fleet.runs.get(key), 1);
-  t.equal(fleet.lastTold(key), 'unknown');
+  t.equal(fleet.lastResult(key), 'unknown');
 });
 
 await tap.test('should free a key whose request was proved not to have run', async t => {
@@ -253,7 +253,7 @@
   fleet.arrive('h1', 'slow');
   await fleet.clock.advance(3000);
   t.equal(fleet.runs.get('slow'), 1);
-  t.equal(fleet.lastTold('slow'), 'answered');
+  t.equal(fleet.lastResult('slow'), 'answered');
 });
 
 await tap.test('should send a key home by its prefix, whoever lives', t => {
@@ -299,13 +299,13 @@
       await fleet.clock.advance(2000);
     }
   }
-  const wrong = IDS.flatMap(id => {
+  const wronglySettled = IDS.flatMap(id => {
     const { holder } = fleet.host(id);
     return [...holder.settledSlots()].filter(
       slot => holder.map()?.slots[slot]?.owner !== fleet.host(id).holderId,
     );
   });
-  t.same(wrong, []);
+  t.same(wronglySettled, []);
 });
 
 await tap.test('should even out a host that joined within three maps', t => {
@@ -382,7 +382,7 @@
     case 'arrive':
       return fleet.arrive(one.at, `key-${one.key}`, one.runDelayMs);
     case 'unrun':
-      return fleet.arriveUnrun(one.at, `key-${one.key}`);
+      return fleet.arriveReleased(one.at, `key-${one.key}`);
     case 'plan':
       return fleet.plan(one.at, one.live);
     case 'restart':
--- a/tests/orders.spec.ts
+++ b/tests/orders.spec.ts
@@ -106,7 +106,7 @@
   host?.process.run(() => void host.ready.orders.setTarget('gen-pool', version));
 }
 
-const engines = (fleet: SimFleet, domain: string): readonly number[] =>
+const engineVersions = (fleet: SimFleet, domain: string): readonly number[] =>
   [...fleet.engines].filter(([id]) => id.startsWith(domain)).map(([, engine]) => engine.version);
 
 await tap.test('should bring a version to all engines within 10 s', async t => {
@@ -133,7 +133,7 @@
   await fleet.until('leader', () => leaderOf(fleet, 'tekapo') !== undefined);
   fleet.engine('tekapo-engine-1').failSwaps = 1;
   setTarget(fleet.host('tekapo-0'), 2);
-  await fleet.until('swapped', () => engines(fleet, 'tekapo').every(version => version === 2), 20_000);
+  await fleet.until('swapped', () => engineVersions(fleet, 'tekapo').every(version => version === 2), 20_000);
   t.equal(fleet.engine('tekapo-engine-1').orders.length, 2);
   await fleet.stop();
 });
@@ -146,10 +146,10 @@
     // and the engine does not check who orders.
     const fleet = await fleetOf();
     await fleet.until('leader', () => leaderOf(fleet, 'tekapo') !== undefined);
-    const old = leaderOf(fleet, 'tekapo');
+    const formerLeader = leaderOf(fleet, 'tekapo');
     setTarget(fleet.host('twizel-0'), 2);
     await fleet.clock.advance(60);
-    old?.process.pause();
+    formerLeader?.process.pause();
     await fleet.until('successor', () => leaderOf(fleet, 'tekapo') !== undefined, 40_000);
     setTarget(fleet.host('twizel-0'), 3);
     await fleet.until(
@@ -158,9 +158,9 @@
       20_000,
     );
     const before = [...fleet.engines.values()].reduce((sum, engine) => sum + engine.orders.length, 0);
-    old?.process.wake();
+    formerLeader?.process.wake();
     await fleet.clock.advance(20_000);
-    t.ok(engines(fleet, 'tekapo').every(version => version === 3));
+    t.ok(engineVersions(fleet, 'tekapo').every(version => version === 3));
     const after = [...fleet.engines.values()].reduce((sum, engine) => sum + engine.orders.length, 0);
     t.equal(after, before, 'no order at all after waking');
     await fleet.stop();
@@ -187,9 +187,9 @@
 await tap.test('should hand the orders on when the leader is cut off from the platform', async t => {
   const fleet = await fleetOf();
   await fleet.until('leader', () => leaderOf(fleet, 'tekapo') !== undefined);
-  const old = leaderOf(fleet, 'tekapo');
-  fleet.cutBetween([old?.id ?? ''], ['store', 'list']);
+  const formerLeader = leaderOf(fleet, 'tekapo');
+  fleet.cutBetween([formerLeader?.id ?? ''], ['store', 'list']);
   await fleet.clock.advance(15_000);
-  t.equal(old?.ready.orders.isLeader(), false, 'it stops by itself');
+  t.equal(formerLeader?.ready.orders.isLeader(), false, 'it stops by itself');
   await fleet.stop();
 });
--- a/tests/pace.spec.ts
+++ b/tests/pace.spec.ts
@@ -15,10 +15,10 @@
   }
 }
 
-function paceAfter(pauses: number, seed: number): Pace {
+function paceAfter(intervals: number, seed: number): Pace {
   const pace = new Pace();
   const source = bursts(seed);
-  for (let i = 0; i < pauses; i++) pace.addInterval(Number(source.next().value));
+  for (let i = 0; i < intervals; i++) pace.addInterval(Number(source.next().value));
   return pace;
 }
 
--- a/tests/poisonCases.spec.ts
+++ b/tests/poisonCases.spec.ts
@@ -13,100 +13,100 @@
   readonly cases: PoisonCases;
 }
 
-function cases(...ends: readonly string[]): World {
+function casesAfterEnds(...ends: readonly string[]): World {
   const clock = new VirtualClock();
-  const known = new PoisonCases(clock);
-  for (const startId of ends) known.ended(FP, startId);
-  return { clock, cases: known };
+  const cases = new PoisonCases(clock);
+  for (const startId of ends) cases.ended(FP, startId);
+  return { clock, cases };
 }
 
 await tap.test('should hold a request after two ends, and let one trial of it through', async t => {
-  const { clock, cases: known } = cases('e1');
-  t.same(known.verdict(FP), { kind: 'free' });
-  known.ended(FP, 'e1');
-  t.same(known.verdict(FP), { kind: 'free' }, 'the same start ends once');
-  known.ended(FP, 'e2');
+  const { clock, cases } = casesAfterEnds('e1');
+  t.same(cases.verdict(FP), { kind: 'free' });
+  cases.ended(FP, 'e1');
+  t.same(cases.verdict(FP), { kind: 'free' }, 'the same start ends once');
+  cases.ended(FP, 'e2');
   await clock.advance(500);
-  t.same(known.verdict(FP), { kind: 'held', leftMs: 1500 });
+  t.same(cases.verdict(FP), { kind: 'held', leftMs: 1500 });
   await clock.advance(1500);
-  t.same(known.verdict(FP), { kind: 'trial', number: 1 });
-  known.trialStarted(FP, 1, 2);
-  t.equal(known.verdict(FP).kind, 'held', 'its result is waited for');
+  t.same(cases.verdict(FP), { kind: 'trial', number: 1 });
+  cases.trialStarted(FP, 1, 2);
+  t.equal(cases.verdict(FP).kind, 'held', 'its result is waited for');
   await clock.advance(2500);
-  t.same(known.verdict(FP), { kind: 'held', leftMs: 57_500 }, 'no result proves nothing');
-  known.ended(FP, 'e3');
-  t.same(known.verdict(FP), { kind: 'condemned' });
+  t.same(cases.verdict(FP), { kind: 'held', leftMs: 57_500 }, 'no result proves nothing');
+  cases.ended(FP, 'e3');
+  t.same(cases.verdict(FP), { kind: 'condemned' });
 });
 
 await tap.test('should condemn a request whose trial ended an endpoint, in whichever order it hears', t => {
   // Symptom: for two seconds after the trial callers are told to come again. Sequence: a host hears of the end before it hears of
   // the trial under which it came. Cause: ends counted as known before the trial.
-  const { cases: known } = cases('e1', 'e2', 'e3');
-  known.trialStarted(FP, 1, 2);
-  t.same(known.verdict(FP), { kind: 'condemned' });
+  const { cases } = casesAfterEnds('e1', 'e2', 'e3');
+  cases.trialStarted(FP, 1, 2);
+  t.same(cases.verdict(FP), { kind: 'condemned' });
   t.end();
 });
 
 await tap.test('should make three trials at most, each after a longer pause', async t => {
-  const { clock, cases: known } = cases('e1', 'e2');
+  const { clock, cases } = casesAfterEnds('e1', 'e2');
   const trials: number[] = [];
   for (let s = 0; s < 4000; s++) {
     await clock.advance(1000);
-    const verdict = known.verdict(FP);
+    const verdict = cases.verdict(FP);
     if (verdict.kind !== 'trial') continue;
     trials.push(s + 1);
-    known.trialStarted(FP, verdict.number, 1 + verdict.number);
-    known.ended(FP, `e${2 + verdict.number}`);
+    cases.trialStarted(FP, verdict.number, 1 + verdict.number);
+    cases.ended(FP, `e${2 + verdict.number}`);
   }
   t.same(trials, [2, 62, 662]);
-  t.same(known.verdict(FP), { kind: 'condemned' });
+  t.same(cases.verdict(FP), { kind: 'condemned' });
 });
 
 await tap.test('should name no wait that has no end', async t => {
-  const { clock, cases: known } = cases('e1', 'e2');
+  const { clock, cases } = casesAfterEnds('e1', 'e2');
   for (const number of [1, 2, 3]) {
     await clock.advance(600_000);
-    known.trialStarted(FP, number, 2);
+    cases.trialStarted(FP, number, 2);
   }
-  t.same(known.verdict(FP), { kind: 'condemned' }, 'the last trial is made');
+  t.same(cases.verdict(FP), { kind: 'condemned' }, 'the last trial is made');
 });
 
 await tap.test('should make a trial again that did not run', async t => {
-  const { clock, cases: known } = cases('e1', 'e2');
+  const { clock, cases } = casesAfterEnds('e1', 'e2');
   await clock.advance(2000);
-  known.trialStarted(FP, 1, 2);
-  known.trialDropped(FP, 1);
-  t.same(known.verdict(FP), { kind: 'held', leftMs: 2000 }, 'not at once: no endpoint may take it');
+  cases.trialStarted(FP, 1, 2);
+  cases.trialDropped(FP, 1);
+  t.same(cases.verdict(FP), { kind: 'held', leftMs: 2000 }, 'not at once: no endpoint may take it');
   await clock.advance(2000);
-  t.same(known.verdict(FP), { kind: 'trial', number: 1 });
+  t.same(cases.verdict(FP), { kind: 'trial', number: 1 });
 });
 
 await tap.test('should clear a request that was answered', t => {
-  const { cases: known } = cases('e1', 'e2', 'e3');
-  known.cleared(FP);
-  t.same(known.verdict(FP), { kind: 'free' });
-  t.equal(known.count(), 0);
-  t.notOk(known.mayMatch(targetDigest(REQUEST)));
+  const { cases } = casesAfterEnds('e1', 'e2', 'e3');
+  cases.cleared(FP);
+  t.same(cases.verdict(FP), { kind: 'free' });
+  t.equal(cases.count(), 0);
+  t.notOk(cases.mayMatch(targetDigest(REQUEST)));
   t.end();
 });
 
 await tap.test('should count no two ends that lie far apart', async t => {
-  const { clock, cases: known } = cases('e1');
+  const { clock, cases } = casesAfterEnds('e1');
   await clock.advance(600_000);
-  known.ended(FP, 'e2');
-  t.same(known.verdict(FP), { kind: 'free' });
+  cases.ended(FP, 'e2');
+  t.same(cases.verdict(FP), { kind: 'free' });
 });
 
 await tap.test('should keep to a bounded memory under a flood of such requests', t => {
-  const { cases: known } = cases('e1', 'e2');
+  const { cases } = casesAfterEnds('e1', 'e2');
   const flood = (i: number): string => requestFingerprint({ ...REQUEST, target: `/${i}` });
   for (let i = 0; i < 5000; i++) {
-    known.ended(flood(i), 'e1');
-    if (i % 1000 === 0) known.ended(FP, `x${i}`);
+    cases.ended(flood(i), 'e1');
+    if (i % 1000 === 0) cases.ended(FP, `x${i}`);
   }
-  t.equal(known.count(), 2000);
-  t.equal(known.verdict(FP).kind, 'held', 'what is marked again and again stays');
-  t.notOk(known.mayMatch(targetOfFingerprint(flood(0))), 'and what was marked longest ago goes');
+  t.equal(cases.count(), 2000);
+  t.equal(cases.verdict(FP).kind, 'held', 'what is marked again and again stays');
+  t.notOk(cases.mayMatch(targetOfFingerprint(flood(0))), 'and what was marked longest ago goes');
   t.end();
 });
 
--- a/tests/requests.spec.ts
+++ b/tests/requests.spec.ts
@@ -75,14 +75,14 @@
       let mayHaveRun = false;
       let outcome = run.outcome();
       for (const [name, lateBy] of events) {
-        const about = attempt - lateBy;
+        const attemptNumber = attempt - lateBy;
         const isLive = run.phase() === 'sent' || run.phase() === 'answering';
         if (name === 'send') attempt = run.send() ?? attempt;
         else if (name === 'abandon') run.abandon('deadline');
         else if (name === 'refuse') {
           if (run.phase() === 'waiting') run.refuse('no-endpoint');
-        } else if (name === 'answered') run.answered(about, 200, false);
-        else run[name](about);
+        } else if (name === 'answered') run.answered(attemptNumber, 200, false);
+        else run[name](attemptNumber);
         if (isLive && lateBy === 0 && name !== 'provenNotRun' && name !== 'send') mayHaveRun = true;
         if (outcome && run.outcome() !== outcome) return false;
         outcome = run.outcome();
@@ -95,7 +95,7 @@
 });
 
 /** An endpoint whose breaker is open, and due for its one trial. */
-function ejected(clock: VirtualClock, maxOpenMs: number): EndpointStats {
+function withOpenBreaker(clock: VirtualClock, maxOpenMs: number): EndpointStats {
   const stats = new EndpointStats(clock, 1000, maxOpenMs);
   for (let i = 0; i < 5; i++) {
     stats.began(false);
@@ -108,7 +108,7 @@
   // Symptom: an endpoint gets nothing any more, long after its outage. Sequence: it fails and is left out; the one
   // request that tries it again is cancelled, because its caller leaves. Cause: the trial counts as being under way.
   const clock = new VirtualClock();
-  const stats = ejected(clock, 30_000);
+  const stats = withOpenBreaker(clock, 30_000);
   t.notOk(stats.isUsable());
   await clock.advance(1100);
   t.ok(stats.isUsable());
@@ -125,7 +125,7 @@
 await tap.test('should try an endpoint that failed again and again within the time that is set', async t => {
   // Symptom: an endpoint that is well again stays idle for half a minute. Cause: pauses that double without end.
   const clock = new VirtualClock();
-  const stats = ejected(clock, 2000);
+  const stats = withOpenBreaker(clock, 2000);
   let trials = 0;
   for (let ms = 0; ms < 20_000; ms += 100) {
     await clock.advance(100);
@@ -200,18 +200,18 @@
   const clock = new VirtualClock();
   const picker = new EndpointPicker(new SeededRandom(1));
   const endpoints = endpointsOf(clock, 4);
-  let toBad = 0;
+  let sentToFailing = 0;
   for (let i = 0; i < 400; i++) {
     const picked = picker.pick(endpoints, PICK);
     if (!picked) continue;
     picked.stats.began(false);
-    const isBad = picked.id === 'e0';
-    if (isBad) toBad += 1;
-    if (isBad || i % 4 === 0) picked.stats.ended(false, isBad);
+    const isFailing = picked.id === 'e0';
+    if (isFailing) sentToFailing += 1;
+    if (isFailing || i % 4 === 0) picked.stats.ended(false, isFailing);
     if (i % 8 === 7)
       for (const one of endpoints) while (one.stats.inFlight() > 0) one.stats.ended(false, false);
   }
-  t.ok(toBad < 40, `${toBad} of 400 went to the endpoint that fails`);
+  t.ok(sentToFailing < 40, `${sentToFailing} of 400 went to the endpoint that fails`);
   t.end();
 });
 
@@ -321,7 +321,7 @@
   const onChunks = (chunks: readonly { readonly text: string }[]): void => {
     for (const chunk of chunks) running.text += chunk.text;
   };
-  const whole = {
+  const defaults = {
     completion: { kind: 'completion', prompt: 'stars', maxTokens: 100, onChunks },
     service: {
       kind: 'service',
@@ -342,7 +342,7 @@
     trace: undefined,
     left: running.left.signal,
     ...options,
-    work: { ...whole[work.kind], ...work } as CallerWork,
+    work: { ...defaults[work.kind], ...work } as CallerWork,
   };
   host.process.run(() => {
     void host.ready.requests.run(request).then(answer => {
@@ -352,7 +352,7 @@
   return running;
 }
 
-function wholeText(prompt: string): string {
+function expectedText(prompt: string): string {
   return Array.from({ length: lengthOf(prompt) }, (_, i) => `${i} `).join('');
 }
 
@@ -367,7 +367,7 @@
     for (const engine of fleet.engines.values()) if (engine.inFlight > 0) engine.crash(60_000);
     await fleet.until('answered', () => running.answer !== undefined);
     t.match(running.answer?.outcome, { kind: 'completed' });
-    t.equal(running.text, wholeText('a long tail'));
+    t.equal(running.text, expectedText('a long tail'));
     await fleet.stop();
   },
 );
--- a/tests/resumption.spec.ts
+++ b/tests/resumption.spec.ts
@@ -72,7 +72,7 @@
 await tap.test('should begin an item anew whose text no endpoint goes on with', async t => {
   // Symptom: an item has hundreds of attempts, and its step is lost. Sequence: a stream breaks; each endpoint that is
   // asked to go on answers with weights that are too old for the batch. Cause: nothing ends the round.
-  for (const how of ['always', 'once'] as const) {
+  for (const mode of ['always', 'once'] as const) {
     const [world, a] = await started('a');
     if (!a) return;
     let refusals = 0;
@@ -80,7 +80,7 @@
       if (call.itemId !== 'x') return { events: 1, end: { kind: 'done' } };
       if (call.afterEvent === 0 && refusals === 0)
         return { events: 3, end: { kind: 'broken', text: 'reset' } };
-      if (call.afterEvent === 0 || (how === 'once' && refusals > 0))
+      if (call.afterEvent === 0 || (mode === 'once' && refusals > 0))
         return { events: 6 - call.afterEvent, end: { kind: 'done' } };
       refusals += 1;
       return { events: 0, end: { kind: 'done' }, version: 0 };
@@ -88,13 +88,13 @@
     await submit(world, a);
     await world.clock.advance(9000);
     const page = await read(world, a);
-    t.ok(page.kind === 'page' && page.page.results.length === 3, how);
+    t.ok(page.kind === 'page' && page.page.results.length === 3, mode);
     const calls = world.client.items.filter(call => call.itemId === 'x').length;
-    t.ok(calls <= 6, `${how}: ${calls} attempts`);
-    const isDropped = a.context.log.lines.some(
+    t.ok(calls <= 6, `${mode}: ${calls} attempts`);
+    const isDiscarded = a.context.log.lines.some(
       line => line.text === 'item makes no progress' && line.details.isTextDropped === true,
     );
-    t.equal(isDropped, how === 'always', 'the text is given up only when no endpoint goes on with it');
+    t.equal(isDiscarded, mode === 'always', 'the text is given up only when no endpoint goes on with it');
     world.stop();
   }
 });
--- a/tests/scoring.spec.ts
+++ b/tests/scoring.spec.ts
@@ -109,7 +109,7 @@
   const kept = new StoredEvents(ledger);
   const records = kept.missing();
   t.match(records, [{ itemId: 'x', wholeEvents: 30 }]);
-  kept.keep(records, kept.texts(records));
+  kept.keep(records, kept.currentTextNumbers(records));
   t.same(kept.missing(), [], 'once');
   const next = new BatchLedger(BATCH, [], RULES);
   next.resume(records);
@@ -132,7 +132,7 @@
   ledger.beginAttempt('x');
   for (let number = 1; number <= 25; number++) ledger.event('x', { number, text: 'a', version: 1 });
   const events = kept.missing();
-  kept.keep(events, kept.texts(events));
+  kept.keep(events, kept.currentTextNumbers(events));
   ledger.completed('x');
   const end = kept.missing();
   t.same(end, [{ itemId: 'x', events: [], wholeEvents: 25 }]);
