--- a/tests/poisonCases.spec.ts
+++ b/tests/poisonCases.spec.ts
@@ -1,5 +1,5 @@
 /**
- * The decision about requests under which endpoints end, without hosts.
+ * PoisonCases: verdicts on requests that ran while endpoints terminated.
  */
 import tap from 'tap';
 import { VirtualClock } from '@fuchsiahitch/base';
@@ -20,34 +20,33 @@
   return { clock, cases };
 }
 
-await tap.test('should hold a request after two ends, and let one trial of it through', async t => {
+await tap.test('should hold a request after two terminations and allow one trial', async t => {
   const { clock, cases } = casesAfterEnds('e1');
   t.same(cases.verdict(FP), { kind: 'free' });
   cases.ended(FP, 'e1');
-  t.same(cases.verdict(FP), { kind: 'free' }, 'the same start ends once');
+  t.same(cases.verdict(FP), { kind: 'free' }, 'the same start is counted once');
   cases.ended(FP, 'e2');
   await clock.advance(500);
   t.same(cases.verdict(FP), { kind: 'held', leftMs: 1500 });
   await clock.advance(1500);
   t.same(cases.verdict(FP), { kind: 'trial', number: 1 });
   cases.trialStarted(FP, 1, 2);
-  t.equal(cases.verdict(FP).kind, 'held', 'its result is waited for');
+  t.equal(cases.verdict(FP).kind, 'held', 'the result of the trial is pending');
   await clock.advance(2500);
-  t.same(cases.verdict(FP), { kind: 'held', leftMs: 57_500 }, 'no result proves nothing');
+  t.same(cases.verdict(FP), { kind: 'held', leftMs: 57_500 }, 'a missing result is no proof');
   cases.ended(FP, 'e3');
   t.same(cases.verdict(FP), { kind: 'condemned' });
 });
 
-await tap.test('should condemn a request whose trial ended an endpoint, in whichever order it hears', t => {
-  // Symptom: for two seconds after the trial callers are told to come again. Sequence: a host hears of the end before it hears of
-  // the trial under which it came. Cause: ends counted as known before the trial.
+await tap.test('should condemn a request whose trial terminated an endpoint, in any order of messages', t => {
+  // The termination can arrive before the message about the trial that caused it.
   const { cases } = casesAfterEnds('e1', 'e2', 'e3');
   cases.trialStarted(FP, 1, 2);
   t.same(cases.verdict(FP), { kind: 'condemned' });
   t.end();
 });
 
-await tap.test('should make three trials at most, each after a longer pause', async t => {
+await tap.test('should allow at most three trials with increasing delays', async t => {
   const { clock, cases } = casesAfterEnds('e1', 'e2');
   const trials: number[] = [];
   for (let s = 0; s < 4000; s++) {
@@ -62,21 +61,25 @@
   t.same(cases.verdict(FP), { kind: 'condemned' });
 });
 
-await tap.test('should name no wait that has no end', async t => {
+await tap.test('should not hold a request when no trial is left', async t => {
   const { clock, cases } = casesAfterEnds('e1', 'e2');
   for (const number of [1, 2, 3]) {
     await clock.advance(600_000);
     cases.trialStarted(FP, number, 2);
   }
-  t.same(cases.verdict(FP), { kind: 'condemned' }, 'the last trial is made');
+  t.same(cases.verdict(FP), { kind: 'condemned' }, 'the last trial was started');
 });
 
-await tap.test('should make a trial again that did not run', async t => {
+await tap.test('should repeat a trial that did not run', async t => {
   const { clock, cases } = casesAfterEnds('e1', 'e2');
   await clock.advance(2000);
   cases.trialStarted(FP, 1, 2);
   cases.trialDropped(FP, 1);
-  t.same(cases.verdict(FP), { kind: 'held', leftMs: 2000 }, 'not at once: no endpoint may take it');
+  t.same(
+    cases.verdict(FP),
+    { kind: 'held', leftMs: 2000 },
+    'only after the delay, since there may be no endpoint',
+  );
   await clock.advance(2000);
   t.same(cases.verdict(FP), { kind: 'trial', number: 1 });
 });
@@ -90,14 +93,14 @@
   t.end();
 });
 
-await tap.test('should count no two ends that lie far apart', async t => {
+await tap.test('should not combine terminations that are far apart', async t => {
   const { clock, cases } = casesAfterEnds('e1');
   await clock.advance(600_000);
   cases.ended(FP, 'e2');
   t.same(cases.verdict(FP), { kind: 'free' });
 });
 
-await tap.test('should keep to a bounded memory under a flood of such requests', t => {
+await tap.test('should bound the number of cases', t => {
   const { cases } = casesAfterEnds('e1', 'e2');
   const flood = (i: number): string => requestFingerprint({ ...REQUEST, target: `/${i}` });
   for (let i = 0; i < 5000; i++) {
@@ -105,12 +108,15 @@
     if (i % 1000 === 0) cases.ended(FP, `x${i}`);
   }
   t.equal(cases.count(), 2000);
-  t.equal(cases.verdict(FP).kind, 'held', 'what is marked again and again stays');
-  t.notOk(cases.mayMatch(targetOfFingerprint(flood(0))), 'and what was marked longest ago goes');
+  t.equal(cases.verdict(FP).kind, 'held', 'a case that is marked repeatedly is retained');
+  t.notOk(
+    cases.mayMatch(targetOfFingerprint(flood(0))),
+    'the case that was marked least recently is evicted',
+  );
   t.end();
 });
 
-await tap.test('should tell requests apart by caller, host, method, path and body', t => {
+await tap.test('should distinguish requests by caller, host, method, path and body', t => {
   const others = [
     { caller: 'k' },
     { host: 'mod' },
--- a/tests/requests.spec.ts
+++ b/tests/requests.spec.ts
@@ -1,5 +1,5 @@
 /**
- * Requests: one outcome each, true when it says "not run", no customer starved or cut.
+ * Requests: exactly one correct outcome each, endpoint selection, retries, and priority of customers over rollouts.
  */
 import fc from 'fast-check';
 import tap from 'tap';
@@ -23,16 +23,15 @@
 
 tap.setTimeout(0);
 
-await tap.test('should never send a request that was given up while it waited', t => {
-  // Symptom: the service counts a run of a request that was answered "not run". Sequence: the wait times out,
-  // then the dispatcher's turn comes. Cause: two places decide; here both are one state.
+await tap.test('should never send a request that was abandoned while it waited', t => {
+  // The dispatcher must not send a request whose wait has timed out and that was reported as not run.
   const run = new RequestRun(1000);
   t.match(run.abandon('deadline'), { kind: 'not-run', reason: 'too-late' });
   t.equal(run.send(), undefined);
   t.end();
 });
 
-await tap.test('should not say not run once an attempt may have run', t => {
+await tap.test('should not report `not-run` once an attempt may have run', t => {
   const run = new RequestRun(1000);
   const first = run.send() ?? 0;
   t.ok(run.brokenRetryable(first));
@@ -41,8 +40,7 @@
 });
 
 await tap.test('should drop answers of an earlier attempt', t => {
-  // Symptom: an answer belongs to another attempt. Sequence: attempt 1 breaks, attempt 2 is sent, attempt 1's
-  // head arrives late. Cause: answers were matched by request only.
+  // Answers must be matched by attempt: the head of a broken attempt can arrive after the next one was sent.
   const run = new RequestRun(1000);
   const first = run.send() ?? 0;
   run.brokenRetryable(first);
@@ -57,7 +55,7 @@
   t.end();
 });
 
-await tap.test('should end in one true outcome under any order of events', t => {
+await tap.test('should end in one correct outcome under any order of events', t => {
   const event = fc.constantFrom(
     'send',
     'provenNotRun',
@@ -94,7 +92,7 @@
   t.end();
 });
 
-/** An endpoint whose breaker is open, and due for its one trial. */
+/** Statistics of an endpoint whose breaker is open. */
 function withOpenBreaker(clock: VirtualClock, maxOpenMs: number): EndpointStats {
   const stats = new EndpointStats(clock, 1000, maxOpenMs);
   for (let i = 0; i < 5; i++) {
@@ -104,37 +102,36 @@
   return stats;
 }
 
-await tap.test('should use an endpoint again whose trial was cancelled', async t => {
-  // Symptom: an endpoint gets nothing any more, long after its outage. Sequence: it fails and is left out; the one
-  // request that tries it again is cancelled, because its caller leaves. Cause: the trial counts as being under way.
+await tap.test('should use an endpoint again whose probe was cancelled', async t => {
+  // A cancelled probe must not count as still in flight, or the breaker never closes.
   const clock = new VirtualClock();
   const stats = withOpenBreaker(clock, 30_000);
   t.notOk(stats.isUsable());
   await clock.advance(1100);
   t.ok(stats.isUsable());
   stats.began(false);
-  t.notOk(stats.isUsable(), 'one trial at a time');
+  t.notOk(stats.isUsable(), 'one probe at a time');
   stats.cancelled(false);
-  t.ok(stats.isUsable(), 'the next request is the trial');
+  t.ok(stats.isUsable(), 'the next request is the probe');
   stats.began(false);
   stats.ended(false, false);
   t.ok(stats.isUsable());
   t.end();
 });
 
-await tap.test('should try an endpoint that failed again and again within the time that is set', async t => {
-  // Symptom: an endpoint that is well again stays idle for half a minute. Cause: pauses that double without end.
+await tap.test('should probe an endpoint that fails repeatedly within the configured time', async t => {
+  // Unbounded doubling of the breaker's open time would leave a recovered endpoint idle.
   const clock = new VirtualClock();
   const stats = withOpenBreaker(clock, 2000);
-  let trials = 0;
+  let probes = 0;
   for (let ms = 0; ms < 20_000; ms += 100) {
     await clock.advance(100);
     if (!stats.isUsable()) continue;
-    trials += 1;
+    probes += 1;
     stats.began(false);
     stats.ended(false, true);
   }
-  t.ok(trials >= 9 && trials <= 12, `${trials} trials in 20 s`);
+  t.ok(probes >= 9 && probes <= 12, `${probes} probes in 20 s`);
   t.end();
 });
 
@@ -161,9 +158,8 @@
   tried: new Set(),
 };
 
-await tap.test('should spread requests although every host reads the same lagged report', t => {
-  // Symptom: one endpoint queues while others idle. Sequence: all hosts read that it is idle, and all send to it
-  // until the next report. Cause: the lagging report alone decides; own counts don't lag.
+await tap.test('should spread requests although every host has the same outdated report', t => {
+  // Selection by the report alone would make all hosts send to the same endpoint until the next report.
   const clock = new VirtualClock();
   const hosts = Array.from({ length: 10 }, (_, i) => ({
     picker: new EndpointPicker(new SeededRandom(i)),
@@ -190,13 +186,12 @@
     }
   }
   const toIdle = sent.get('e0') ?? 0;
-  t.ok(toIdle > 8 && toIdle <= 40, `${toIdle} of 80 went to the endpoint that looked idle`);
+  t.ok(toIdle > 8 && toIdle <= 40, `${toIdle} of 80 requests sent to the endpoint reported as idle`);
   t.end();
 });
 
-await tap.test('should not be drawn to an endpoint that fails fast', t => {
-  // Symptom: the error rate is far above the share of bad endpoints. Sequence: an endpoint answers errors at
-  // once, looks idle, and gets the next request. Cause: least load without regard to failures.
+await tap.test('should not prefer an endpoint that fails fast', t => {
+  // An endpoint that fails immediately looks idle and would attract most requests.
   const clock = new VirtualClock();
   const picker = new EndpointPicker(new SeededRandom(1));
   const endpoints = endpointsOf(clock, 4);
@@ -211,11 +206,11 @@
     if (i % 8 === 7)
       for (const one of endpoints) while (one.stats.inFlight() > 0) one.stats.ended(false, false);
   }
-  t.ok(sentToFailing < 40, `${sentToFailing} of 400 went to the endpoint that fails`);
+  t.ok(sentToFailing < 40, `${sentToFailing} of 400 requests sent to the failing endpoint`);
   t.end();
 });
 
-await tap.test('should hold retries to their budget when a third of the endpoints fail', t => {
+await tap.test('should keep retries within their budget when a third of the endpoints fail', t => {
   const budget = new RetryBudget(0.1, 20);
   const random = new SeededRandom(5);
   let attempts = 0;
@@ -228,7 +223,7 @@
   t.end();
 });
 
-await tap.test('should prefer the holder of a prefix, within its share of the load', t => {
+await tap.test('should prefer the holder of a prefix unless it is overloaded', t => {
   const clock = new VirtualClock();
   const picker = new EndpointPicker(new SeededRandom(1));
   const endpoints = endpointsOf(clock, 4);
@@ -237,11 +232,11 @@
   t.equal(picker.pick(endpoints, request)?.id, first);
   const holder = endpoints.find(endpoint => endpoint.id === first);
   for (let i = 0; i < 5; i++) holder?.stats.began(false);
-  t.not(picker.pick(endpoints, request)?.id, first, 'a hint, never a need');
+  t.not(picker.pick(endpoints, request)?.id, first, 'the prefix is a preference only');
   t.end();
 });
 
-await tap.test('should use a small subset of many endpoints, evenly over hosts', t => {
+await tap.test('should use a small subset of many endpoints, evenly distributed over hosts', t => {
   const ids = Array.from({ length: 130 }, (_, i) => `e${i}`);
   const uses = new Map<string, number>();
   for (let h = 0; h < 33; h++)
@@ -252,7 +247,7 @@
   t.end();
 });
 
-await tap.test('should refuse early and truthfully when the wait would outlast the deadline', async t => {
+await tap.test('should refuse immediately when the expected wait exceeds the deadline', async t => {
   const clock = new VirtualClock();
   const queue = new RequestQueue(clock, 100);
   const refused: string[] = [];
@@ -283,7 +278,7 @@
   t.equal(refused.length, 11, 'all others were refused at their deadlines');
 });
 
-await tap.test('should fall and grow with what the endpoint reports', t => {
+await tap.test('should adjust the concurrency limit to load reports', t => {
   const limit = new ConcurrencyLimit(16, 4);
   t.equal(limit.value(), 4);
   limit.recordUsage(4);
@@ -291,7 +286,7 @@
   t.equal(limit.value(), 5);
   limit.onLoadReport(5, 16);
   t.equal(limit.value(), 4);
-  t.equal(limit.rolloutLimit(0.2), 3, "the reserve is rounded in the customers' favour");
+  t.equal(limit.rolloutLimit(0.2), 3, 'the reserve is rounded in favor of customers');
   t.equal(new ConcurrencyLimit(1, 4).rolloutLimit(0.2), 0);
   t.end();
 });
@@ -357,10 +352,9 @@
 }
 
 await tap.test(
-  'should go on elsewhere when an engine crashes in mid-stream, no token doubled or lost',
+  'should resume at another engine after a crash in mid-stream without duplicated or lost tokens',
   async t => {
-    // Symptom: a stream with a gap or a repetition. Sequence: the engine dies after some tokens were passed on; the
-    // request is sent elsewhere. Cause: it began anew, or went on from the wrong place.
+    // The request must continue exactly after the tokens that were already forwarded to the caller.
     const fleet = await fleetOf();
     const running = send(fleet.host('tekapo-0'), { kind: 'completion', prompt: 'a long tail' });
     await fleet.until('streaming', () => running.text.length > 20);
@@ -372,55 +366,55 @@
   },
 );
 
-await tap.test('should tell unknown, and run once, when the answer of a hold is lost', async t => {
+await tap.test('should report `unknown` and run once when the answer of a keyed request is lost', async t => {
   const fleet = await fleetOf();
   fleet.services.loseAnswers = 1;
   const first = send(fleet.host('tekapo-0'), { kind: 'service' }, { key: 'seat-4' });
-  await fleet.until('told', () => first.answer !== undefined);
+  await fleet.until('answered', () => first.answer !== undefined);
   t.match(first.answer?.outcome, { kind: 'unknown', reason: 'connection-lost' });
   const again = send(fleet.host('twizel-1'), { kind: 'service' }, { key: 'seat-4' });
-  await fleet.until('told again', () => again.answer !== undefined);
+  await fleet.until('answered again', () => again.answer !== undefined);
   t.match(again.answer?.outcome, { kind: 'unknown', reason: 'answer-not-kept' });
   t.equal(fleet.services.runs.get('seat-4'), 1);
   await fleet.stop();
 });
 
-await tap.test('should not repeat a hold without a key either', async t => {
+await tap.test('should not repeat a non-idempotent request without a key', async t => {
   const fleet = await fleetOf();
   fleet.services.loseAnswers = 1;
   const running = send(fleet.host('tekapo-0'), { kind: 'service' });
-  await fleet.until('told', () => running.answer !== undefined);
+  await fleet.until('answered', () => running.answer !== undefined);
   t.match(running.answer?.outcome, { kind: 'unknown' });
   t.equal(fleet.services.runs.get('none'), 1);
   await fleet.stop();
 });
 
-await tap.test('should try a refused hold again and run it once', async t => {
+await tap.test('should retry a refused request with a key and run it once', async t => {
   const fleet = await fleetOf();
   fleet.services.refuse = 1;
   const running = send(fleet.host('tekapo-0'), { kind: 'service' }, { key: 'busy' });
-  await fleet.until('told', () => running.answer !== undefined);
+  await fleet.until('answered', () => running.answer !== undefined);
   t.match(running.answer?.outcome, { kind: 'completed' });
   t.equal(fleet.services.runs.get('busy'), 1);
   await fleet.stop();
 });
 
-await tap.test('should free the key of a hold that was told not run', async t => {
+await tap.test('should release the key of a request that ended as `not-run`', async t => {
   const fleet = await fleetOf();
   fleet.services.refuse = 10;
   const first = send(fleet.host('tekapo-0'), { kind: 'service' }, { key: 'later' });
-  await fleet.until('told', () => first.answer !== undefined);
+  await fleet.until('answered', () => first.answer !== undefined);
   t.match(first.answer?.outcome, { kind: 'not-run' });
   t.equal(fleet.services.runs.get('later'), undefined);
   fleet.services.refuse = 0;
   const again = send(fleet.host('tekapo-1'), { kind: 'service' }, { key: 'later' });
-  await fleet.until('told again', () => again.answer !== undefined);
+  await fleet.until('answered again', () => again.answer !== undefined);
   t.match(again.answer?.outcome, { kind: 'completed' });
   t.equal(fleet.services.runs.get('later'), 1);
   await fleet.stop();
 });
 
-await tap.test('should give up a request whose caller left, at once and without a run', async t => {
+await tap.test('should abandon a waiting request immediately when its caller disconnects', async t => {
   const fleet = await fleetOf(1);
   const host = fleet.host('tekapo-0');
   const busy = [1, 2].map(() => send(host, { kind: 'completion', prompt: 'a very long tail' }));
@@ -436,9 +430,8 @@
   await fleet.stop();
 });
 
-await tap.test('should serve customers at once while rollouts fill the engines', async t => {
-  // Symptom: a customer waits for a whole long generation. Sequence: rollouts take every slot, then a customer
-  // comes. Cause: rollouts don't yield. The reserve serves the first customers, yielding the others.
+await tap.test('should serve customers without delay while rollouts fill the engines', async t => {
+  // The reserve serves the first customers; rollouts are preempted for the others and resumed later.
   const fleet = await fleetOf(6);
   const spec = {
     trainer: 'tekapo:tuner',
@@ -468,15 +461,14 @@
   t.ok(customers.every(one => one.answer?.outcome.kind === 'completed'));
   t.ok(tookMs < 800, `${tookMs} ms on the virtual clock; a rollout takes 1,300`);
   await fleet.until('step over', () => trainer.end !== undefined, 200_000);
-  t.equal(trainer.deliveries.length, 40, 'what yielded was resumed');
+  t.equal(trainer.deliveries.length, 40, 'preempted rollouts were resumed');
   await fleet.stop();
 });
 
 await tap.test(
-  'should send nothing to a leaving engine after 3 s on any host, with list and store out of reach',
+  'should send nothing from any host to a leaving engine after 3 s, with the list and the store unreachable',
   async t => {
-    // Symptom: requests reach an endpoint that is shutting down. Sequence: it begins to leave while the list lags or
-    // is cut off. Cause: the list was the only evidence. Its own report or answer, and a peer's word, count too.
+    // The endpoint's own reports and answers and the messages of peers must be used besides the list.
     const fleet = await SimFleet.start({
       seed: 9,
       domains: ['tekapo'],
@@ -500,7 +492,7 @@
 );
 
 await tap.test(
-  'should serve from its own domain when it is cut off from the others and the platform',
+  'should serve from its own domain when it is partitioned from the others and the platform',
   async t => {
     const fleet = await fleetOf();
     fleet.cutBetween(fleet.namesOf('tekapo'), ['store', 'list', ...fleet.namesOf('twizel')]);
@@ -516,7 +508,7 @@
       ['completed', 'completed', 'completed'],
     );
     const foreign = send(fleet.host('twizel-1'), { kind: 'service' }, { key: 'tekapo:hold-9' });
-    await fleet.until('told', () => foreign.answer !== undefined);
+    await fleet.until('foreign answered', () => foreign.answer !== undefined);
     t.match(foreign.answer?.outcome, { kind: 'unknown', reason: 'key-owner-unreachable' });
     t.equal(fleet.services.runs.get('tekapo:hold-9'), 1);
     await fleet.stop();
