--- a/tests/batches.spec.ts
+++ b/tests/batches.spec.ts
@@ -1,5 +1,5 @@
 /**
- * Decisions about batches: what is listed, what is resumed, where items go, which endpoints load.
+ * Decisions about batches: listing, resumption, placement of items, and weight loads.
  */
 import tap from 'tap';
 import {
@@ -46,9 +46,8 @@
 
 const REQUEST = { groupEndpointId: undefined, isLong: false, ownDomain: 'tekapo', avoid: new Set<string>() };
 
-await tap.test('should join the events of two attempts without a gap or a repetition', t => {
-  // Symptom: a text with doubled or missing pieces. Sequence: the stream breaks after event 2, the next attempt
-  // goes on after it, and the endpoint sends event 2 once more. Cause: events counted by arrival.
+await tap.test('should join the events of two attempts without gaps or duplicates', t => {
+  // The endpoint that resumes a stream may send the last event again.
   const progress = new ItemProgress({ minVersion: 1, isSingleVersion: false });
   t.equal(progress.add({ number: 1, text: 'a', version: 1 }), 'added');
   t.equal(progress.add({ number: 2, text: 'b', version: 1 }), 'added');
@@ -60,9 +59,8 @@
   t.end();
 });
 
-await tap.test('should drop a text when an event has a version that is too old', t => {
-  // Symptom: a result that names a version below the batch's bound. Sequence: the endpoint was restarted with
-  // older weights between two attempts. Cause: freshness checked once, at the start.
+await tap.test('should discard a text when an event has a version that is too old', t => {
+  // An endpoint may restart with older weights between attempts, so that every event must be checked.
   const progress = new ItemProgress({ minVersion: 3, isSingleVersion: false });
   t.equal(progress.add({ number: 1, text: 'a', version: 3 }), 'added');
   t.equal(progress.add({ number: 2, text: 'b', version: 2 }), 'restart');
@@ -71,7 +69,7 @@
   t.end();
 });
 
-await tap.test('should begin anew rather than mix versions where one is demanded', t => {
+await tap.test('should start over instead of mixing versions if a single version is required', t => {
   const progress = new ItemProgress({ minVersion: 1, isSingleVersion: true });
   progress.add({ number: 1, text: 'a', version: 1 });
   t.notOk(progress.mayContinueWith(2));
@@ -79,9 +77,8 @@
   t.end();
 });
 
-await tap.test('should show a result only once its position is confirmed', t => {
-  // Symptom: two readers see different results at one position. Sequence: the owner shows a result, dies before
-  // the store has it, and the next owner lists another one there. Cause: results shown before they are stored.
+await tap.test('should show a result only after its position is confirmed', t => {
+  // Otherwise the next owner could list another result at a position that readers have already seen.
   const ledger = new BatchLedger(batch('b', [item('x'), item('y')]), [], RULES);
   ledger.beginAttempt('x');
   ledger.event('x', { number: 1, text: 'one', version: 1 });
@@ -94,7 +91,7 @@
   t.end();
 });
 
-await tap.test('should not run again what a former owner has listed', t => {
+await tap.test('should not run items again that a former owner has listed', t => {
   const listed: ItemResult[] = [{ id: 'x', state: 'completed', text: 'one', versions: [1] }];
   const ledger = new BatchLedger(batch('b', [item('x'), item('y')]), listed, RULES);
   t.same(
@@ -104,9 +101,8 @@
   t.end();
 });
 
-await tap.test('should keep each event once, and a text anew that began anew', t => {
-  // Symptom: a resumed text joins events of two texts. Sequence: an item's text is dropped, because its next event has
-  // a version that may not be joined, and grows past what was kept of the first. Cause: kept events counted by number.
+await tap.test('should store each event once, and a restarted text from its start', t => {
+  // Stored events must be tracked per text: an item that starts over reuses the event numbers.
   const rules = { maxAttempts: 3, isSingleVersion: true };
   const ledger = new BatchLedger(batch('b', [item('x')]), [], rules);
   const kept = new StoredEvents(ledger);
@@ -120,7 +116,7 @@
     return missing.flatMap(({ events }) => [events[0]?.number ?? 0, events.at(-1)?.number ?? 0]);
   };
   add(1, 10, 1);
-  t.same(storeMissing(), [], 'a short text is not kept');
+  t.same(storeMissing(), [], 'a short text is not stored');
   add(11, 30, 1);
   t.same(storeMissing(), [1, 30]);
   t.same(storeMissing(), [], 'nothing is written twice');
@@ -128,13 +124,12 @@
   t.same(storeMissing(), [31, 35]);
   add(36, 36, 2);
   add(1, 40, 2);
-  t.same(storeMissing(), [1, 40], 'the new text from its beginning');
+  t.same(storeMissing(), [1, 40], 'the new text from its start');
   t.end();
 });
 
-await tap.test('should keep long texts in records that the store takes', t => {
-  // Symptom: nothing of a batch is kept any more. Sequence: an item's events of one second are larger than a value of the
-  // store; the write is refused, and repeated as it was. Cause: records were cut between items only.
+await tap.test('should split long texts into records that the store accepts', t => {
+  // The unstored events of a single item may exceed the maximum size of a record.
   const ledger = new BatchLedger(batch('b', [item('x')]), [], RULES);
   const kept = new StoredEvents(ledger);
   for (let number = 1; number <= 60; number++)
@@ -152,7 +147,7 @@
   t.end();
 });
 
-await tap.test('should take the newest text of an item from kept lists, in their order', t => {
+await tap.test('should resume the newest text of an item from stored lists in their order', t => {
   const ledger = new BatchLedger(batch('b', [item('x'), item('y')]), [], RULES);
   const events = (from: number, to: number, version: number): GeneratedEvent[] =>
     Array.from({ length: to - from + 1 }, (_, i) => ({
@@ -171,16 +166,15 @@
   t.equal(
     ledger.progress('x').text(),
     '2.1\n2.2\n2.3\n2.4\n2.5\n2.6',
-    'a list that was written twice is joined',
+    'a list that was written twice is merged',
   );
-  t.equal(ledger.progress('y').lastEventNumber(), 0, 'a list whose beginning is missing is no text');
-  t.equal(ledger.waiting()[0]?.id, 'x', 'what was begun goes first');
+  t.equal(ledger.progress('y').lastEventNumber(), 0, 'a list without its start is ignored');
+  t.equal(ledger.waiting()[0]?.id, 'x', 'started items come first');
   t.end();
 });
 
-await tap.test('should take over what the step before generated, where its versions fit', t => {
-  // Symptom: a trainer waits for the same long item in each step until its deadline. Sequence: the item does not end in
-  // time, its group comes again in the next step, and is generated from its beginning. Cause: each batch begins anew.
+await tap.test('should carry over texts of the previous step with suitable versions', t => {
+  // A long item that starts over in every step would never end in time.
   const same = [item('done'), item('old'), item('begun')];
   const text = (id: string, versions: readonly number[]): ItemResult => ({
     id,
@@ -199,9 +193,9 @@
   t.same(
     carried.results.map(result => result.id),
     ['done'],
-    'neither what is too old, nor what belongs to another request or to no item',
+    'no text that is too old, of another request or of no item',
   );
-  t.same(carryOver(next, earlier, true).results, [], 'one version where one is demanded');
+  t.same(carryOver(next, earlier, true).results, [], 'a single version if required');
   const ledger = new BatchLedger(next, [], RULES);
   ledger.applyCarryOver(carried);
   t.same(
@@ -212,13 +206,13 @@
   t.same(
     ledger.waiting().map(waiting => waiting.id),
     ['begun', 'old', 'changed', 'new'],
-    'groups that come again go first',
+    'repeated groups come first',
   );
   t.end();
 });
 
-await tap.test('should give up an item that fails at each run, and not before', t => {
-  // Symptom: a step hangs, or an item is given up too soon. Cause: failures counted with refusals and breaks.
+await tap.test('should terminate an item after the maximum number of failures', t => {
+  // Interruptions must not count as failures.
   const ledger = new BatchLedger(batch('b', [item('x')]), [], RULES);
   for (const end of ['interrupted', 'failed', 'interrupted', 'failed'] as const) {
     ledger.beginAttempt('x');
@@ -231,7 +225,7 @@
   t.end();
 });
 
-await tap.test('should list an item once, whatever comes after its end', t => {
+await tap.test('should list an item once, regardless of later events', t => {
   const ledger = new BatchLedger(batch('b', [item('x')]), [], RULES);
   ledger.beginAttempt('x');
   ledger.completed('x');
@@ -257,7 +251,7 @@
   t.end();
 });
 
-await tap.test('should keep a group together, unless its endpoint is full or slow', t => {
+await tap.test('should place a group together unless its endpoint is full or slow', t => {
   const endpoints = [
     placementEndpoint('a', 2, 40),
     placementEndpoint('b', 9, 40),
@@ -273,38 +267,40 @@
   t.end();
 });
 
-await tap.test('should wait for a quick endpoint rather than use a slow one', t => {
-  // Symptom: a group is held up for seconds by one item. Sequence: every quick endpoint is full for a moment, the
-  // slow one is free. Cause: free places counted without pace.
+await tap.test('should wait for a fast endpoint instead of using a slow one', t => {
+  // One item at a slow endpoint delays its complete group.
   const endpoints = [
     placementEndpoint('quick', 0, 40),
     placementEndpoint('other', 0, 45),
     placementEndpoint('slow', 12, 160),
   ];
   t.equal(placeItem(endpoints, REQUEST), undefined);
-  t.equal(placeItem([placementEndpoint('slow', 12, 160)], REQUEST)?.id, 'slow', 'the only one serves');
+  t.equal(
+    placeItem([placementEndpoint('slow', 12, 160)], REQUEST)?.id,
+    'slow',
+    'a slow endpoint is used if it is the only one',
+  );
   t.end();
 });
 
 await tap.test('should move an old run for a smaller gain than a young one', t => {
-  // Symptom: a step waits for one item that runs at an endpoint 1.3 times slower than others, which are idle. Sequence:
-  // its estimate was short, so that it went anywhere. Cause: only endpoints of half the pace counted as slow.
+  // A long item with a short estimate may run at a moderately slow endpoint and delay its step.
   t.notOk(shouldMove(500, 200, 40), 'a young run stays');
   t.ok(shouldMove(1000, 90, 40), 'from a clearly slow endpoint');
   t.notOk(shouldMove(1000, 52, 40));
   t.ok(shouldMove(2000, 52, 40), 'an old run');
-  t.notOk(shouldMove(2000, 45, 40), 'paces swing');
+  t.notOk(shouldMove(2000, 45, 40), 'within the variation of paces');
   t.end();
 });
 
-await tap.test('should send long items to the best pace', t => {
+await tap.test('should place long items at the fastest endpoint', t => {
   const endpoints = [placementEndpoint('a', 9, 53), placementEndpoint('b', 3, 40)];
   t.equal(placeItem(endpoints, { ...REQUEST, isLong: true })?.id, 'b');
   t.equal(placeItem(endpoints, REQUEST)?.id, 'a');
   t.end();
 });
 
-await tap.test('should not send an item back to where it just failed', t => {
+await tap.test('should not place an item at an endpoint where it just failed', t => {
   t.equal(
     placeItem([placementEndpoint('a', 4), placementEndpoint('b', 1)], { ...REQUEST, avoid: new Set(['a']) })
       ?.id,
@@ -314,7 +310,7 @@
   t.end();
 });
 
-await tap.test('should share endpoints evenly and keep them with their model', t => {
+await tap.test('should assign endpoints evenly and keep their models', t => {
   const endpoint = (id: string, a: number, b: number): Parameters<typeof assignEndpoints>[0][number] => ({
     id,
     versions: new Map([
@@ -330,7 +326,7 @@
   const shares = assignEndpoints(settled, targets);
   t.same(shares.get('a'), ['1', '2']);
   t.same(shares.get('b'), ['3', '4']);
-  // An endpoint of `a` is gone and a fresh one comes: only the fresh one changes hands.
+  // An endpoint of `a` is replaced: only the new one is assigned.
   const changed = assignEndpoints([endpoint('0', 5, 9), ...settled.slice(1)], targets);
   t.same(changed.get('a'), ['2', '0']);
   t.same(changed.get('b'), ['3', '4']);
@@ -338,8 +334,7 @@
 });
 
 await tap.test('should load a version on half of the endpoints, the stale ones first', t => {
-  // Symptom: a step begins while all its endpoints load. Sequence: each named version is ordered everywhere at
-  // once. Cause: no use made of the version that a step accepts besides the newest.
+  // Otherwise a step would start while all its endpoints load.
   const at = (id: string, version: number, load = 0): Parameters<typeof endpointsDueForLoad>[0][number] => ({
     id,
     version,
@@ -354,10 +349,8 @@
   t.end();
 });
 
-await tap.test('should load first for the trainer whose step has no endpoint', t => {
-  // Symptom: a step stands still for half of its time while endpoints load. Sequence: two trainers name versions in
-  // the same second; those of the first prepare its next step, the second's step has begun and finds none that is
-  // new enough. Cause: due loads taken model by model.
+await tap.test('should load first for the trainer whose step has no usable endpoint', t => {
+  // Loads that prepare the next step of one trainer must not delay a running step of another.
   const at = (id: string, version: number): LoadCandidate => ({ id, version, load: 0, acceptsOrders: true });
   const quests = { model: 'quests', namedVersion: 11, candidates: [at('q1', 10), at('q2', 10), at('q3', 9)] };
   const barks = { model: 'barks', namedVersion: 9, candidates: [at('b1', 7), at('b2', 7), at('b3', 7)] };
@@ -366,9 +359,8 @@
   t.end();
 });
 
-await tap.test('should count an endpoint that loads with what it loads, and give it no second order', t => {
-  // Symptom: new weights come a second late. Sequence: two endpoints load version 10 when 11 is named; both are
-  // chosen again and answer that they are busy, while others are idle. Cause: loads that run were not counted.
+await tap.test('should count a loading endpoint with its new version and not order it again', t => {
+  // An endpoint that is loading would refuse the order as busy while others are idle.
   const loading = { id: 'a', version: 10, load: 0, acceptsOrders: false };
   const idle = { id: 'b', version: 9, load: 4, acceptsOrders: true };
   t.same(prioritizeLoads([{ model: 'm', namedVersion: 11, candidates: [loading, idle] }], 1), [
@@ -377,26 +369,21 @@
   t.end();
 });
 
-await tap.test(
-  'should let no more endpoints load than the limit, and pass over one that never does',
-  async t => {
-    // Symptom: no endpoint gets new weights. Sequence: the orderer of one domain dies, its endpoints are due first.
-    // Cause: everybody waits for the first in line.
-    const clock = new VirtualClock();
-    const window = new LoadWindow(clock, 2500);
-    const due = ['1', '2', '3', '4'].map(id => ({ id, version: 2 }));
-    const next = (list: typeof due): readonly string[] => window.next(list, 2).map(endpoint => endpoint.id);
-    t.same(next(due), ['1', '2']);
-    await clock.advance(1000);
-    t.same(next(due.slice(1)), ['2', '3'], 'the first has loaded');
-    await clock.advance(2000);
-    t.same(next(due.slice(1)), ['2', '3', '4'], 'the second has not, and is passed over');
-  },
-);
+await tap.test('should limit concurrent loads and skip an endpoint that does not load', async t => {
+  // Endpoints of a domain without an orderer must not block the others.
+  const clock = new VirtualClock();
+  const window = new LoadWindow(clock, 2500);
+  const due = ['1', '2', '3', '4'].map(id => ({ id, version: 2 }));
+  const next = (list: typeof due): readonly string[] => window.next(list, 2).map(endpoint => endpoint.id);
+  t.same(next(due), ['1', '2']);
+  await clock.advance(1000);
+  t.same(next(due.slice(1)), ['2', '3'], 'the first has loaded');
+  await clock.advance(2000);
+  t.same(next(due.slice(1)), ['2', '3', '4'], 'the second has not and is skipped');
+});
 
-await tap.test('should not set an endpoint aside for orders that were not given', async t => {
-  // Symptom: an endpoint never gets new weights again. Sequence: it loads one version while the next is named, and
-  // answers 'busy' each time. Cause: postponed orders counted as failed tries.
+await tap.test('should not exclude an endpoint for orders that were not given', async t => {
+  // Postponed orders must not count as failed tries.
   const clock = new VirtualClock();
   const planner = new SwapPlanner(clock, {
     maxSwappingShare: 1,
@@ -413,7 +400,7 @@
   t.same(planner.excludedEndpoints(), []);
 });
 
-await tap.test('should cut results into pages that end with what fits', t => {
+await tap.test('should split results into pages of limited size', t => {
   const results = Array.from({ length: 30 }, (_, i): ItemResult => ({
     id: `${i}`,
     state: 'completed',
@@ -445,7 +432,7 @@
   t.end();
 });
 
-await tap.test('should refuse records that are damaged', t => {
+await tap.test('should reject damaged records', t => {
   t.notOk(readClaim('k', '{"owner":').ok);
   t.notOk(readResults('k', '[{"id":1}]').ok);
   t.notOk(joinBatch('k', ['{}']).ok);
--- a/tests/keyFleet.ts
+++ b/tests/keyFleet.ts
@@ -1,6 +1,5 @@
 /**
- * Hosts of one failure domain that answer for idempotency keys, on a virtual clock. The witness counts what
- * really ran.
+ * Simulates the hosts of one failure domain that own idempotency keys, on a virtual clock, and counts actual runs.
  */
 import { Deadline, SeededRandom, VirtualClock } from '@fuchsiahitch/base';
 import {
@@ -26,7 +25,7 @@
 const CLAIM_MS = 2000;
 const MAP_POLL_MS = 100;
 
-/** The platform's store, as far as the slot map needs it. */
+/** The part of the platform's store that holds the slot map. */
 class MapStore {
   map: SlotMap | undefined;
   isDown = false;
@@ -86,7 +85,7 @@
   isProvenTerminated(holder: string): boolean {
     const { hostId, incarnation } = splitHolder(holder);
     const isTerminated = (this._fleet.hosts.get(hostId)?.incarnation ?? 0) > incarnation;
-    // Word of a restart spreads in its own time.
+    // Information about a restart arrives with a random delay.
     return isTerminated && this._fleet.random.below(2) === 0;
   }
 
@@ -125,7 +124,7 @@
   }
 }
 
-/** What a caller was told of one arrival, and how often its key had run by then. */
+/** The result reported to the caller of one arrival and the number of runs of the key by then. */
 export interface ArrivalResult {
   readonly key: string;
   readonly result: ClaimResult['kind'] | 'not-run';
@@ -148,7 +147,7 @@
     for (const id of ids) this.start(id);
   }
 
-  /** Starts a host, or its next process. */
+  /** Starts a host or restarts it as a new process. */
   start(id: string): KeyHost {
     this.hosts.get(id)?.process.kill();
     const host = new KeyHost(this, id, this._nextIncarnation++);
@@ -162,7 +161,7 @@
     return host;
   }
 
-  /** Has a host plan with its own opinion of who lives, right or wrong. */
+  /** Makes a host plan with the given list of live hosts, which may be wrong. */
   plan(planner: string, live: readonly string[]): void {
     if (this.store.isDown) return;
     const host = this.host(planner);
@@ -182,7 +181,7 @@
     await this.clock.advance(5000);
   }
 
-  /** One arrival of a key at a host; granted, it runs at once or after a while, if the host still lives. */
+  /** Sends a key to a host. If granted, it runs after `runDelayMs` unless the host was terminated. */
   arrive(at: string, key: string, runDelayMs = 1, answers = true): void {
     const host = this.host(at);
     const attemptId = this.random.id();
@@ -196,7 +195,7 @@
     });
   }
 
-  /** An arrival whose granted attempt is proved not to have run, so that its caller is told so. */
+  /** Sends a key whose granted attempt provably does not run, which is reported to the caller. */
   arriveReleased(at: string, key: string): void {
     const host = this.host(at);
     const attemptId = this.random.id();
@@ -210,7 +209,7 @@
     });
   }
 
-  /** The last thing that a caller was told of a key. */
+  /** Returns the last result reported for a key. */
   lastResult(key: string): string | undefined {
     return this.told.filter(told => told.key === key).at(-1)?.result;
   }
--- a/tests/keys.spec.ts
+++ b/tests/keys.spec.ts
@@ -1,5 +1,5 @@
 /**
- * Idempotency keys: a request that must not be repeated runs at most once, whatever dies.
+ * Idempotency keys: a non-idempotent request runs at most once under any failure of hosts and network.
  */
 import fc from 'fast-check';
 import tap from 'tap';
@@ -24,7 +24,7 @@
   return fleet;
 }
 
-/** A key that the wanted host owns. */
+/** Returns a key that the host owns. */
 function keyOwnedBy(fleet: KeyFleet, id: string): string {
   for (let i = 0; ; i++) {
     const key = `key-${i}`;
@@ -36,7 +36,7 @@
   return fleet.store.map?.slots[slotOf(key)]?.copy.split('#')[0] ?? '';
 }
 
-await tap.test('should run a key once and give resends the first answer', async t => {
+await tap.test('should run a key once and return the first answer to resends', async t => {
   const fleet = await settledFleet();
   for (const id of IDS) {
     fleet.arrive(id, 'hold');
@@ -49,9 +49,8 @@
   );
 });
 
-await tap.test('should run a key once when two arrivals race', async t => {
-  // Symptom: two seats held. Sequence: the balancer sends a resend to another host while the first is being
-  // claimed. Cause: nobody between the two hosts decides who runs.
+await tap.test('should run a key once when arrivals race', async t => {
+  // A load balancer may send a resend to another host while the first claim is in progress.
   const fleet = await settledFleet();
   fleet.arrive('h0', 'hold');
   fleet.arrive('h1', 'hold');
@@ -60,9 +59,8 @@
   t.equal(fleet.runs.get('hold'), 1);
 });
 
-await tap.test('should remember a key when its owner is killed', async t => {
-  // Symptom: a hold runs again after a host was replaced. Sequence: granted and run, the owner dies, the
-  // resend arrives at its successor. Cause: the memory of the key died with the host.
+await tap.test('should retain a key when its owner is killed', async t => {
+  // The successor must get the record from the copy.
   const fleet = await settledFleet();
   const key = keyOwnedBy(fleet, 'h0');
   fleet.arrive('h1', key);
@@ -77,9 +75,8 @@
 });
 
 await tap.test('should grant nothing at an owner that was paused and replaced', async t => {
-  // Symptom: a hold runs twice. Sequence: the owner is paused, a successor takes its slots and grants a key,
-  // the owner wakes, cannot reach the store, and is asked to grant the same key. Cause: it still believes in
-  // its epoch; the copy that it needs has promised the later one.
+  // The former owner resumes with an outdated epoch and without access to the store. Its copy has promised the later
+  // epoch and must refuse.
   const fleet = await settledFleet();
   const key = keyOwnedBy(fleet, 'h0');
   fleet.host('h0').process.pause();
@@ -96,9 +93,8 @@
 });
 
 await tap.test('should grant nothing at an owner whose copy promised a successor', async t => {
-  // Symptom: a hold runs twice. Sequence: owner and copy are alive and cut off from the store; a third host takes
-  // the slot over and reads the copy's records; the old pair grants a new key, and the successor grants it too.
-  // Cause: the copy gave its records away and went on taking new ones in the old epoch.
+  // Owner and copy are alive but cut off from the store. After the copy has handed its records to the successor, it must
+  // not accept new ones in the former epoch.
   const fleet = await settledFleet();
   const key = keyOwnedBy(fleet, 'h0');
   const copy = copyHostOf(fleet, key);
@@ -116,9 +112,8 @@
   t.equal(fleet.lastResult(key), 'granted', 'the successor serves');
 });
 
-await tap.test('should tell unknown when owner and copy were lost together', async t => {
-  // Symptom: a hold runs again after a rack failed. Sequence: owner and copy of a slot die before a successor
-  // read either. Cause: no record is left; an empty table must not be taken for a new key.
+await tap.test('should report `unknown` when owner and copy were lost together', async t => {
+  // Without records, a missing record is no proof that the key did not run.
   const fleet = await settledFleet();
   const key = keyOwnedBy(fleet, 'h0');
   fleet.arrive('h2', key);
@@ -136,12 +131,11 @@
   await fleet.clock.advance(KEY_RETENTION_MS);
   fleet.arrive(rest, 'a-new-key');
   await fleet.clock.advance(5000);
-  t.equal(fleet.runs.get('a-new-key'), 1, 'serves again after the window');
+  t.equal(fleet.runs.get('a-new-key'), 1, 'serves again after the retention period');
 });
 
-await tap.test('should not take a restarted host for its own predecessor', async t => {
-  // Symptom: a hold runs again. Sequence: the owner restarts under the same name and is asked for its records.
-  // Cause: an empty process answers "nothing granted" in the name of the one that granted.
+await tap.test('should not mistake a restarted host for its former process', async t => {
+  // The new process has no records and must not answer for the one that granted the key.
   const fleet = await settledFleet();
   const key = keyOwnedBy(fleet, 'h0');
   const copy = copyHostOf(fleet, key);
@@ -154,7 +148,7 @@
   await fleet.settle();
   fleet.arrive(third, key);
   await fleet.clock.advance(5000);
-  t.equal(fleet.lastResult(key), 'unknown', 'while the copy, which knows, is paused');
+  t.equal(fleet.lastResult(key), 'unknown', 'while the copy, which has the record, is paused');
   fleet.host(copy).process.wake();
   await fleet.settle();
   fleet.arrive(third, key);
@@ -166,8 +160,7 @@
 await tap.test(
   'should grant nothing while owner and copy cannot reach each other, and grant after',
   async t => {
-    // Symptom: two halves of a domain both run a hold. Sequence: a cut between owner and copy; the key arrives
-    // on both sides. Cause: one of them alone would have to guess.
+    // A grant by one of them alone would allow both sides of a partition to run the key.
     const fleet = await settledFleet();
     const key = keyOwnedBy(fleet, 'h0');
     fleet.net.cut('h0', copyHostOf(fleet, key));
@@ -182,7 +175,7 @@
   },
 );
 
-await tap.test('should keep granting while the store is down', async t => {
+await tap.test('should continue to grant while the store is down', async t => {
   const fleet = await settledFleet();
   fleet.store.isDown = true;
   for (let i = 0; i < 20; i++) fleet.arrive(IDS[i % 3] ?? 'h0', `hold-${i}`);
@@ -190,7 +183,7 @@
   t.equal(fleet.runs.size, 20);
 });
 
-await tap.test('should tell unknown when the owner cannot be reached', async t => {
+await tap.test('should report an unreachable owner', async t => {
   const fleet = await settledFleet();
   const key = keyOwnedBy(fleet, 'h0');
   fleet.net.cut('h0', 'h1');
@@ -199,7 +192,7 @@
   t.equal(fleet.lastResult(key), 'unreachable');
 });
 
-await tap.test('should refuse a key with another request', async t => {
+await tap.test('should refuse a key that is reused for another request', async t => {
   const fleet = await settledFleet();
   const owner = fleet.host('h0').holder;
   const key = keyOwnedBy(fleet, 'h0');
@@ -209,10 +202,8 @@
   t.same(await owner.claim(claim), { kind: 'conflict' });
 });
 
-await tap.test('should not tell not run when the owner was replaced without knowing', async t => {
-  // Symptom: a caller is told "not run", books anew, and holds two seats. Sequence: the owner is cut off with a
-  // claim on the way to its copy; a successor takes over and grants a resend, which runs; the owner's call to
-  // the copy times out. Cause: silence of the copy was taken for proof that the key never ran.
+await tap.test('should not report `not-run` at an owner that was replaced unnoticed', async t => {
+  // A timeout of the call to the copy is no proof that the key did not run: a successor may have granted it.
   const fleet = await settledFleet();
   const key = keyOwnedBy(fleet, 'h0');
   const copy = copyHostOf(fleet, key);
@@ -230,7 +221,7 @@
   t.equal(fleet.lastResult(key), 'unknown');
 });
 
-await tap.test('should free a key whose request was proved not to have run', async t => {
+await tap.test('should release a key whose request provably did not run', async t => {
   const fleet = await settledFleet();
   const key = keyOwnedBy(fleet, 'h0');
   const owner = fleet.host('h0').holder;
@@ -246,7 +237,7 @@
   t.same(await again, { kind: 'granted' });
 });
 
-await tap.test('should wait for the first answer when a resend comes while it runs', async t => {
+await tap.test('should make a resend wait for the answer of a run in progress', async t => {
   const fleet = await settledFleet();
   fleet.arrive('h0', 'slow', 800);
   await fleet.clock.advance(100);
@@ -256,16 +247,15 @@
   t.equal(fleet.lastResult('slow'), 'answered');
 });
 
-await tap.test('should send a key home by its prefix, whoever lives', t => {
+await tap.test('should determine the home domain by the prefix of the key, independent of live hosts', t => {
   t.equal(homeDomain('twizel:abc', ['tekapo', 'twizel']), 'twizel');
   t.equal(homeDomain('abc', ['tekapo', 'twizel']), homeDomain('abc', ['twizel', 'tekapo']));
   t.end();
 });
 
-await tap.test('should shorten the chains of slots, so that they can always change', async t => {
-  // Symptom: after some days a slot stays without an owner. Sequence: hosts come and go, one host plans all changes,
-  // and each leaves one more generation in the slots of the others. Cause: only an owner knows that its slot is
-  // settled, and owners that never plan never said so.
+await tap.test('should trim the earlier generations of slots', async t => {
+  // Every change adds a generation. Only the owner can remove settled ones; at the maximum a slot can no longer be
+  // reassigned.
   const fleet = await settledFleet();
   for (let i = 0; i < 40; i++) {
     fleet.start('h2');
@@ -281,17 +271,16 @@
   t.equal(fleet.runs.get('still-served'), 1);
 });
 
-/** Plans until nothing is left to change, and counts the maps that were written. */
+/** Plans until the map is stable and returns the number of maps. */
 function mapsUntilStable(map: SlotMap | undefined, input: SlotPlanInput): number {
   let maps = 0;
   for (let next = planSlotMap(map, input); next && maps < 20; next = planSlotMap(next, input)) maps += 1;
   return maps;
 }
 
-await tap.test('should call no slot settled that it does not own any more', async t => {
-  // Symptom: a hold runs twice after two changes of hosts. Sequence: owner and copy change roles, and the new owner
-  // reaches the old one before the map does; the old one goes on calling the slot settled and, planning next,
-  // forgets the generation that holds its records. Cause: the epoch was no news any more, so the role was not read.
+await tap.test('should not report a slot as settled that it no longer owns', async t => {
+  // The new owner's message may arrive before the map. When the map arrives with a known epoch, the changed role must
+  // still be applied; otherwise the former owner could remove generations with records.
   const fleet = new KeyFleet(7, IDS);
   for (const live of [['h0'], ['h0', 'h1'], ['h0', 'h1'], IDS, IDS]) {
     for (const id of live) {
@@ -308,9 +297,8 @@
   t.same(wronglySettled, []);
 });
 
-await tap.test('should even out a host that joined within three maps', t => {
-  // Symptom: each join costs a map for each host. Sequence: a host joins and the first planner moves only slots
-  // that it owns itself. Cause: all others looked unsettled to it.
+await tap.test('should rebalance after a join within three maps', t => {
+  // The planner must also move slots that it does not own, or every host needs to write a map.
   const live = Array.from({ length: 33 }, (_, i) => `h${i}#1`).sort();
   const input = { domain: 'd', domains: 'x', live: live.slice(1), settled: new Set<number>() };
   const first = planSlotMap(undefined, input);
@@ -319,7 +307,7 @@
   t.end();
 });
 
-await tap.test('should spread slots evenly and move few when a host leaves', t => {
+await tap.test('should distribute slots evenly and move few when a host leaves', t => {
   const live = Array.from({ length: 33 }, (_, i) => `h${i}#1`).sort();
   const input = { domain: 'd', domains: 'x', live, settled: new Set<number>() };
   const first = planSlotMap(undefined, input);
@@ -347,7 +335,7 @@
   {
     weight: 2,
     arbitrary: fc.record({
-      do: fc.constant('unrun' as const),
+      do: fc.constant('release' as const),
       at: host,
       key: fc.integer({ min: 0, max: 11 }),
     }),
@@ -381,7 +369,7 @@
   switch (one.do) {
     case 'arrive':
       return fleet.arrive(one.at, `key-${one.key}`, one.runDelayMs);
-    case 'unrun':
+    case 'release':
       return fleet.arriveReleased(one.at, `key-${one.key}`);
     case 'plan':
       return fleet.plan(one.at, one.live);
@@ -410,7 +398,7 @@
 tap.setTimeout(0);
 
 await tap.test(
-  'should run no key twice under random faults, and serve when they end',
+  'should run no key twice under random faults, and serve after they end',
   { timeout: 0 },
   async t => {
     let grants = 0;
@@ -439,7 +427,7 @@
         for (const [key, runs] of fleet.runs) if (runs > 1) throw new Error(`${key} ran ${runs} times`);
         for (const told of fleet.told) {
           if (told.result === 'not-run' && told.runsBefore > 0)
-            throw new Error(`${told.key} was told not run, and ran`);
+            throw new Error(`${told.key} was reported as not run but ran`);
         }
         const last = fleet.told.slice(-12);
         if (last.some(told => told.result === 'unreachable'))
--- a/tests/orders.spec.ts
+++ b/tests/orders.spec.ts
@@ -1,5 +1,5 @@
 /**
- * Weight orders: all servers soon, the pool never empty, no order of a holder that lost its lease.
+ * Weight orders: all endpoints are updated, the pool keeps serving, and a former lease holder gives no order.
  */
 import tap from 'tap';
 import { VirtualClock } from '@fuchsiahitch/base';
@@ -16,9 +16,8 @@
   return Array.from({ length: count }, (_, i) => ({ id: `e${i}`, isUsable: true }));
 }
 
-await tap.test('should stop well before the lease ends, counted from when its renewal was sent', async t => {
-  // Symptom: an order after the lease ended. Sequence: the renewal's answer comes late, and the lease is counted
-  // from the answer. Cause: the store counts from earlier than the holder does.
+await tap.test('should stop before the lease expires, measured from the sending of its renewal', async t => {
+  // The store may have renewed the lease long before its answer arrives.
   const clock = new VirtualClock();
   const guard = new LeaseGuard(clock, { leaseMs: 10_000, marginMs: 3000 });
   t.equal(guard.token(), undefined);
@@ -31,7 +30,7 @@
   await clock.advance(1);
   t.equal(guard.token(), undefined);
   guard.renewed(6, clock.nowMs());
-  t.equal(guard.token(), undefined, 'a late answer about an earlier lease counts for nothing');
+  t.equal(guard.token(), undefined, 'a late answer about an earlier lease is ignored');
 });
 
 await tap.test('should keep most of the pool serving while it swaps', async t => {
@@ -46,7 +45,7 @@
   t.equal(planner.next(endpoints(12), 1).length, 4);
 });
 
-await tap.test('should keep to the rate of the weight store', async t => {
+await tap.test('should respect the rate limit of the weight store', async t => {
   const clock = new VirtualClock();
   const planner = new SwapPlanner(clock, { ...OPTIONS, maxSwappingShare: 1, loadsPerSecond: 10 });
   planner.setTarget(target(2));
@@ -58,9 +57,7 @@
   t.ok(orders <= 31 && orders >= 25, `${orders} orders in 3 s at 10 a second`);
 });
 
-await tap.test('should ignore a target that comes after its successor', t => {
-  // Symptom: servers go back a version. Sequence: version N's order arrives after N+1's. Cause: the last to
-  // arrive wins. Targets carry a sequence.
+await tap.test('should ignore a target that arrives after its successor', t => {
   const planner = new SwapPlanner(new VirtualClock(), OPTIONS);
   t.ok(planner.setTarget(target(3, 2)));
   t.notOk(planner.setTarget(target(2, 1)));
@@ -68,9 +65,8 @@
   t.end();
 });
 
-await tap.test('should tell a failed swap again, then set the endpoint aside, until it restarts', async t => {
-  // Symptom: one server serves the old version for days. Sequence: the order was accepted, the load failed
-  // without a word. Cause: what was ordered was taken for what runs.
+await tap.test('should repeat a failed swap, then exclude the endpoint until it restarts', async t => {
+  // An accepted order is no proof of the swap: the load may fail without an error.
   const clock = new VirtualClock();
   const planner = new SwapPlanner(clock, OPTIONS);
   planner.setTarget(target(2));
@@ -83,7 +79,7 @@
   t.same(planner.excludedEndpoints(), ['e0']);
   t.ok(planner.isDone(endpoints(1)));
   planner.readBack('e0', { version: 1, startId: 'b' });
-  t.equal(planner.next(endpoints(1), 1).length, 1, 'a restarted endpoint gets a new chance');
+  t.equal(planner.next(endpoints(1), 1).length, 1, 'a restarted endpoint is ordered again');
 });
 
 await tap.test('should swap a staged share only', async t => {
@@ -123,12 +119,12 @@
   );
   t.ok(
     [...fleet.engines.values()].every(engine => engine.orders.length === 1),
-    'each was told once',
+    'one order per engine',
   );
   await fleet.stop();
 });
 
-await tap.test('should find and repeat a swap that failed without a word', async t => {
+await tap.test('should detect and repeat a swap that failed without an error', async t => {
   const fleet = await fleetOf();
   await fleet.until('leader', () => leaderOf(fleet, 'tekapo') !== undefined);
   fleet.engine('tekapo-engine-1').failSwaps = 1;
@@ -139,11 +135,9 @@
 });
 
 await tap.test(
-  'should give no order after a pause past the lease, to engines that check no token',
+  'should give no order after a pause beyond the lease to engines that check no token',
   async t => {
-    // Symptom: an engine runs an old version against the newest target. Sequence: the leader is paused with orders
-    // planned, its successor brings the next version, the paused one wakes. Cause: it still believes in its lease,
-    // and the engine does not check who orders.
+    // A leader that resumes after its lease has expired must not give the orders that it had planned.
     const fleet = await fleetOf();
     await fleet.until('leader', () => leaderOf(fleet, 'tekapo') !== undefined);
     const formerLeader = leaderOf(fleet, 'tekapo');
@@ -162,7 +156,7 @@
     await fleet.clock.advance(20_000);
     t.ok(engineVersions(fleet, 'tekapo').every(version => version === 3));
     const after = [...fleet.engines.values()].reduce((sum, engine) => sum + engine.orders.length, 0);
-    t.equal(after, before, 'no order at all after waking');
+    t.equal(after, before, 'no order after the pause');
     await fleet.stop();
   },
 );
@@ -184,12 +178,12 @@
   await fleet.stop();
 });
 
-await tap.test('should hand the orders on when the leader is cut off from the platform', async t => {
+await tap.test('should give up leadership when the leader is cut off from the platform', async t => {
   const fleet = await fleetOf();
   await fleet.until('leader', () => leaderOf(fleet, 'tekapo') !== undefined);
   const formerLeader = leaderOf(fleet, 'tekapo');
   fleet.cutBetween([formerLeader?.id ?? ''], ['store', 'list']);
   await fleet.clock.advance(15_000);
-  t.equal(formerLeader?.ready.orders.isLeader(), false, 'it stops by itself');
+  t.equal(formerLeader?.ready.orders.isLeader(), false, 'it stops on its own');
   await fleet.stop();
 });
--- a/tests/pace.spec.ts
+++ b/tests/pace.spec.ts
@@ -1,11 +1,11 @@
 /**
- * The pace of an endpoint from uneven pauses, and what it means for moves.
+ * Estimation of an endpoint's pace from uneven intervals, and its effect on moves.
  */
 import tap from 'tap';
 import { SeededRandom } from '@fuchsiahitch/base';
 import { Pace, shouldMove } from '@fuchsiahitch/batches';
 
-/** The pauses of a stream whose events come every 45 ms and are read in bursts of one to four. */
+/** The intervals of a stream with an event every 45 ms, read in bursts of one to four. */
 function* bursts(seed: number): Generator<number> {
   const random = new SeededRandom(seed);
   for (;;) {
@@ -22,7 +22,7 @@
   return pace;
 }
 
-await tap.test('should tell no pace after a few events', t => {
+await tap.test('should return no pace after a few events', t => {
   const pace = new Pace();
   for (let i = 0; i < 15; i++) pace.addInterval(45);
   t.equal(pace.estimateMs(), undefined);
@@ -31,10 +31,8 @@
   t.end();
 });
 
-await tap.test('should move no old run away from one of many endpoints that are equally quick', t => {
-  // Symptom: items change endpoints up to eleven times, and half of all attempts are such moves. Sequence: events are
-  // read in bursts; of thirty equal endpoints one seems a fifth quicker by chance, and old runs leave for it. Cause: a pace
-  // that rests on some ten pauses; with it 66 of these 200 runs move.
+await tap.test('should move no old run between endpoints of equal speed', t => {
+  // With too little smoothing one of many equal endpoints seems faster by chance.
   let moves = 0;
   for (let run = 1; run <= 200; run++) {
     const here = paceAfter(100, run).estimateMs() ?? 0;
@@ -48,7 +46,7 @@
   t.end();
 });
 
-await tap.test('should follow an endpoint that turns slow within some 60 events', t => {
+await tap.test('should detect an endpoint that becomes slow within about 60 events', t => {
   const pace = paceAfter(300, 1);
   for (let i = 0; i < 60; i++) pace.addInterval(160);
   t.ok((pace.estimateMs() ?? 0) > 100, `${pace.estimateMs()} ms`);
--- a/tests/requests.spec.ts
+++ b/tests/requests.spec.ts
@@ -370,7 +370,7 @@
   const fleet = await fleetOf();
   fleet.services.loseAnswers = 1;
   const first = send(fleet.host('tekapo-0'), { kind: 'service' }, { key: 'seat-4' });
-  await fleet.until('answered', () => first.answer !== undefined);
+  await fleet.until('told', () => first.answer !== undefined);
   t.match(first.answer?.outcome, { kind: 'unknown', reason: 'connection-lost' });
   const again = send(fleet.host('twizel-1'), { kind: 'service' }, { key: 'seat-4' });
   await fleet.until('answered again', () => again.answer !== undefined);
@@ -383,7 +383,7 @@
   const fleet = await fleetOf();
   fleet.services.loseAnswers = 1;
   const running = send(fleet.host('tekapo-0'), { kind: 'service' });
-  await fleet.until('answered', () => running.answer !== undefined);
+  await fleet.until('told', () => running.answer !== undefined);
   t.match(running.answer?.outcome, { kind: 'unknown' });
   t.equal(fleet.services.runs.get('none'), 1);
   await fleet.stop();
@@ -393,7 +393,7 @@
   const fleet = await fleetOf();
   fleet.services.refuse = 1;
   const running = send(fleet.host('tekapo-0'), { kind: 'service' }, { key: 'busy' });
-  await fleet.until('answered', () => running.answer !== undefined);
+  await fleet.until('told', () => running.answer !== undefined);
   t.match(running.answer?.outcome, { kind: 'completed' });
   t.equal(fleet.services.runs.get('busy'), 1);
   await fleet.stop();
@@ -403,7 +403,7 @@
   const fleet = await fleetOf();
   fleet.services.refuse = 10;
   const first = send(fleet.host('tekapo-0'), { kind: 'service' }, { key: 'later' });
-  await fleet.until('answered', () => first.answer !== undefined);
+  await fleet.until('told', () => first.answer !== undefined);
   t.match(first.answer?.outcome, { kind: 'not-run' });
   t.equal(fleet.services.runs.get('later'), undefined);
   fleet.services.refuse = 0;
@@ -508,7 +508,7 @@
       ['completed', 'completed', 'completed'],
     );
     const foreign = send(fleet.host('twizel-1'), { kind: 'service' }, { key: 'tekapo:hold-9' });
-    await fleet.until('foreign answered', () => foreign.answer !== undefined);
+    await fleet.until('told', () => foreign.answer !== undefined);
     t.match(foreign.answer?.outcome, { kind: 'unknown', reason: 'key-owner-unreachable' });
     t.equal(fleet.services.runs.get('tekapo:hold-9'), 1);
     await fleet.stop();
--- a/tests/resumption.spec.ts
+++ b/tests/resumption.spec.ts
@@ -1,44 +1,39 @@
 /**
- * Texts that are taken up again: whole ones, ones that no endpoint goes on with, and ones whose versions don't fit.
+ * Resumption of texts: complete ones, ones that no endpoint can continue, and ones with outdated versions.
  */
 import tap from 'tap';
 import { Deadline } from '@fuchsiahitch/base';
 import { BATCH, read, started, submit } from './batchCalls.js';
 import { batch } from './gatewayWorld.js';
 
-await tap.test(
-  'should list a text that the store has whole, and ask no endpoint to go on with it',
-  async t => {
-    // Symptom: one item is sent to an endpoint every 23 ms for the rest of its trainer's day, and its step is lost.
-    // Sequence: a text is whole, and its batch ends before it is listed; its group comes again in a later step, where an
-    // endpoint is asked to go on after its last event. It has nothing to add, and its answer names no weight version.
-    // Cause: that text taken for unfinished, and the missing version for version 0, which is older than allowed.
-    const [world, a, b] = await started('a', 'b');
-    if (!a || !b) return;
-    world.client.script = call => {
-      const events = 60 - call.afterEvent;
-      return events > 0
-        ? { events, end: { kind: 'done' }, eventMs: 10 }
-        : { events, end: { kind: 'done' }, version: 'none' };
-    };
-    await submit(world, a);
-    await world.clock.advance(650);
-    t.equal(await world.until(a.batches.end('b1')), 'ended');
-    await world.clock.advance(500);
-    const before = world.client.items.length;
-    const next = batch('b2', BATCH.items, { step: 3 });
-    await world.until(b.batches.submit(next, Deadline.after(world.clock, 1000)));
-    await world.clock.advance(1000);
-    const page = await world.until(b.batches.read('b2', 0, 1000));
-    t.ok(page.kind === 'page' && page.page.results.length === 3);
-    t.ok(page.kind === 'page' && page.page.results.every(({ text }) => text.split('\n').length === 60));
-    t.equal(world.client.items.length, before, 'no endpoint is asked');
-    world.stop();
-  },
-);
+await tap.test('should list a complete stored text without sending it to an endpoint', async t => {
+  // A batch may end after a text is complete and before it is listed. If the text were resumed in a later step, the
+  // endpoint would have nothing to add and report no version, so that the item would be retried forever.
+  const [world, a, b] = await started('a', 'b');
+  if (!a || !b) return;
+  world.client.script = call => {
+    const events = 60 - call.afterEvent;
+    return events > 0
+      ? { events, end: { kind: 'done' }, eventMs: 10 }
+      : { events, end: { kind: 'done' }, version: 'none' };
+  };
+  await submit(world, a);
+  await world.clock.advance(650);
+  t.equal(await world.until(a.batches.end('b1')), 'ended');
+  await world.clock.advance(500);
+  const before = world.client.items.length;
+  const next = batch('b2', BATCH.items, { step: 3 });
+  await world.until(b.batches.submit(next, Deadline.after(world.clock, 1000)));
+  await world.clock.advance(1000);
+  const page = await world.until(b.batches.read('b2', 0, 1000));
+  t.ok(page.kind === 'page' && page.page.results.length === 3);
+  t.ok(page.kind === 'page' && page.page.results.every(({ text }) => text.split('\n').length === 60));
+  t.equal(world.client.items.length, before, 'no request to an endpoint');
+  world.stop();
+});
 
-await tap.test('should take an end without another event for the end of a text', async t => {
-  // As above, where the store has every event of a text, and not that it is whole: its owner died at that moment.
+await tap.test('should complete a text if the resumed stream ends without another event', async t => {
+  // The owner may die when all events of a text are stored but not that it is complete.
   const [world, a] = await started('a');
   if (!a) return;
   world.client.script = call => {
@@ -49,11 +44,11 @@
   await world.clock.advance(1500);
   const page = await read(world, a);
   t.ok(page.kind === 'page' && page.page.results.length === 3);
-  t.equal(world.client.items.length, 6, 'two attempts for each');
+  t.equal(world.client.items.length, 6, 'two attempts per item');
   world.stop();
 });
 
-await tap.test('should not take a stream without any event for a text', async t => {
+await tap.test('should not accept a stream without events as a text', async t => {
   const [world, a] = await started('a');
   if (!a) return;
   let attempts = 0;
@@ -69,9 +64,8 @@
   world.stop();
 });
 
-await tap.test('should begin an item anew whose text no endpoint goes on with', async t => {
-  // Symptom: an item has hundreds of attempts, and its step is lost. Sequence: a stream breaks; each endpoint that is
-  // asked to go on answers with weights that are too old for the batch. Cause: nothing ends the round.
+await tap.test('should start an item over if no endpoint can continue its text', async t => {
+  // Otherwise an item whose text every endpoint refuses would be retried forever.
   for (const mode of ['always', 'once'] as const) {
     const [world, a] = await started('a');
     if (!a) return;
@@ -94,14 +88,13 @@
     const isDiscarded = a.context.log.lines.some(
       line => line.text === 'item makes no progress' && line.details.isTextDropped === true,
     );
-    t.equal(isDiscarded, mode === 'always', 'the text is given up only when no endpoint goes on with it');
+    t.equal(isDiscarded, mode === 'always', 'the text is discarded only if no endpoint continues it');
     world.stop();
   }
 });
 
-await tap.test('should wait for an endpoint whose weights are new enough, and keep the text', async t => {
-  // Symptom: as above. Sequence: both endpoints are known with a version that they don't have any more, for 4 s.
-  // Cause: what their records say believed over what they answer.
+await tap.test('should wait for an endpoint with new enough weights and keep the text', async t => {
+  // The versions in the endpoints' answers take precedence over outdated records.
   const [world, a] = await started('a');
   if (!a) return;
   const untilMs = world.clock.nowMs() + 4000;
