--- a/packages/requests/src/concurrencyLimit.ts
+++ b/packages/requests/src/concurrencyLimit.ts
@@ -12,23 +12,22 @@
   private _limit: number;
   private _peakUsageSinceReport = 0;
 
-  /** `slots`: concurrent requests that the endpoint accepts; `hosts`: how many hosts share them at the start. */
+  /** `slots`: concurrent requests that the endpoint accepts, initially shared by `hosts`. */
   constructor(slots: number, hosts: number) {
     this._slots = slots;
     this._limit = Math.max(1, Math.ceil(slots / Math.max(1, hosts)));
   }
 
-  /** The number of requests allowed now. */
   value(): number {
     return Math.max(1, Math.floor(this._limit));
   }
 
-  /** The part of the limit available to rollouts, rounded down so that they never use the customers' reserve. */
+  /** The limit without the customers' reserve, rounded down so that rollouts never use the reserve. */
   rolloutLimit(reserve: number): number {
     return Math.floor(this.value() * (1 - reserve));
   }
 
-  /** Records the peak usage: a limit that is not reached is not raised. */
+  /** A limit that is not reached is not raised. */
   recordUsage(inFlight: number): void {
     this._peakUsageSinceReport = Math.max(this._peakUsageSinceReport, inFlight);
   }
@@ -39,7 +38,6 @@
     this._peakUsageSinceReport = 0;
   }
 
-  /** Handles a request that the endpoint refused for lack of capacity. */
   refused(): void {
     this._decrease();
   }
--- a/packages/requests/src/endpointPicker.ts
+++ b/packages/requests/src/endpointPicker.ts
@@ -20,28 +20,27 @@
   readonly limit: ConcurrencyLimit;
 }
 
-/** The requirements of a request on its endpoint. */
 export interface PickRequest {
   readonly pool: string;
   readonly ownDomain: string;
-  /** Failure domains in the rule's order of preference; empty to prefer the host's own. */
+  /** Failure domains in order of preference; empty to prefer the host's own. */
   readonly domains: readonly string[];
   readonly isRollout: boolean;
   readonly reserve: number;
-  /** The start of the prompt, for affinity to prefix caches; empty for none. */
+  /** The start of the prompt, for affinity to prefix caches. */
   readonly prefix: string;
   /** The required weight version; empty for any. */
   readonly version: string;
-  /** Identifiers of endpoints that already received this request. */
+  /** Endpoints that already received this request. */
   readonly tried: ReadonlySet<string>;
 }
 
-/** The number of endpoints that one host uses of each pool and domain. */
+/** Endpoints that one host uses per pool and domain. */
 export const SUBSET_SIZE = 16;
 /** Prefix affinity applies up to this multiple of the mean load. */
 const AFFINITY_LOAD_FACTOR = 1.25;
 
-/** Returns the subset of a pool's endpoints in one domain that this host uses and watches. */
+/** Returns the endpoints of a pool and domain that this host uses and watches. */
 export function subsetFor(hostId: string, endpointIds: readonly string[]): readonly string[] {
   if (endpointIds.length <= SUBSET_SIZE) return endpointIds;
   return rendezvous(hostId, endpointIds).slice(0, SUBSET_SIZE);
@@ -60,7 +59,7 @@
     this._random = random;
   }
 
-  /** Returns the endpoint to send to, or undefined when none has room. */
+  /** Returns undefined if no endpoint has room. */
   pick(endpoints: readonly EndpointView[], request: PickRequest): EndpointView | undefined {
     const usable = endpoints.filter(endpoint => isCandidate(endpoint, request));
     for (const group of byDomain(usable, request)) {
@@ -71,7 +70,7 @@
     return undefined;
   }
 
-  /** Returns the endpoint whose rollout yields to a customer: the one with the most rollouts. */
+  /** Returns the endpoint with the most rollouts, one of which yields to a customer. */
   pickToPreempt(endpoints: readonly EndpointView[], request: PickRequest): EndpointView | undefined {
     const usable = endpoints.filter(e => isCandidate(e, request) && e.stats.rolloutInFlight() > 0);
     const [group = []] = byDomain(usable, request);
@@ -107,7 +106,7 @@
   return endpoint.stats.isUsable();
 }
 
-/** Groups endpoints by domain: the preferred domains in order, or else the own one, then all others together. */
+/** Groups endpoints by domain: the preferred or else the own domain first, all others together last. */
 function byDomain(
   endpoints: readonly EndpointView[],
   request: PickRequest,
@@ -118,7 +117,7 @@
   return groups.filter(group => group.length > 0);
 }
 
-/** Rendezvous hashing: returns the endpoint with the highest weight for the prefix. */
+/** Rendezvous hashing of the prefix. */
 function highestRanked(endpoints: readonly EndpointView[], prefix: string): EndpointView | undefined {
   let best: EndpointView | undefined;
   let bestWeight = -1;
--- a/packages/requests/src/endpointStats.ts
+++ b/packages/requests/src/endpointStats.ts
@@ -1,6 +1,5 @@
 /**
- * A host's statistics of one endpoint: its own requests in flight, the last load report, and a circuit breaker
- * over recent failures.
+ * A host's view of the load of one endpoint, with a circuit breaker.
  */
 import type { Clock } from '@fuchsiahitch/base';
 
@@ -38,10 +37,7 @@
   private _completedAttempts = 0;
   private _breaker: BreakerState = { kind: 'closed' };
 
-  /**
-   * `reportValidMs`: the age beyond which a load report is ignored. `maxOpenMs`: the longest time that the breaker
-   * stays open before a probe.
-   */
+  /** `reportValidMs`: the age up to which a load report is used. `maxOpenMs`: the longest time between probes. */
   constructor(clock: Clock, reportValidMs: number = REPORT_VALID_MS, maxOpenMs: number = MAX_OPEN_MS) {
     this._clock = clock;
     this._reportValidMs = reportValidMs;
@@ -66,10 +62,7 @@
     if (this._breaker.kind === 'open') this._breaker = { kind: 'probing', lengthMs: this._breaker.lengthMs };
   }
 
-  /**
-   * Records the end of an attempt. Failures open the breaker: an endpoint that fails fast looks idle and would
-   * otherwise attract all traffic.
-   */
+  /** Failures open the breaker: an endpoint that fails fast looks idle and would attract all traffic. */
   ended(isRollout: boolean, isFailure: boolean): void {
     this._inFlight -= 1;
     if (isRollout) this._rolloutInFlight -= 1;
@@ -80,10 +73,7 @@
       this._openBreaker(INITIAL_OPEN_MS);
   }
 
-  /**
-   * Records a cancelled attempt, which counts as neither success nor failure. If it was the breaker's probe, the next
-   * request becomes the probe; otherwise the breaker would never close.
-   */
+  /** Counts as neither success nor failure. After a cancelled probe the next request becomes the probe. */
   cancelled(isRollout: boolean): void {
     this._inFlight -= 1;
     if (isRollout) this._rolloutInFlight -= 1;
@@ -100,8 +90,8 @@
   }
 
   /**
-   * Returns the other hosts' load at the last report plus this host's current count. The own count is always
-   * up to date, so that hosts that read the same report do not all pick one endpoint.
+   * The other hosts' load at the last report plus this host's current load, so that hosts with the same outdated
+   * report do not all pick one endpoint.
    */
   estimatedLoad(): number {
     const isFresh = this._clock.nowMs() - this._reportedMs < this._reportValidMs;
@@ -110,7 +100,7 @@
     return others + this._inFlight;
   }
 
-  /** Returns false while the breaker is open or its probe is in flight. */
+  /** False while the breaker is open or its probe is in flight. */
   isUsable(): boolean {
     if (this._breaker.kind === 'closed') return true;
     return this._breaker.kind === 'open' && this._clock.nowMs() >= this._breaker.untilMs;
--- a/packages/requests/src/fairAdmission.ts
+++ b/packages/requests/src/fairAdmission.ts
@@ -1,17 +1,15 @@
 /**
- * Admission control per client account while endpoints are full.
- *
- * Capacity is divided by max-min fairness, so that an account that floods does not starve the others: accounts with
- * less demand than an even share are served in full, and what they leave is divided among the rest.
+ * Admission control per client account while endpoints are full: capacity is divided by max-min fairness, so that an
+ * account that floods does not starve the others.
  */
 
-/** Requests are counted in slices of this length; the counts of one slice set the limits of the next. */
+/** The counts of one slice determine the limits of the next. */
 const SLICE_MS = 500;
-/** With fewer requests in a slice, refusals are not significant. */
+/** With fewer requests per slice, refusals are not significant. */
 const MIN_REQUESTS = 20;
-/** Endpoints count as full when this share of the requests is refused. */
+/** The share of refused requests from which endpoints count as full. */
 const FULL_REFUSED_SHARE = 0.1;
-/** Admits more than was served, to detect capacity that has become free. */
+/** Admits more than was served, to detect free capacity. */
 const PROBE_FACTOR = 1.2;
 
 class TimeSlice {
@@ -29,16 +27,16 @@
 export class FairAdmission {
   private _slice = new TimeSlice();
   private _sliceStartMs = -Infinity;
-  /** The maximum number of requests of one account in this slice; Infinity while endpoints have room. */
+  /** Requests per account in this slice; Infinity while endpoints have room. */
   private _limit = Infinity;
 
-  /** Returns true if the account's request may be sent; otherwise it is counted as refused. */
+  /** Returns true if the request may be sent, otherwise counts it as refused. */
   admit(accountName: string, nowMs: number): boolean {
     this._rotateSlice(nowMs);
     const slice = this._slice;
     slice.total += 1;
     increment(slice.requested, accountName);
-    // Spread admission over the slice: a burst at its start would find full endpoints and leave them idle afterwards.
+    // Spreads admission over the slice: a burst at its start would meet full endpoints and leave them idle later.
     const elapsedShare = (nowMs - this._sliceStartMs) / SLICE_MS;
     if ((slice.admitted.get(accountName) ?? 0) >= 1 + this._limit * elapsedShare) {
       slice.refused += 1;
@@ -48,7 +46,7 @@
     return true;
   }
 
-  /** Records the end of an admitted request. `isRefused`: every endpoint that received it was full. */
+  /** `isRefused`: all endpoints that received the admitted request were full. */
   ended(isRefused: boolean): void {
     if (isRefused) this._slice.refused += 1;
     else this._slice.served += 1;
@@ -67,7 +65,7 @@
   }
 }
 
-/** Returns the max-min fair limit per account for the given demands, at least 1; Infinity if all demands fit. */
+/** Returns the limit per account, at least 1; Infinity if all demands fit the capacity. */
 export function maxMinFairShare(asked: ReadonlyMap<string, number>, capacity: number): number {
   const demands = [...asked.values()].sort((a, b) => a - b);
   let left = capacity;
--- a/packages/requests/src/keyClient.ts
+++ b/packages/requests/src/keyClient.ts
@@ -5,10 +5,10 @@
 import type { Claim, ClaimReply, Finish } from './keyMessages.js';
 import { homeDomain } from './slotMap.js';
 
-/** The owner's reply to a claim; `unreachable` if none arrived. */
+/** `unreachable`: no reply arrived. */
 export type ClaimResult = ClaimReply | { readonly kind: 'unreachable' };
 
-/** Transport to the owner of a key in a failure domain, directly or through another host there. */
+/** Transport to the owner of a key in a failure domain. */
 export interface KeyRoutes {
   claim(domain: string, claim: Claim, deadline: Deadline): Promise<ClaimReply | undefined>;
   finish(domain: string, finish: Finish): Promise<boolean>;
@@ -18,9 +18,9 @@
 
 const MAX_CLAIM_TRIES = 3;
 const MAX_FINISH_TRIES = 4;
-/** The longest time that a resend waits for the first run's answer. */
+/** The maximum time that a resend waits for the first answer. */
 const MAX_WAIT_MS = 30_000;
-/** Reserved from the deadline to return the reply. */
+/** Reserved for returning the reply. */
 const RETURN_MARGIN_MS = 50;
 
 export class KeyClient {
@@ -34,10 +34,7 @@
     this._routes = routes;
   }
 
-  /**
-   * Requests permission to run. A claim without a reply is never repeated with the same attempt, since the owner may
-   * have granted it; the caller receives `unknown`.
-   */
+  /** A claim without a reply is not repeated, since the owner may have granted it; the caller receives `unknown`. */
   async claim(key: string, fingerprint: string, attemptId: string, deadline: Deadline): Promise<ClaimResult> {
     const home = homeDomain(key, this._domains);
     for (let i = 0; i < MAX_CLAIM_TRIES; i++) {
@@ -51,7 +48,7 @@
     return { kind: 'unreachable' };
   }
 
-  /** Reports the end of the attempt to the owner. If that fails, resends receive `unknown`, which is safe. */
+  /** Reports the end of the attempt to the owner. If that fails, resends receive `unknown`. */
   async finish(finish: Omit<Finish, 'relayed'>, deadline: Deadline): Promise<void> {
     const home = homeDomain(finish.key, this._domains);
     for (let i = 0; i < MAX_FINISH_TRIES && !deadline.isOver(); i++) {
--- a/packages/requests/src/keyHolder.ts
+++ b/packages/requests/src/keyHolder.ts
@@ -20,12 +20,12 @@
 import { KEY_RETENTION_MS, KeySlot, MAX_STORED_ANSWER_BYTES, type HeldRecord } from './keySlot.js';
 import { slotOf, SLOTS_PER_DOMAIN, type Generation, type SlotEntry, type SlotMap } from './slotMap.js';
 
-/** Transport between holders. An undefined reply means that none arrived; the peer may have processed the message. */
+/** Transport between holders. Without a reply (undefined) the peer may still have processed the message. */
 export interface HolderPeers {
   copyRecord(holder: string, message: CopyRecord): Promise<Accepted | undefined>;
   syncSlot(holder: string, message: SyncSlot): Promise<Accepted | undefined>;
   fenceSlot(holder: string, message: FenceSlot): Promise<FenceReply | undefined>;
-  /** Returns true if that process is known to have terminated: its host runs a later one or was removed. */
+  /** True if the host of that process runs a later one or was removed. */
   isProvenTerminated(holder: string): boolean;
 }
 
@@ -41,7 +41,6 @@
 
 type Waiter = () => void;
 
-/** Holds the slots of one host, as owner or as copy. */
 export class KeyHolder {
   private readonly _options: KeyHolderOptions;
   private readonly _slots: readonly KeySlot[];
@@ -70,14 +69,14 @@
     return this._slots.reduce((sum, slot) => sum + slot.size(), 0);
   }
 
-  /** Applies a newer map. Others are ignored, even if they come from the store: epochs never decrease. */
+  /** Ignores maps that are not newer, even from the store: epochs never decrease. */
   updateMap(map: SlotMap): void {
     if (this._map && map.revision <= this._map.revision) return;
     this._map = map;
     for (const [slot, entry] of map.slots.entries()) this._updateEntry(slot, entry);
   }
 
-  /** Answers a claim as the owner of the key's slot. */
+  /** As the owner. */
   async claim(claim: Claim): Promise<ClaimReply> {
     const slot = slotOf(claim.key);
     const entry = this._ownedEntry(slot);
@@ -93,7 +92,7 @@
     return this._grant(slot, entry, claim);
   }
 
-  /** Records the end of a granted attempt. */
+  /** As the owner: records the end of a granted attempt. */
   async finish(finish: Finish): Promise<Accepted> {
     const slot = slotOf(finish.key);
     const entry = this._ownedEntry(slot);
@@ -101,7 +100,7 @@
     if (!entry || record?.attemptId !== finish.attemptId) return { accepted: false };
     const change = this._applyFinish(slot, record, finish);
     this._wakeWaiters(record);
-    // If the copy misses this change, it replies `unknown` instead of the stored answer, which is safe.
+    // A copy that misses this change replies `unknown` instead of the stored answer.
     if (entry.copy !== '')
       await this._options.peers.copyRecord(entry.copy, { slot, epoch: entry.epoch, record: change });
     return { accepted: true };
@@ -187,8 +186,7 @@
       const message = { slot, epoch: entry.epoch, record: state.toRecord(record) };
       const reply = await this._options.peers.copyRecord(entry.copy, message);
       if (!reply?.accepted) {
-        // No grant for this attempt. The key may have run nevertheless: a copy that does not answer or refuses
-        // may already serve a successor that granted the key to another arrival.
+        // The key may still have run: the copy may already serve a successor that granted it to another arrival.
         state.remove(record);
         this._wakeWaiters(record);
         if (reply) this._settled.delete(slot);
@@ -236,7 +234,7 @@
       this._settled.delete(slot);
       this._handedOver.delete(slot);
     }
-    // The new owner's message may arrive before the map: then the epoch is known already, but the role changes.
+    // The new owner's message may arrive before the map, so that the role can change in a known epoch.
     if (entry.owner !== this._options.self) {
       this._settled.delete(slot);
       return;
@@ -246,7 +244,7 @@
     void this._settle(slot, entry);
   }
 
-  /** Collects the slot's records and synchronizes the copy; grants are allowed afterwards. */
+  /** Collects the slot's records and synchronizes the copy, which enables grants. */
   private async _settle(slot: number, entry: SlotEntry): Promise<void> {
     const state = this._slot(slot);
     const isCurrent = (): boolean =>
@@ -278,7 +276,7 @@
     return reply?.accepted ?? false;
   }
 
-  /** Queries earlier generations, newest first, until one has the granted records. Returns false to retry later. */
+  /** Queries earlier generations, newest first, for the granted records. Returns false to retry later. */
   private async _collectRecords(slot: number, entry: SlotEntry): Promise<boolean> {
     for (const generation of entry.older) {
       const found = await this._queryGeneration(slot, entry.epoch, generation);
--- a/packages/requests/src/keyMessages.ts
+++ b/packages/requests/src/keyMessages.ts
@@ -12,7 +12,7 @@
   .readonly();
 export type StoredAnswer = z.infer<typeof storedAnswerSchema>;
 
-/** The states of a key. `released` removes the record: the request provably did not run. */
+/** `released` removes the record: the request provably did not run. */
 export const keyStates = ['preparing', 'granted', 'finished', 'released'] as const;
 
 export const keyRecordSchema = z
@@ -22,14 +22,14 @@
     attemptId: z.string(),
     state: z.enum(keyStates),
     answer: storedAnswerSchema.optional(),
-    /** Sequence number of the owner's changes in this slot: an older change never overwrites a newer one. */
+    /** Sequence number in this slot: an older change never overwrites a newer one. */
     change: z.number().int(),
     ageMs: z.number().min(0),
   })
   .readonly();
 export type KeyRecord = z.infer<typeof keyRecordSchema>;
 
-/** Requests permission from the owner of a key to run its request. */
+/** Requests permission to run from the owner of a key. */
 export const claimSchema = z
   .strictObject({
     key: keySchema,
@@ -37,13 +37,13 @@
     attemptId: z.string(),
     domains: z.string(),
     waitMs: z.number().min(0),
-    /** True if a host of the home domain forwarded the claim; it is not forwarded again. */
+    /** True if a host of the home domain already forwarded the claim. */
     relayed: z.boolean(),
   })
   .readonly();
 export type Claim = z.infer<typeof claimSchema>;
 
-/** The owner's reply. Only `granted` permits a run, and only of the requesting attempt. */
+/** Only `granted` permits a run, and only of the requesting attempt. */
 export const claimReplySchema = z.discriminatedUnion('kind', [
   z.strictObject({ kind: z.literal('granted') }),
   z.strictObject({ kind: z.literal('answered'), answer: storedAnswerSchema }),
@@ -89,7 +89,7 @@
 export const fenceSlotSchema = z.strictObject({ slot, epoch, holder: z.string() }).readonly();
 export type FenceSlot = z.infer<typeof fenceSlotSchema>;
 
-/** `holds`: the records are complete for `completeEpoch`. `gone`: the process that answers is another one. */
+/** `holds`: the records are complete for `completeEpoch`. `gone`: another process answers. */
 export const fenceReplySchema = z.discriminatedUnion('kind', [
   z.strictObject({
     kind: z.literal('holds'),
--- a/packages/requests/src/keySlot.ts
+++ b/packages/requests/src/keySlot.ts
@@ -4,12 +4,11 @@
 import type { Clock } from '@fuchsiahitch/base';
 import type { StoredAnswer, KeyRecord } from './keyMessages.js';
 
-/** The time for which a key is stored after its last change. Resends must arrive within it. */
+/** Counted from the last change of a key. Resends must arrive within it. */
 export const KEY_RETENTION_MS = 600_000;
 /** Larger answers are not stored; their resends receive `unknown`. */
 export const MAX_STORED_ANSWER_BYTES = 16 * 1024;
 
-/** A record in memory. */
 export interface HeldRecord {
   readonly key: string;
   readonly fingerprint: string;
@@ -25,9 +24,9 @@
   private readonly _records = new Map<string, HeldRecord>();
   private _lastChange = 0;
   private _recordsLostUntilMs = 0;
-  /** The highest epoch that this host promised; it accepts no changes of earlier ones. */
+  /** This host accepts no changes of earlier epochs. */
   promisedEpoch = 0;
-  /** The epoch for which these are all granted records; 0 for none. */
+  /** The epoch for which the records are complete; 0 for none. */
   completeEpoch = 0;
 
   constructor(clock: Clock) {
@@ -68,13 +67,12 @@
     if (this._records.get(record.key) === record) this._records.delete(record.key);
   }
 
-  /** Returns the next sequence number of a change. */
   nextChange(): number {
     this._lastChange += 1;
     return this._lastChange;
   }
 
-  /** Merges a record of the owner or of an earlier holder; the newer change wins. */
+  /** Merges a record of another holder; the newer change wins. */
   merge(record: KeyRecord): void {
     this._lastChange = Math.max(this._lastChange, record.change);
     const existing = this._records.get(record.key);
@@ -90,14 +88,13 @@
     this._records.set(key, { key, fingerprint, attemptId, state, answer, change, changedMs });
   }
 
-  /** Replaces all records by those of a new owner. */
   replace(records: readonly KeyRecord[], lostForMs: number): void {
     this._records.clear();
     for (const record of records) this.merge(record);
     this.markRecordsLost(lostForMs);
   }
 
-  /** Records were lost: for this time, a key without a record may have run before. */
+  /** For this time, a key without a record may have run before. */
   markRecordsLost(durationMs: number): void {
     if (durationMs > 0)
       this._recordsLostUntilMs = Math.max(this._recordsLostUntilMs, this._clock.nowMs() + durationMs);
--- a/packages/requests/src/outcome.ts
+++ b/packages/requests/src/outcome.ts
@@ -14,7 +14,7 @@
   | 'caller-left'
   | 'bad-request';
 
-/** Why it is not known whether the request ran, or why its answer is not available. */
+/** Why it is unknown whether the request ran, or why its answer is not available. */
 export type UnknownReason =
   | 'connection-lost'
   | 'no-answer-in-time'
@@ -33,9 +33,8 @@
 
 export type OutcomeKind = RequestOutcome['kind'];
 
-/** Reports the outcome to the caller. */
 export const OUTCOME_HEADER = 'fuchsiahitch-outcome';
-/** Reports the reason of an outcome other than `completed`. */
+/** Sent for outcomes other than `completed`. */
 export const REASON_HEADER = 'fuchsiahitch-reason';
 
 const SERVICE_UNAVAILABLE = 503;
@@ -43,7 +42,7 @@
 const FORBIDDEN = 403;
 const BAD_REQUEST = 400;
 
-/** Returns the HTTP status of an outcome when no part of an endpoint's answer was forwarded. */
+/** The HTTP status if no part of an endpoint's answer was forwarded. */
 export function statusOf(outcome: RequestOutcome): number {
   switch (outcome.kind) {
     case 'completed':
--- a/packages/requests/src/poisonCases.ts
+++ b/packages/requests/src/poisonCases.ts
@@ -2,47 +2,39 @@
  * Poison requests: requests that crash every endpoint that runs them.
  *
  * A crash looks like a broken connection, so that retries would crash one endpoint after another. Therefore each
- * termination of an endpoint is counted for the requests that ran there.
- *
- * The count also covers requests that merely ran at the same endpoint and does not condemn on its own: after two
- * terminations the request is held until the endpoints have restarted, then one copy is tried in the whole fleet.
- * An answer clears the request; another termination condemns it.
+ * termination is counted for all requests that ran at the endpoint. After two of them a request is held until the
+ * endpoints have restarted, then one copy is tried in the whole fleet. An answer clears the request; another
+ * termination condemns it.
  */
 import type { Clock } from '@fuchsiahitch/base';
 import { targetOfFingerprint } from './requestFingerprint.js';
 
 export type PoisonVerdict =
-  /** No restriction. */
   | { readonly kind: 'free' }
   /** One copy may be sent, by the host that claims this trial for the whole fleet. */
   | { readonly kind: 'trial'; readonly number: number }
-  /** Possibly harmless: waits for its next trial or for the result of one. */
+  /** Waits for the next trial or its result. */
   | { readonly kind: 'held'; readonly leftMs: number }
   /** An endpoint terminated during a trial, or no trial is left. */
   | { readonly kind: 'condemned' };
 
-/** One observation about a request. */
 export type PoisonMark =
-  /** An endpoint terminated while running it; `startId` identifies the start of that endpoint. */
+  /** The endpoint with this start terminated while running the request. */
   | { readonly kind: 'end'; readonly startId: string }
   /** A trial was started after `endsBefore` terminations. */
   | { readonly kind: 'trial'; readonly number: number; readonly endsBefore: number };
 
-/** Returns a key that identifies the mark among those of its request; a trial by its number only. */
+/** Identifies a mark among those of its request; a trial by its number only. */
 export function markKey(mark: PoisonMark): string {
   return mark.kind === 'end' ? `end-${mark.startId}` : `trial-${mark.number}`;
 }
 
-/** A single termination may have any cause. */
 const MIN_ENDS = 2;
-/**
- * The delay before each trial. The first one lets terminated endpoints restart; later trials detect whether the
- * endpoints have been repaired. The number is limited because a failed trial costs an endpoint and all its requests.
- */
+/** The first delay lets endpoints restart. The number of trials is limited because each may cost an endpoint. */
 const TRIAL_DELAYS_MS = [2000, 60_000, 600_000] as const;
-/** Terminations further apart than this are not attributed to the same request. */
+/** Terminations further apart than this are not combined. */
 const CASE_RETENTION_MS = 600_000;
-/** Beyond this number the case that was marked least recently is evicted. */
+/** Beyond it the least recently marked case is evicted. */
 const MAX_CASES = 2000;
 
 interface PoisonCase {
@@ -56,7 +48,6 @@
 export class PoisonCases {
   private readonly _clock: Clock;
   private readonly _cases = new Map<string, PoisonCase>();
-  /** The number of cases by the digest of their request line. */
   private readonly _caseCountByTarget = new Map<string, number>();
 
   constructor(clock: Clock) {
@@ -72,7 +63,7 @@
     return this._caseCountByTarget.has(target);
   }
 
-  /** Records that an endpoint terminated while running the request. Returns the number of such endpoints. */
+  /** An endpoint terminated while running the request. Returns the number of such endpoints. */
   ended(fingerprint: string, startId: string): number {
     this._removeExpired(fingerprint);
     const poisonCase = this._getOrCreateCase(fingerprint);
@@ -81,7 +72,7 @@
     return poisonCase.ends.size;
   }
 
-  /** `endsBefore`: the count at the host that started the trial; this host may learn of the trial's end first. */
+  /** `endsBefore`: the count at the host that started the trial. */
   trialStarted(fingerprint: string, number: number, endsBefore: number): void {
     const poisonCase = this._getOrCreateCase(fingerprint);
     if (poisonCase.trials.has(number)) return;
@@ -122,7 +113,7 @@
     ];
   }
 
-  /** Returns the number of endpoints that terminated while running the request. */
+  /** The number of endpoints that terminated while running the request. */
   ends(fingerprint: string): number {
     return this._cases.get(fingerprint)?.ends.size ?? 0;
   }
@@ -133,7 +124,7 @@
     const sinceMarkMs = this._clock.nowMs() - poisonCase.lastMarkMs;
     const pauseMs = TRIAL_DELAYS_MS[poisonCase.trials.size] ?? Infinity;
     if (sinceMarkMs >= pauseMs) return { kind: 'trial', number: poisonCase.trials.size + 1 };
-    // Only a termination during a trial is proof: a trial may also be interrupted, or its caller may disconnect.
+    // Only a termination during a trial is proof; a trial may also be interrupted.
     const isProven = [...poisonCase.trials.values()].some(endsBefore => poisonCase.ends.size > endsBefore);
     const isWaiting = !isProven && pauseMs < Infinity;
     return isWaiting ? { kind: 'held', leftMs: pauseMs - sinceMarkMs } : { kind: 'condemned' };
--- a/packages/requests/src/requestQueue.ts
+++ b/packages/requests/src/requestQueue.ts
@@ -7,7 +7,6 @@
 export const queuePriorities = ['customer-high', 'customer', 'customer-low', 'rollout'] as const;
 export type QueuePriority = (typeof queuePriorities)[number];
 
-/** Why a request left the queue without being served. */
 export type QueueRefusal = 'queue-full' | 'too-late';
 
 interface WaitingRequest {
@@ -16,7 +15,7 @@
   readonly cancelTimer: CancelTimer;
 }
 
-/** The window over which served requests are counted to estimate the wait. */
+/** The window of the service rate. */
 const RATE_WINDOW_MS = 2000;
 
 export class RequestQueue {
@@ -41,7 +40,7 @@
     return total;
   }
 
-  /** Estimates the wait of a new request from the recent service rate; 0 when the queue is empty. */
+  /** Estimates the wait of a new request from the recent service rate; 0 if none is ahead. */
   expectedWaitMs(waitClass: QueuePriority): number {
     let ahead = 0;
     for (const name of queuePriorities) {
@@ -55,9 +54,9 @@
   }
 
   /**
-   * Adds a request. `offer` is called when there may be room and returns true if the request was sent; `refuse` is
-   * called immediately when the queue is full or the expected wait exceeds the deadline, and otherwise at the deadline.
-   * Returns a function that removes the request from the queue.
+   * `offer` is called when there may be room and returns true if the request was sent. `refuse` is called immediately
+   * if the queue is full or the expected wait exceeds the deadline, otherwise at the deadline. Returns a function that
+   * removes the request.
    */
   enqueue(
     waitClass: QueuePriority,
@@ -85,7 +84,7 @@
     };
   }
 
-  /** Offers room to waiting requests, by priority and then in order of arrival, until one declines. */
+  /** Offers room by priority and then in order of arrival, until a request declines. */
   dispatch(): void {
     for (const name of queuePriorities) {
       for (const waiting of this._queues.get(name) ?? []) {
--- a/packages/requests/src/requestRun.ts
+++ b/packages/requests/src/requestRun.ts
@@ -1,8 +1,6 @@
 /**
- * State machine of one request.
- *
- * Sending and abandoning are transitions of the same state, so that they exclude each other: a request that the caller
- * was told did not run is never sent afterwards.
+ * State machine of one request: sending and abandoning exclude each other, so that a request reported as not run is
+ * never sent afterwards.
  */
 import { invariant } from '@fuchsiahitch/base';
 import type { NotRunReason, RequestOutcome, UnknownReason } from './outcome.js';
@@ -10,7 +8,6 @@
 /** From `sent` on, a request counts as not run only with proof. */
 export type RequestPhase = 'waiting' | 'sent' | 'answering' | 'ended';
 
-/** Why a request is abandoned before its answer is complete. */
 export type AbandonCause = 'deadline' | 'caller-left' | 'shutdown';
 
 const NOT_RUN_REASONS: Readonly<Record<AbandonCause, NotRunReason>> = {
@@ -45,12 +42,12 @@
     return this._outcome;
   }
 
-  /** The number of events that arrived late or out of order. */
+  /** Events that arrived late or out of order. */
   droppedEvents(): number {
     return this._dropped;
   }
 
-  /** Moves from `waiting` to `sent`. Returns the attempt's number, or undefined if the request was not waiting. */
+  /** Returns the attempt's number, or undefined if the request is not waiting. */
   send(): number | undefined {
     if (this._phase !== 'waiting') return undefined;
     this._phase = 'sent';
@@ -58,14 +55,14 @@
     return this._attempt;
   }
 
-  /** The attempt provably did not run: nothing was written, or the endpoint refused it before running. */
+  /** Nothing was written, or the endpoint refused the request before running it. */
   provenNotRun(attempt: number): boolean {
     if (!this._isCurrent(attempt) || this._phase !== 'sent') return this._dropEvent();
     this._phase = 'waiting';
     return true;
   }
 
-  /** The connection broke and the attempt may have run, but the request is retryable: it returns to `waiting`. */
+  /** The connection broke and the request may have run, but is retryable. */
   brokenRetryable(attempt: number): boolean {
     if (!this._isCurrent(attempt) || this._phase === 'ended') return this._dropEvent();
     this._mayHaveRun = true;
@@ -73,7 +70,7 @@
     return true;
   }
 
-  /** The answer's head arrived. Returns false if it must be dropped: the attempt is outdated or the request ended. */
+  /** The answer's head arrived. Returns false if it must be dropped. */
   answerStarted(attempt: number): boolean {
     if (!this._isCurrent(attempt) || this._phase !== 'sent') return this._dropEvent();
     this._phase = 'answering';
@@ -102,7 +99,7 @@
     return this._end(isProven ? this._notRun(NOT_RUN_REASONS[cause]) : this._unknown(UNKNOWN_REASONS[cause]));
   }
 
-  /** Refuses a waiting request. It ends as `unknown` if an earlier attempt may have run. */
+  /** Ends a waiting request, as `unknown` if an earlier attempt may have run. */
   refuse(reason: NotRunReason): RequestOutcome {
     if (this._outcome) return this._outcome;
     invariant(this._phase === 'waiting', 'only a waiting request can be refused');
--- a/packages/requests/src/retryBudget.ts
+++ b/packages/requests/src/retryBudget.ts
@@ -1,6 +1,5 @@
 /**
- * Limits retries to a share of requests, so that retries during a partial failure do not overload the remaining
- * endpoints.
+ * Limits retries to a share of requests, so that they do not overload the endpoints that remain in a partial failure.
  */
 const TOKENS_PER_RETRY = 1;
 
@@ -9,7 +8,7 @@
   private readonly _burst: number;
   private _tokens: number;
 
-  /** `share`: the maximum ratio of retries to requests. `burst`: the maximum number of retries at once. */
+  /** `share`: maximum ratio of retries to requests. `burst`: maximum number of retries at once. */
   constructor(share: number, burst: number) {
     this._share = share;
     this._burst = burst;
@@ -20,7 +19,7 @@
     this._tokens = Math.min(this._burst, this._tokens + this._share);
   }
 
-  /** Consumes one retry. Returns false if the budget is exhausted. */
+  /** Returns false if the budget is exhausted. */
   take(): boolean {
     if (this._tokens < TOKENS_PER_RETRY) return false;
     this._tokens -= TOKENS_PER_RETRY;
@@ -30,7 +29,7 @@
 
 const JITTER_STEPS = 1000;
 
-/** Returns the delay before retry number `retry` (from 1): exponential backoff with full jitter. */
+/** Exponential backoff with full jitter. `retry` counts from 1. */
 export function backoffMs(
   baseMs: number,
   maxMs: number,
--- a/packages/requests/src/slotMap.ts
+++ b/packages/requests/src/slotMap.ts
@@ -1,17 +1,16 @@
 /**
  * Assigns the idempotency keys of a failure domain to its hosts.
  *
- * The map is one value per failure domain in the platform's key-value service, updated by compare-and-swap when hosts
- * join or leave. Its epochs fence: a holder that received a later epoch of a slot accepts nothing of earlier ones
- * (docs/design/keys.md).
+ * The map is one value per domain in the platform's key-value service, updated by compare-and-swap. Its epochs fence:
+ * a holder that received a later epoch of a slot accepts nothing of earlier ones (docs/design/keys.md).
  */
 import { hash32, rendezvous } from '@fuchsiahitch/base';
 import * as z from 'zod';
 
 export const SLOTS_PER_DOMAIN = 128;
-/** The maximum number of earlier generations that are not confirmed as settled. */
+/** Earlier generations per slot that are not confirmed as settled. */
 const MAX_OLDER_GENERATIONS = 16;
-/** An owner removes the earlier generations of a settled slot from this number on. */
+/** From this number on an owner removes the earlier generations of a settled slot. */
 const TRIM_LENGTH = 4;
 /** Differences up to this share of the mean, or up to `MIN_IMBALANCE`, are not rebalanced. */
 const IMBALANCE_SHARE = 0.25;
@@ -30,7 +29,7 @@
   .readonly();
 export type Generation = z.infer<typeof generationSchema>;
 
-/** A slot's current generation, and in `older` the earlier ones that may hold its records. */
+/** The current generation of a slot, and in `older` those that may still hold its records. */
 export const slotEntrySchema = z
   .strictObject({
     ...generationSchema.unwrap().shape,
@@ -43,7 +42,7 @@
   .strictObject({
     domain: z.string(),
     revision: z.number().int(),
-    /** Digest of the deployment's list of failure domains: hosts with another list serve no keys. */
+    /** Digest of the list of failure domains: hosts with another list serve no keys. */
     domains: z.string(),
     slots: z.array(slotEntrySchema).length(SLOTS_PER_DOMAIN).readonly(),
     /** Holders that an operator declared terminated, for hosts that never return. */
@@ -66,8 +65,8 @@
 }
 
 /**
- * Returns the failure domain responsible for a key: the one named before the key's first colon, or else one by hash.
- * It must not depend on which hosts are alive: two partitioned domains could otherwise both run the request.
+ * The failure domain named before the key's first colon, or else one by hash. Must not depend on live hosts, or two
+ * partitioned domains could both run the request.
  */
 export function homeDomain(key: string, domains: readonly string[]): string {
   const prefix = key.slice(0, Math.max(0, key.indexOf(':')));
@@ -78,13 +77,13 @@
 export interface SlotPlanInput {
   readonly domain: string;
   readonly domains: string;
-  /** Holders that can be assigned duties, sorted. */
+  /** Sorted. */
   readonly live: readonly string[];
-  /** Slots that this host owns and has settled, whose earlier generations are no longer needed. */
+  /** Own settled slots, whose earlier generations are no longer needed. */
   readonly settled: ReadonlySet<number>;
 }
 
-/** Returns a new map for the live holders, or undefined if the current one needs no change. */
+/** Returns undefined if the current map needs no change. */
 export function planSlotMap(current: SlotMap | undefined, input: SlotPlanInput): SlotMap | undefined {
   if (input.live.length === 0) return undefined;
   const plan = new SlotPlan(current?.slots, input);
@@ -94,12 +93,12 @@
   return { domain: input.domain, domains: input.domains, revision, slots, gone: current?.gone ?? [] };
 }
 
-/** One planning run: keeps the assignments of live holders and distributes the rest evenly. */
+/** One run: keeps the assignments of live holders and distributes the rest evenly. */
 class SlotPlan {
   private readonly _entries: readonly (SlotEntry | undefined)[];
   private readonly _input: SlotPlanInput;
   private readonly _live: ReadonlySet<string>;
-  /** The number of slots that each holder owns or copies. */
+  /** Slots that each holder owns or copies. */
   private readonly _dutyCounts = new Map<string, number>();
   private readonly _ownedCounts = new Map<string, number>();
   private _changed = false;
@@ -136,20 +135,14 @@
     return this._reassigned(entry, owner, copy, older);
   }
 
-  /**
-   * Rebalances a slot after hosts have joined: moves the copy or else swaps the roles of owner and copy. A slot with
-   * many earlier generations is left until its owner has trimmed them.
-   */
+  /** Moves the copy or else swaps the roles, unless the owner has yet to trim many earlier generations. */
   private _rebalanced(entry: SlotEntry, slot: number): SlotEntry {
     const older = this._olderGenerations(entry, slot);
     if (older.length > TRIM_LENGTH) return entry;
     return this._withCopyMoved(entry, older) ?? this._withRolesSwapped(entry, older) ?? entry;
   }
 
-  /**
-   * Removes the earlier generations of a settled slot. Without it they reach their maximum, and a slot that loses a
-   * holder could not be reassigned.
-   */
+  /** At the maximum of earlier generations a slot that loses a holder could not be reassigned. */
   private _trimmed(entry: SlotEntry, slot: number): SlotEntry {
     if (entry.older.length < TRIM_LENGTH || !this._input.settled.has(slot)) return entry;
     this._changed = true;
