--- a/packages/batches/src/batchMessages.ts
+++ b/packages/batches/src/batchMessages.ts
@@ -33,26 +33,22 @@
 ]);
 export type BatchItemReply = z.infer<typeof batchItemReplySchema>;
 
-/** Generated events of one item. */
 export const itemEventsSchema = z
   .strictObject({
     itemId: z.string(),
     events: z.array(generatedEventSchema).readonly(),
-    /** The number of events of the complete text; absent while the text is incomplete. */
+    /** The number of events of the complete text; absent while it is incomplete. */
     wholeEvents: count.optional(),
   })
   .readonly();
 export type ItemEvents = z.infer<typeof itemEventsSchema>;
 
-/**
- * Requests another host to adopt a batch: the owner shuts down and hands over the events of its items, or the owner
- * was found to be gone.
- */
+/** Requests another host to adopt a batch: its owner shuts down and hands over its events, or appears to have terminated. */
 export const batchAdoptSchema = z
   .strictObject({
     batchId: z.string(),
     from: ownerSchema,
-    /** True if sent by the owner itself. Otherwise the owner may still be alive and is queried first. */
+    /** True if sent by the owner. Otherwise the owner may be alive and is queried first. */
     isGivenUp: z.boolean(),
     unfinished: z.array(itemEventsSchema).readonly(),
   })
@@ -61,10 +57,7 @@
 
 export const batchAdoptReplySchema = z.strictObject({ isAdopted: z.boolean() }).readonly();
 
-/**
- * A weight version that an endpoint reported or was ordered to load, sent to other hosts ahead of the endpoint's next
- * heartbeat.
- */
+/** A weight version that an endpoint reported or was ordered to load, sent ahead of its next heartbeat. */
 export const endpointVersionSchema = z
   .strictObject({
     endpointId: z.string(),
@@ -76,7 +69,7 @@
   .readonly();
 export type EndpointVersion = z.infer<typeof endpointVersionSchema>;
 
-/** The paces of endpoints that a host has measured recently. */
+/** Paces of endpoints that a host measured recently. */
 export const pacesSeenSchema = z
   .strictObject({
     paces: z
@@ -94,7 +87,7 @@
 /** Checks whether the owner of a batch is alive and runs it. */
 export const batchRunsSchema = z.strictObject({ batchId: z.string() }).readonly();
 
-/** `isRun`: the host runs the batch, and the store confirmed its claim within the claim's lease. */
+/** `isRun`: the host runs the batch, confirmed by the store within the claim's lease. */
 export const batchRunsReplySchema = z.strictObject({ isRun: z.boolean() }).readonly();
 
 export const batchEndSchema = z.strictObject({ batchId: z.string() }).readonly();
--- a/packages/batches/src/carryOver.ts
+++ b/packages/batches/src/carryOver.ts
@@ -1,14 +1,13 @@
 /**
  * Texts that a batch takes over from earlier steps.
  *
- * Groups that were incomplete when a step ended are submitted again in one of the next steps with the same items, and
- * the trainer waits for them. Their texts are resumed where the weight versions allow it, since an item that was too
- * long for one step would be too long for the next as well. A score is reused if its request is the same.
+ * Groups that were incomplete when a step ended are submitted again in one of the next steps. Their texts are resumed
+ * where the weight versions allow it, since an item that was too long for one step would be too long for the next as
+ * well. A score is reused if its request is the same.
  */
 import type { ItemEvents } from './batchMessages.js';
 import type { Batch, BatchItem, ItemResult } from './model.js';
 
-/** The batch of an earlier step as stored. */
 export interface EarlierBatch {
   readonly batch: Batch;
   readonly results: readonly ItemResult[];
@@ -27,7 +26,6 @@
 
 export const EMPTY_CARRY_OVER: CarryOver = { groups: new Set(), results: [], unfinished: [] };
 
-/** Returns true if the batches have an item in common. */
 export function hasSharedItems(batch: Batch, earlier: Batch): boolean {
   const earlierIds = new Set(earlier.items.map(item => item.id));
   return batch.items.some(item => earlierIds.has(item.id));
@@ -52,7 +50,7 @@
   };
 }
 
-/** Removes the score from the result if the item's score request differs from the earlier one. */
+/** Removes the score if the item's score request has changed. */
 function withMatchingScore(
   result: ItemResult,
   item: BatchItem | undefined,
@@ -63,7 +61,7 @@
   return { id, state, text, versions };
 }
 
-/** Merges the carry-over of two earlier steps. The newer text of an item takes precedence. */
+/** The newer text of an item takes precedence. */
 export function mergeCarryOver(older: CarryOver, newer: CarryOver): CarryOver {
   return {
     groups: new Set([...older.groups, ...newer.groups]),
--- a/packages/batches/src/endpointShares.ts
+++ b/packages/batches/src/endpointShares.ts
@@ -14,7 +14,7 @@
 /** The newest version of each model, by model name. */
 export type ModelTargets = ReadonlyMap<string, number>;
 
-/** Returns the endpoints of each model. Every endpoint is assigned to exactly one model. */
+/** Returns the endpoints of each model. Every endpoint is assigned to one model. */
 export function assignEndpoints(
   endpoints: readonly SharedEndpoint[],
   targets: ModelTargets,
@@ -35,7 +35,7 @@
   return [...endpoints].sort((a, b) => (a.id < b.id ? -1 : 1));
 }
 
-/** Returns the model whose newest version the endpoint is closest to; undefined on a tie. */
+/** The model whose newest version the endpoint is closest to; undefined on a tie. */
 function closestModel(endpoint: SharedEndpoint, targets: ModelTargets): string | undefined {
   let home: string | undefined;
   let least = Infinity;
--- a/packages/batches/src/itemPlacement.ts
+++ b/packages/batches/src/itemPlacement.ts
@@ -1,16 +1,15 @@
 /**
  * Selects the endpoint that runs an item.
  *
- * Engines run requests in batches at nearly the same cost at any fill level, so all free places are used. The duration
- * of an item depends on the pace of its endpoint: a slow endpoint delays the complete group and with it the step.
- * Items of a group share their prompt and are placed together while the endpoint has room.
+ * Engines run requests in batches at nearly the same cost at any fill level, so all free places are used. A slow
+ * endpoint delays the complete group and with it the step. Items of a group share their prompt and are placed together
+ * while the endpoint has room.
  */
 
-/** The placement's view of an endpoint. */
 export interface PlacementEndpoint {
   readonly id: string;
   readonly domain: string;
-  /** Concurrent requests that the endpoint can still accept, by this host's count and the endpoint's last report. */
+  /** By this host's count and the endpoint's last report. */
   readonly freePlaces: number;
   /** The time between two events; undefined while not measured. */
   readonly paceMs: number | undefined;
@@ -21,20 +20,20 @@
 const PACE_TOLERANCE = 1.1;
 /** The minimum ratio of paces for a move, well above the variation of measured paces. */
 const MOVE_FACTOR = 2;
-/** Runs of this age determine the duration of their step, so that they move for a smaller gain. */
+/** Older runs determine the duration of their step and move for a smaller gain. */
 const OLD_RUN_MS = 1500;
 const OLD_RUN_MOVE_FACTOR = 1.2;
 /** Younger runs do not move: they usually end before a move would pay off. */
 const YOUNG_RUN_MS = 800;
 
-/** Returns true if a run of age `ranMs` should move from an endpoint with `paceMs` to one with `otherPaceMs`. */
+/** Decides whether a run of age `ranMs` moves to an endpoint with `otherPaceMs`. */
 export function shouldMove(ranMs: number, paceMs: number, otherPaceMs: number): boolean {
   if (ranMs <= YOUNG_RUN_MS) return false;
   const factor = ranMs > OLD_RUN_MS ? OLD_RUN_MOVE_FACTOR : MOVE_FACTOR;
   return otherPaceMs * factor < paceMs;
 }
 
-/** Returns the median of the known paces; undefined if there are none. */
+/** The median of the known paces. */
 export function medianPaceMs(endpoints: readonly PlacementEndpoint[]): number | undefined {
   const paces = endpoints.map(endpoint => endpoint.paceMs).filter(pace => pace !== undefined);
   paces.sort((a, b) => a - b);
@@ -49,7 +48,7 @@
 export interface PlacementRequest {
   /** The endpoint that runs other items of the group. */
   readonly groupEndpointId: string | undefined;
-  /** True if the item is expected to be among the longest: pace then takes precedence over group affinity. */
+  /** True if expected to be among the longest items: pace then takes precedence over group affinity. */
   readonly isLong: boolean;
   readonly ownDomain: string;
   /** Endpoints at which this item was recently refused or interrupted. */
@@ -66,7 +65,7 @@
   ): PlacementEndpoint | undefined;
 }
 
-/** Places long items at the fastest endpoint, others with their group or else where most places are free. */
+/** Long items go to the fastest endpoint, others to their group or else where most places are free. */
 export class MostFreePlacement implements PlacementPolicy {
   choose(
     candidates: readonly PlacementEndpoint[],
@@ -78,10 +77,7 @@
   }
 }
 
-/**
- * Places every item at the fastest endpoint with a free place, and with its group among equals. Items that turn out
- * longer than estimated then need not move.
- */
+/** All items go to the fastest endpoint, so that those that turn out longer than estimated need not move. */
 export class FastestPlacement implements PlacementPolicy {
   choose(
     candidates: readonly PlacementEndpoint[],
@@ -94,7 +90,7 @@
   }
 }
 
-/** Returns the endpoint for an item, or undefined if the item should wait for a free place. */
+/** Returns undefined if the item should wait for a free place. */
 export function placeItem(
   endpoints: readonly PlacementEndpoint[],
   request: PlacementRequest,
@@ -112,12 +108,12 @@
 
 const DEFAULT_PLACEMENT: PlacementPolicy = new MostFreePlacement();
 
-/** Returns true if an endpoint is not slow. Waiting for its places is faster than running at a slow endpoint. */
+/** Waiting for a fast endpoint is better than running at a slow one. */
 function hasFastEndpoint(endpoints: readonly PlacementEndpoint[], medianMs: number | undefined): boolean {
   return endpoints.some(endpoint => !isSlow(endpoint, medianMs));
 }
 
-/** Returns the endpoint with the best pace; among equals or without known paces, the one with the most free places. */
+/** Among equals, or without known paces, the endpoint with the most free places. */
 function fastest(endpoints: readonly PlacementEndpoint[]): PlacementEndpoint | undefined {
   let found: PlacementEndpoint | undefined;
   for (const endpoint of endpoints) {
@@ -137,7 +133,7 @@
   return (a.paceMs ?? 0) * PACE_TOLERANCE < (b.paceMs ?? 0);
 }
 
-/** Returns the endpoint with the most free places; among equals, one of the own failure domain. */
+/** Among equals, an endpoint of the own failure domain. */
 function mostFree(endpoints: readonly PlacementEndpoint[], ownDomain: string): PlacementEndpoint | undefined {
   let found: PlacementEndpoint | undefined;
   for (const endpoint of endpoints) {
--- a/packages/batches/src/itemProgress.ts
+++ b/packages/batches/src/itemProgress.ts
@@ -1,14 +1,12 @@
 /**
  * The events generated for one item, across all attempts.
  *
- * Only complete events count, in the order of their numbers; the next attempt resumes after the last one. This prevents
- * duplicated or lost events when a stream is resumed at another endpoint. Versions are taken from the streams only,
- * never from weight orders.
+ * Only complete events count, in the order of their numbers, so that none is duplicated or lost when a stream is
+ * resumed at another endpoint. Versions are taken from the streams, never from weight orders.
  */
 
 import * as z from 'zod';
 
-/** One complete event of a stream. */
 export const generatedEventSchema = z
   .strictObject({
     /** The number of the event, from 1. */
@@ -20,7 +18,7 @@
   .readonly();
 export type GeneratedEvent = z.infer<typeof generatedEventSchema>;
 
-/** The effect of an event. `restart`: the text was discarded; the attempt must end and the item starts over. */
+/** `restart`: the text was discarded; the attempt must end and the item starts over. */
 export type EventEffect = 'added' | 'repeated' | 'gap' | 'restart';
 
 export interface VersionRequirement {
@@ -71,12 +69,10 @@
     return 'added';
   }
 
-  /** Returns true if the text may be continued with the version. */
   mayContinueWith(version: number): boolean {
     return this._events.length === 0 || this._allows(version);
   }
 
-  /** Discards the text. */
   clear(): void {
     this._events = [];
     this._textNumber += 1;
--- a/packages/batches/src/model.ts
+++ b/packages/batches/src/model.ts
@@ -7,7 +7,7 @@
 export const scoreRequestSchema = z
   .strictObject({
     id: z.string(),
-    /** Host name and path, which determine the route of the request as for callers. */
+    /** Host name and path determine the route, as for callers. */
     host: z.string(),
     path: z.string(),
     /** The request's body, in base64. */
@@ -30,7 +30,7 @@
     tokens: z.number().min(0),
     /** The trainer's rough estimate of output tokens; 0 for none. */
     expectedTokens: z.number().min(0),
-    /** Items of one group share their prompt and are useful to the trainer only when all are listed. */
+    /** Items of a group share their prompt and are useful to the trainer only when all are listed. */
     group: z.string(),
     /** Identifies the part of the prompt that is shared with other items; empty for none. */
     promptKey: z.string(),
@@ -45,11 +45,11 @@
     id: z.string(),
     /** The client account that owns the batch; absent if submission needs no account. */
     accountName: z.string().optional(),
-    /** The host name of the route, which is selected together with an item's path. */
+    /** Determines the route together with an item's path. */
     host: z.string(),
     /** The trainer's step; undefined for a batch without a step. */
     step: z.number().optional(),
-    /** The model to generate with; empty for whichever the endpoint has loaded. */
+    /** Empty for whichever model the endpoint has loaded. */
     model: z.string(),
     /** The oldest weight version allowed for any token of this batch. */
     minVersion: z.number(),
@@ -60,7 +60,7 @@
   .readonly();
 export type Batch = z.infer<typeof batchSchema>;
 
-/** The result of one item. `terminated`: abandoned, with the partial text. */
+/** `terminated`: abandoned, with the partial text. */
 export const itemResultSchema = z
   .strictObject({
     id: z.string(),
--- a/packages/batches/src/pace.ts
+++ b/packages/batches/src/pace.ts
@@ -1,11 +1,10 @@
 /**
  * Estimates the time between two events of the streams of one endpoint, as a moving average.
  *
- * Events arrive in bursts, so that single intervals vary widely. The average must be smooth enough not to move items
- * between endpoints of equal speed.
+ * Events arrive in bursts, so that single intervals vary widely. The average is smooth enough not to move items between
+ * endpoints of equal speed.
  */
 
-/** The number of intervals required for an estimate. */
 const MIN_INTERVALS = 16;
 const NEWEST_INTERVAL_WEIGHT = 0.03;
 
@@ -19,12 +18,12 @@
     this._meanMs += weight * (intervalMs - this._meanMs);
   }
 
-  /** Returns undefined until there are enough intervals. */
+  /** Undefined until there are enough intervals. */
   estimateMs(): number | undefined {
     return this._intervals >= MIN_INTERVALS ? this._meanMs : undefined;
   }
 
-  /** Returns an estimate from the first interval on, precise enough to detect an unresponsive endpoint. */
+  /** Available from the first interval on; precise enough to detect an unresponsive endpoint. */
   roughEstimateMs(): number | undefined {
     return this._intervals > 0 ? this._meanMs : undefined;
   }
--- a/packages/batches/src/records.ts
+++ b/packages/batches/src/records.ts
@@ -6,18 +6,16 @@
 import { itemEventsSchema, type ItemEvents } from './batchMessages.js';
 import { batchSchema, itemResultSchema, ownerSchema, type Batch, type ItemResult } from './model.js';
 
-/** The owner of a batch and whether the batch has ended. */
 export const claimSchema = z
   .strictObject({
     owner: ownerSchema,
     isEnded: z.boolean(),
-    /** The number of items of the batch. */
+    /** The number of items. */
     items: z.number().int().min(0),
     /** The number of records of the submitted batch. */
     parts: z.number().int().min(1),
-    /** Wall time of acceptance, which determines when the records may be removed. */
+    /** Determines when the records may be removed. */
     acceptedWallMs: z.number(),
-    /** The number of takeovers so far. */
     takeovers: z.number().int().min(0),
   })
   .readonly();
@@ -37,10 +35,7 @@
 
 const progressListSchema = z.array(itemEventsSchema).readonly();
 
-/**
- * The maximum length of a record in UTF-16 units. A unit takes at most three bytes in UTF-8, and the store accepts
- * values of about a million bytes.
- */
+/** In UTF-16 units, of at most three bytes in UTF-8. The store accepts values of about a million bytes. */
 export const MAX_RECORD_UNITS = 330_000;
 
 /** A record that does not match its schema: written by another version or damaged. */
@@ -78,7 +73,7 @@
   return parse(key, parts.join(''), batchSchema);
 }
 
-/** Returns how many of the results fit one record, at least one. */
+/** The number of results that fit one record, at least one. */
 export function countFitting(results: readonly ItemResult[]): number {
   let units = 0;
   let count = 0;
--- a/packages/batches/src/resultList.ts
+++ b/packages/batches/src/resultList.ts
@@ -3,17 +3,17 @@
  */
 import type { ItemResult } from './model.js';
 
-/** A page of results; `next` is the position of the following page. */
+/** `next`: the position of the following page. */
 export interface ResultPage {
   readonly total: number;
   readonly results: readonly ItemResult[];
   readonly next: number;
 }
 
-/** UTF-16 units of text in one page: the callers' interface allows a megabyte, and JSON may double a text. */
+/** In UTF-16 units: the callers' interface allows a megabyte, and JSON may double a text. */
 const MAX_PAGE_UNITS = 400_000;
 
-/** Returns the page that starts at position `after`, with at least one result if there is one. */
+/** Returns at least one result if there is one. */
 export function pageFrom(results: readonly ItemResult[], total: number, after: number): ResultPage {
   const page: ItemResult[] = [];
   let units = 0;
--- a/packages/batches/src/retryDelay.ts
+++ b/packages/batches/src/retryDelay.ts
@@ -1,8 +1,7 @@
 /**
  * Retry delays for work that failed through no fault of its own.
  *
- * The first retries are immediate, since another endpoint usually accepts the item; then the delay doubles, so that an
- * item refused by every endpoint does not consume their capacity.
+ * The first retries are immediate, since another endpoint usually accepts the item; then the delay doubles.
  */
 
 const IMMEDIATE_RETRIES = 2;
@@ -12,13 +11,11 @@
 /** The number of consecutive failures of the first log entry; the next entries follow at each doubling. */
 const FIRST_LOGGED_COUNT = 5;
 
-/** Returns the delay after a number of consecutive failures. */
 export function retryDelayMs(failures: number): number {
   if (failures <= IMMEDIATE_RETRIES) return 0;
   return Math.min(MAX_DELAY_MS, FIRST_DELAY_MS * 2 ** (failures - IMMEDIATE_RETRIES - 1));
 }
 
-/** Returns true if this number of consecutive failures is to be logged. */
 export function shouldLogFailures(failures: number): boolean {
   const multiple = failures / FIRST_LOGGED_COUNT;
   return multiple >= 1 && Number.isInteger(Math.log2(multiple));
--- a/packages/batches/src/storedEvents.ts
+++ b/packages/batches/src/storedEvents.ts
@@ -1,9 +1,8 @@
 /**
  * Tracks which generated events of a batch are stored outside the owner's memory.
  *
- * Stored events allow the next owner to resume items after a takeover. Each event is written once. Short items are
- * skipped, since generating them again is cheaper. The completeness of a text is stored as well, so that the next
- * owner scores or lists it without generating more.
+ * The next owner resumes items from them after a takeover. Each event is written once. Short items are skipped, since
+ * generating them again is cheaper. The completeness of a text is stored as well, so that it is not resumed.
  */
 import type { BatchLedger } from './batchLedger.js';
 import type { ItemEvents } from './batchMessages.js';
@@ -33,8 +32,8 @@
   }
 
   /**
-   * Returns events of items without a confirmed result that are not stored yet, as many as fit one record.
-   * `minEvents`: items with fewer events are skipped unless their text is complete.
+   * Returns events that are not stored yet, as many as fit one record. `minEvents`: items with fewer events are skipped
+   * unless their text is complete.
    */
   missing(minEvents = MIN_EVENTS): readonly ItemEvents[] {
     const missing: ItemEvents[] = [];
@@ -56,7 +55,7 @@
     return missing;
   }
 
-  /** Marks the events as stored. `textNumbers`: the text number of each item when the write was started. */
+  /** Marks events as stored. `textNumbers`: of each item when the write started. */
   keep(items: readonly ItemEvents[], textNumbers: ReadonlyMap<string, number>): void {
     for (const { itemId, events, wholeEvents } of items) {
       const textNumber = textNumbers.get(itemId) ?? 0;
@@ -65,7 +64,6 @@
     }
   }
 
-  /** Returns the current text number of each item. */
   currentTextNumbers(items: readonly ItemEvents[]): ReadonlyMap<string, number> {
     return new Map(items.map(({ itemId }) => [itemId, this._ledger.progress(itemId).textNumber()]));
   }
@@ -77,7 +75,7 @@
   }
 }
 
-/** Returns the longest prefix of the events that fits the units. */
+/** The longest prefix of the events that fits. */
 function fittingEvents(events: readonly GeneratedEvent[], units: number): readonly GeneratedEvent[] {
   let unitsLeft = units;
   const beyond = events.findIndex(event => {
--- a/packages/orders/src/loadChoice.ts
+++ b/packages/orders/src/loadChoice.ts
@@ -1,9 +1,8 @@
 /**
  * Selects the endpoints that load a newly named version.
  *
- * A step accepts tokens of the previous version. If every endpoint loaded every version, each step would start while
- * its endpoints load, and their runs would be interrupted. Therefore half of a model's endpoints load one version and
- * the other half the next: loads occur on endpoints that the running step does not use, and half as often.
+ * A step also accepts tokens of the previous version. Therefore half of a model's endpoints load one version and the
+ * other half the next: loads then interrupt no run of the current step, and occur half as often.
  */
 import type { Clock } from '@fuchsiahitch/base';
 
@@ -21,7 +20,7 @@
 /** The minimum share of endpoints with the newest version. */
 const FRESH_SHARE = 0.5;
 
-/** Returns the endpoints that should load the version, the most urgent first. */
+/** Sorted by urgency. */
 export function endpointsDueForLoad(
   candidates: readonly LoadCandidate[],
   namedVersion: number,
@@ -50,9 +49,9 @@
 /**
  * Limits the number of concurrent loads over all failure domains.
  *
- * Orderers of different domains do not coordinate: each computes the same list of due endpoints and gives orders to
- * those of its own domain that are in the window. An endpoint that stays in the window too long has no orderer or
- * cannot load; it no longer counts, so that it does not block the others.
+ * Orderers of different domains do not coordinate: each computes the same window of due endpoints and gives orders to
+ * those of its own domain. An endpoint that stays in the window too long no longer counts, so that it does not block
+ * the others.
  */
 export class LoadWindow {
   private readonly _clock: Clock;
--- a/packages/orders/src/loadSchedule.ts
+++ b/packages/orders/src/loadSchedule.ts
@@ -1,9 +1,8 @@
 /**
  * Orders the due loads of several models in one pool.
  *
- * Only a few endpoints load at a time. The model with the smallest share of usable endpoints comes first, load by
- * load, so that a running step without usable endpoints does not wait for loads that prepare the step of another
- * trainer.
+ * The model with the smallest share of usable endpoints comes first, load by load, so that a running step does not wait
+ * for loads that prepare the step of another trainer.
  */
 import { endpointsDueForLoad, type LoadCandidate } from './loadChoice.js';
 
@@ -28,7 +27,7 @@
   fresh: number;
 }
 
-/** Returns the due loads of all models of a pool, the most urgent first. */
+/** Sorted by urgency. */
 export function prioritizeLoads(models: readonly ModelLoads[], allowedLag: number): readonly DueLoad[] {
   const queues = models.map(loads => toQueue(loads, allowedLag));
   const ordered: DueLoad[] = [];
--- a/packages/orders/src/model.ts
+++ b/packages/orders/src/model.ts
@@ -1,8 +1,6 @@
 /**
- * Orders that set the weight version of endpoints.
- *
- * Orders are idempotent: they name an absolute version. Each carries the fencing token of the lease under which it was
- * given.
+ * Orders that set the weight version of endpoints. They are idempotent and carry the fencing token of the lease under
+ * which they were given.
  */
 import * as z from 'zod';
 
--- a/packages/orders/src/swapPlanner.ts
+++ b/packages/orders/src/swapPlanner.ts
@@ -75,7 +75,7 @@
     return true;
   }
 
-  /** Records the version reported by an endpoint, the only proof that a swap took place. */
+  /** The reported version is the only proof that a swap took place. */
   readBack(endpointId: string, readBack: ReadBack): void {
     const state = this._states.get(endpointId) ?? INITIAL_STATE;
     const isRestarted = state.readBack !== undefined && state.readBack.startId !== readBack.startId;
@@ -89,7 +89,7 @@
     return this._states.get(endpointId)?.readBack;
   }
 
-  /** Returns the orders to give now. The caller must hold the lease whose token they carry. */
+  /** The caller must hold the lease of the token. */
   next(endpoints: readonly SwapEndpoint[], token: number): readonly WeightOrder[] {
     const target = this._target;
     if (!target) return [];
@@ -107,7 +107,7 @@
     return orders;
   }
 
-  /** Records the result of an order. `unknown` is not a failure: the read-back decides. */
+  /** `unknown` is not a failure: the read-back decides. */
   ended(endpointId: string, result: OrderResult): void {
     const state = this._states.get(endpointId);
     if (!state || result === 'accepted' || result === 'unknown') return;
@@ -138,7 +138,7 @@
     return [...this._states].filter(([, state]) => state.isExcluded).map(([id]) => id);
   }
 
-  /** Returns true if every endpoint of the share reports the target's version or is excluded. */
+  /** True if every endpoint of the share reports the target's version or is excluded. */
   isDone(endpoints: readonly SwapEndpoint[]): boolean {
     const target = this._target;
     if (!target) return true;
@@ -149,7 +149,6 @@
     });
   }
 
-  /** The number of endpoints that are swapping. */
   swapping(): number {
     let count = 0;
     for (const state of this._states.values()) if (state.isSwapping) count += 1;
