--- a/packages/batches/src/batchLedger.ts
+++ b/packages/batches/src/batchLedger.ts
@@ -177,7 +177,8 @@
   waiting(): readonly BatchItem[] {
     const entries = [...this._entries.values()].filter(entry => entry.state === 'waiting');
     entries.sort(
-      (a, b) => this._groupPriority(b) - this._groupPriority(a) || compareNumbers(urgency(b), urgency(a)),
+      (a, b) =>
+        this._groupPriority(b) - this._groupPriority(a) || compareNumbers(startPriority(b), startPriority(a)),
     );
     return entries.map(entry => entry.item);
   }
@@ -185,7 +186,7 @@
   /** Returns the number of the attempt, from 1. */
   beginAttempt(itemId: string): number {
     const entry = this._entry(itemId);
-    invariant(entry.state === 'waiting', 'only a waiting item begins');
+    invariant(entry.state === 'waiting', 'an attempt requires a waiting item');
     entry.state = 'running';
     entry.attempts += 1;
     entry.eventsAtStart = entry.progress.lastEventNumber();
@@ -227,7 +228,7 @@
 
   beginScoring(itemId: string): void {
     const entry = this._entry(itemId);
-    invariant(entry.state === 'unscored', 'only a whole text is scored');
+    invariant(entry.state === 'unscored', 'scoring requires a complete unscored text');
     entry.state = 'scoring';
   }
 
@@ -339,9 +340,9 @@
 }
 
 /** Started items come before all others. */
-function urgency(entry: Entry): number {
-  const isBegun = entry.attempts > 0 || entry.progress.lastEventNumber() > 0;
-  return isBegun ? Infinity : entry.item.expectedTokens;
+function startPriority(entry: Entry): number {
+  const isStarted = entry.attempts > 0 || entry.progress.lastEventNumber() > 0;
+  return isStarted ? Infinity : entry.item.expectedTokens;
 }
 
 /** Compares numbers, including Infinity. */
--- a/packages/batches/src/batchMessages.ts
+++ b/packages/batches/src/batchMessages.ts
@@ -43,7 +43,7 @@
   .readonly();
 export type ItemEvents = z.infer<typeof itemEventsSchema>;
 
-/** Requests another host to adopt a batch: its owner shuts down and hands over its events, or appears to have terminated. */
+/** Requests another host to adopt a batch: its owner hands over on shutdown or appears terminated. */
 export const batchAdoptSchema = z
   .strictObject({
     batchId: z.string(),
--- a/packages/batches/src/endpointShares.ts
+++ b/packages/batches/src/endpointShares.ts
@@ -20,13 +20,13 @@
   targets: ModelTargets,
 ): ReadonlyMap<string, readonly string[]> {
   const shares = new Map<string, string[]>([...targets.keys()].map(model => [model, []]));
-  const free: string[] = [];
+  const unassigned: string[] = [];
   for (const endpoint of sorted(endpoints)) {
-    const home = closestModel(endpoint, targets);
-    const share = home === undefined ? undefined : shares.get(home);
-    (share ?? free).push(endpoint.id);
+    const closest = closestModel(endpoint, targets);
+    const share = closest === undefined ? undefined : shares.get(closest);
+    (share ?? unassigned).push(endpoint.id);
   }
-  for (const id of free) smallest(shares)?.push(id);
+  for (const id of unassigned) smallest(shares)?.push(id);
   balance(shares);
   return shares;
 }
@@ -37,17 +37,17 @@
 
 /** The model whose newest version the endpoint is closest to; undefined on a tie. */
 function closestModel(endpoint: SharedEndpoint, targets: ModelTargets): string | undefined {
-  let home: string | undefined;
-  let least = Infinity;
+  let closest: string | undefined;
+  let smallestLag = Infinity;
   for (const [model, target] of targets) {
-    const behind = target - (endpoint.versions.get(model) ?? 0);
-    if (behind === least) home = undefined;
-    if (behind < least) {
-      home = model;
-      least = behind;
+    const lag = target - (endpoint.versions.get(model) ?? 0);
+    if (lag === smallestLag) closest = undefined;
+    if (lag < smallestLag) {
+      closest = model;
+      smallestLag = lag;
     }
   }
-  return home;
+  return closest;
 }
 
 function balance(shares: ReadonlyMap<string, string[]>): void {
--- a/packages/batches/src/storedEvents.ts
+++ b/packages/batches/src/storedEvents.ts
@@ -78,11 +78,11 @@
 /** The longest prefix of the events that fits. */
 function fittingEvents(events: readonly GeneratedEvent[], units: number): readonly GeneratedEvent[] {
   let unitsLeft = units;
-  const beyond = events.findIndex(event => {
+  const firstBeyond = events.findIndex(event => {
     unitsLeft -= unitsOf([event]);
     return unitsLeft < 0;
   });
-  return beyond < 0 ? events : events.slice(0, beyond);
+  return firstBeyond < 0 ? events : events.slice(0, firstBeyond);
 }
 
 function unitsOf(events: readonly GeneratedEvent[]): number {
--- a/packages/orders/src/loadChoice.ts
+++ b/packages/orders/src/loadChoice.ts
@@ -66,17 +66,17 @@
   next(due: readonly DueEndpoint[], limit: number): readonly DueEndpoint[] {
     const nowMs = this._clock.nowMs();
     const sinceMs = new Map<string, number>();
-    const window: DueEndpoint[] = [];
+    const included: DueEndpoint[] = [];
     let counted = 0;
     for (const endpoint of due) {
       if (counted >= limit) break;
       const key = `${endpoint.id} ${endpoint.version}`;
-      const firstMs = this._firstDueMs.get(key) ?? nowMs;
-      sinceMs.set(key, firstMs);
-      window.push(endpoint);
-      if (nowMs - firstMs < this._skipAfterMs) counted += 1;
+      const dueSinceMs = this._firstDueMs.get(key) ?? nowMs;
+      sinceMs.set(key, dueSinceMs);
+      included.push(endpoint);
+      if (nowMs - dueSinceMs < this._skipAfterMs) counted += 1;
     }
     this._firstDueMs = sinceMs;
-    return window;
+    return included;
   }
 }
--- a/packages/requests/src/fairAdmission.ts
+++ b/packages/requests/src/fairAdmission.ts
@@ -66,13 +66,13 @@
 }
 
 /** Returns the limit per account, at least 1; Infinity if all demands fit the capacity. */
-export function maxMinFairShare(asked: ReadonlyMap<string, number>, capacity: number): number {
-  const demands = [...asked.values()].sort((a, b) => a - b);
-  let left = capacity;
+export function maxMinFairShare(requested: ReadonlyMap<string, number>, capacity: number): number {
+  const demands = [...requested.values()].sort((a, b) => a - b);
+  let remaining = capacity;
   for (const [i, demand] of demands.entries()) {
-    const share = left / (demands.length - i);
+    const share = remaining / (demands.length - i);
     if (demand >= share) return Math.max(1, share);
-    left -= demand;
+    remaining -= demand;
   }
   return Infinity;
 }
--- a/packages/requests/src/poisonCases.ts
+++ b/packages/requests/src/poisonCases.ts
@@ -122,12 +122,12 @@
     const poisonCase = this._cases.get(fingerprint);
     if (!poisonCase || poisonCase.ends.size < MIN_ENDS) return { kind: 'free' };
     const sinceMarkMs = this._clock.nowMs() - poisonCase.lastMarkMs;
-    const pauseMs = TRIAL_DELAYS_MS[poisonCase.trials.size] ?? Infinity;
-    if (sinceMarkMs >= pauseMs) return { kind: 'trial', number: poisonCase.trials.size + 1 };
+    const delayMs = TRIAL_DELAYS_MS[poisonCase.trials.size] ?? Infinity;
+    if (sinceMarkMs >= delayMs) return { kind: 'trial', number: poisonCase.trials.size + 1 };
     // Only a termination during a trial is proof; a trial may also be interrupted.
     const isProven = [...poisonCase.trials.values()].some(endsBefore => poisonCase.ends.size > endsBefore);
-    const isWaiting = !isProven && pauseMs < Infinity;
-    return isWaiting ? { kind: 'held', leftMs: pauseMs - sinceMarkMs } : { kind: 'condemned' };
+    const isWaiting = !isProven && delayMs < Infinity;
+    return isWaiting ? { kind: 'held', leftMs: delayMs - sinceMarkMs } : { kind: 'condemned' };
   }
 
   private _removeExpired(fingerprint: string): void {
--- a/packages/requests/src/requestQueue.ts
+++ b/packages/requests/src/requestQueue.ts
@@ -41,16 +41,16 @@
   }
 
   /** Estimates the wait of a new request from the recent service rate; 0 if none is ahead. */
-  expectedWaitMs(waitClass: QueuePriority): number {
+  expectedWaitMs(priority: QueuePriority): number {
     let ahead = 0;
     for (const name of queuePriorities) {
       ahead += this._queues.get(name)?.size ?? 0;
-      if (name === waitClass) break;
+      if (name === priority) break;
     }
     this._rotateWindow();
-    const turns = Math.max(this._served, this._servedInLastWindow);
-    if (ahead === 0 || turns === 0) return 0;
-    return (ahead / turns) * RATE_WINDOW_MS;
+    const served = Math.max(this._served, this._servedInLastWindow);
+    if (ahead === 0 || served === 0) return 0;
+    return (ahead / served) * RATE_WINDOW_MS;
   }
 
   /**
@@ -59,7 +59,7 @@
    * removes the request.
    */
   enqueue(
-    waitClass: QueuePriority,
+    priority: QueuePriority,
     deadline: Deadline,
     offer: () => boolean,
     refuse: (r: QueueRefusal) => void,
@@ -68,11 +68,11 @@
       refuse('queue-full');
       return () => undefined;
     }
-    if (this.expectedWaitMs(waitClass) > deadline.leftMs()) {
+    if (this.expectedWaitMs(priority) > deadline.leftMs()) {
       refuse('too-late');
       return () => undefined;
     }
-    const queue = this._queues.get(waitClass);
+    const queue = this._queues.get(priority);
     const cancelTimer = this._clock.after(deadline.leftMs(), () => {
       if (queue?.delete(waiting)) refuse('too-late');
     });
@@ -99,9 +99,9 @@
 
   private _rotateWindow(): void {
     const nowMs = this._clock.nowMs();
-    const passedMs = nowMs - this._windowStartMs;
-    if (passedMs < RATE_WINDOW_MS) return;
-    this._servedInLastWindow = passedMs < 2 * RATE_WINDOW_MS ? this._served : 0;
+    const elapsedMs = nowMs - this._windowStartMs;
+    if (elapsedMs < RATE_WINDOW_MS) return;
+    this._servedInLastWindow = elapsedMs < 2 * RATE_WINDOW_MS ? this._served : 0;
     this._served = 0;
     this._windowStartMs = nowMs;
   }
--- a/packages/requests/src/requestRun.ts
+++ b/packages/requests/src/requestRun.ts
@@ -95,8 +95,10 @@
   /** Ends the request early: `not-run` if provably no attempt ran, `unknown` otherwise. */
   abandon(cause: AbandonCause): RequestOutcome {
     if (this._outcome) return this._outcome;
-    const isProven = this._phase === 'waiting' && !this._mayHaveRun;
-    return this._end(isProven ? this._notRun(NOT_RUN_REASONS[cause]) : this._unknown(UNKNOWN_REASONS[cause]));
+    const isProvenNotRun = this._phase === 'waiting' && !this._mayHaveRun;
+    return this._end(
+      isProvenNotRun ? this._notRun(NOT_RUN_REASONS[cause]) : this._unknown(UNKNOWN_REASONS[cause]),
+    );
   }
 
   /** Ends a waiting request, as `unknown` if an earlier attempt may have run. */
--- a/tests/batches.spec.ts
+++ b/tests/batches.spec.ts
@@ -105,14 +105,14 @@
   // Stored events must be tracked per text: an item that starts over reuses the event numbers.
   const rules = { maxAttempts: 3, isSingleVersion: true };
   const ledger = new BatchLedger(batch('b', [item('x')]), [], rules);
-  const kept = new StoredEvents(ledger);
+  const stored = new StoredEvents(ledger);
   const add = (from: number, to: number, version: number): void => {
     for (let number = from; number <= to; number++)
       ledger.event('x', { number, text: `${version}.${number}`, version });
   };
   const storeMissing = (): readonly number[] => {
-    const missing = kept.missing();
-    kept.keep(missing, kept.currentTextNumbers(missing));
+    const missing = stored.missing();
+    stored.keep(missing, stored.currentTextNumbers(missing));
     return missing.flatMap(({ events }) => [events[0]?.number ?? 0, events.at(-1)?.number ?? 0]);
   };
   add(1, 10, 1);
@@ -131,15 +131,15 @@
 await tap.test('should split long texts into records that the store accepts', t => {
   // The unstored events of a single item may exceed the maximum size of a record.
   const ledger = new BatchLedger(batch('b', [item('x')]), [], RULES);
-  const kept = new StoredEvents(ledger);
+  const stored = new StoredEvents(ledger);
   for (let number = 1; number <= 60; number++)
     ledger.event('x', { number, text: 'x'.repeat(10_000), version: 1 });
   const lastStored: (number | undefined)[] = [];
   for (;;) {
-    const missing = kept.missing();
+    const missing = stored.missing();
     if (missing.length === 0) break;
     t.ok(JSON.stringify(missing).length < 330_000);
-    kept.keep(missing, kept.currentTextNumbers(missing));
+    stored.keep(missing, stored.currentTextNumbers(missing));
     lastStored.push(missing.at(-1)?.events.at(-1)?.number);
   }
   t.equal(lastStored.at(-1), 60);
