--- a/packages/base/src/deadline.ts
+++ b/packages/base/src/deadline.ts
@@ -1,10 +1,7 @@
-/**
- * The time that a long operation has left. It is passed down every call, so that no layer waits longer
- * than the caller does.
- */
+/** Deadlines, passed down every call so that no layer waits longer than its caller. */
 import type { Clock } from './clock.js';
 
-/** A point on the monotonic clock by which an operation must have ended. */
+/** A point on the monotonic clock by which an operation must have completed. */
 export class Deadline {
   private readonly _clock: Clock;
   private readonly _atMs: number;
@@ -14,18 +11,17 @@
     this._atMs = atMs;
   }
 
-  /** A deadline `durationMs` from now. */
   static after(clock: Clock, durationMs: number): Deadline {
     return new Deadline(clock, clock.nowMs() + durationMs);
   }
 
-  /** Milliseconds left, never below zero. */
-  leftMs(): number {
+  /** Milliseconds until the deadline, never negative. */
+  remainingMs(): number {
     return Math.max(0, this._atMs - this._clock.nowMs());
   }
 
   isOver(): boolean {
-    return this.leftMs() === 0;
+    return this.remainingMs() === 0;
   }
 
   /** The earlier of this deadline and one `durationMs` from now. */
--- a/packages/entry/src/stepService.ts
+++ b/packages/entry/src/stepService.ts
@@ -178,7 +178,7 @@
   }
 
   private async _takeHere(step: OwnedStep, request: TakeRequest): Promise<TakeReply> {
-    const hop = this._context.tracing.begin('delivery', undefined);
+    const hop = this._context.tracing.startSpan('delivery', undefined);
     const reply = await step.owner.take(request);
     hop.end({ step: request.key, end: reply.kind });
     if (step.owner.isFenced()) this._owned.delete(request.key);
@@ -321,7 +321,7 @@
 
   private _dropDeadWorkers(owner: StepOwner): void {
     for (const member of this._membership.view.members()) {
-      if (member.state === 'dead') owner.ledger.workerGone(member.hostId);
+      if (member.state === 'dead') owner.ledger.workerLost(member.hostId);
     }
   }
 
--- a/packages/gateway/src/capacityOrders.ts
+++ b/packages/gateway/src/capacityOrders.ts
@@ -1,11 +1,11 @@
 /**
- * The duty to order endpoints for the pools that can be scaled.
+ * Duty that orders endpoints for the pools that can be scaled.
  *
- * Without it the fleet has what it was given, however many endpoints go away for good. A pool in one failure domain is a subject:
- * two hosts never order for it in turns, and an order says how many endpoints there are to be, never how many more.
+ * The subject of an order is one pool in one failure domain. An order states the total number of endpoints, so that repeating
+ * it has no effect.
  */
 import {
-  OrderBook,
+  OrderTracker,
   type CapacityOrderEnd,
   type CapacityPolicy,
   type PoolScaling,
@@ -20,15 +20,15 @@
 
 export const CAPACITY_KEY = `${LIVE_PREFIX}capacity`;
 export const LAST_CAPACITY_KEY = `${LIVE_PREFIX}last-capacity`;
-const LEASE = { ttlMs: 3000, renewMs: 1000, rightMs: 2500, marginMs: 600 };
+const LEASE = { ttlMs: 3000, renewMs: 1000, validityMs: 2500, marginMs: 600 };
 const TIMEOUTS = { connectMs: 500, answerMs: 1500 };
-const LOOK_MS = 1000;
-const ORDERS = { maxPerMinute: 20, firstRestMs: 5000, maxRestMs: 15_000 };
+const CHECK_INTERVAL_MS = 1000;
+const ORDERS = { maxPerMinute: 20, initialBackoffMs: 5000, maxBackoffMs: 15_000 };
 
 export interface CapacityOptions {
   readonly policy: CapacityPolicy;
   readonly duties: PlatformDuties;
-  /** Calls of two holders must be further apart than this: the platform's bound. */
+  /** Minimum time between calls of two holders, required by the platform. */
   readonly handoverMs: number;
 }
 
@@ -45,15 +45,15 @@
   private readonly _ports: CapacityPorts;
   private readonly _options: CapacityOptions;
   private readonly _duty: DutyLease;
-  private _book: OrderBook;
-  private _lookAtMs = -Infinity;
+  private _tracker: OrderTracker;
+  private _checkAtMs = -Infinity;
   private readonly _busy = new Set<string>();
 
   constructor(context: GatewayContext, ports: CapacityPorts, options: CapacityOptions) {
     this._context = context;
     this._ports = ports;
     this._options = options;
-    this._book = new OrderBook(context.clock, ORDERS);
+    this._tracker = new OrderTracker(context.clock, ORDERS);
     const name = {
       label: 'capacity lease',
       key: CAPACITY_KEY,
@@ -71,19 +71,19 @@
     await this._duty.stop();
   }
 
-  /** What an earlier holder ordered is not known: what is there tells. */
+  /** Starts without the orders of previous holders; the present endpoints determine what is due. */
   taken(): void {
-    this._book = new OrderBook(this._context.clock, ORDERS);
+    this._tracker = new OrderTracker(this._context.clock, ORDERS);
   }
 
   tick(): void {
     const nowMs = this._context.clock.nowMs();
-    if (nowMs < this._lookAtMs || !this._ports.endpoints.isSynced()) return;
-    this._lookAtMs = nowMs + LOOK_MS;
-    for (const [pool, scaling] of this._ports.configuration.scalings()) this._lookAt(pool, scaling);
+    if (nowMs < this._checkAtMs || !this._ports.endpoints.isSynced()) return;
+    this._checkAtMs = nowMs + CHECK_INTERVAL_MS;
+    for (const [pool, scaling] of this._ports.configuration.scalings()) this._checkPool(pool, scaling);
   }
 
-  private _lookAt(pool: string, scaling: PoolScaling): void {
+  private _checkPool(pool: string, scaling: PoolScaling): void {
     const present = this._presentOf(pool, scaling);
     const models = this._ports.configuration.models().get(pool)?.length ?? 1;
     for (const [domain, wanted] of this._options.policy.wanted({ scaling, models, present }))
@@ -92,15 +92,15 @@
 
   private _presentOf(pool: string, { prices }: PoolScaling): ReadonlyMap<string, number> {
     const counts = new Map<string, number>([...prices.keys()].map(domain => [domain, 0]));
-    for (const endpoint of this._ports.endpoints.ofPool(pool))
+    for (const endpoint of this._ports.endpoints.inPool(pool))
       if (!endpoint.isLeaving) counts.set(endpoint.domain, (counts.get(endpoint.domain) ?? 0) + 1);
     return counts;
   }
 
   private _orderIfDue(order: PoolOrder, { bootMs }: PoolScaling): void {
     const subject = `${order.pool}/${order.domain}`;
-    if (this._busy.has(subject) || !this._duty.mayActOn(subject)) return;
-    if (!this._book.isDue(subject, order.wanted, order.present, bootMs)) return;
+    if (this._busy.has(subject) || !this._duty.canActOn(subject)) return;
+    if (!this._tracker.isDue(subject, order.wanted, order.present, bootMs)) return;
     this._busy.add(subject);
     this._duty.track(this._order(subject, order).finally(() => this._busy.delete(subject)));
   }
@@ -108,18 +108,18 @@
   private async _order(subject: string, { pool, domain, wanted, present }: PoolOrder): Promise<void> {
     const fencingToken = this._duty.token();
     if (fencingToken === undefined) return;
-    this._duty.acts(subject, this._context.clock.nowMs() + TIMEOUTS.connectMs);
+    this._duty.recordAct(subject, this._context.clock.nowMs() + TIMEOUTS.connectMs);
     const act = { holder: this._context.hostId, fencingToken };
     const order = { pool, domain, count: wanted };
     const answer = await this._options.duties.orderCapacity(act, order, TIMEOUTS);
-    this._book.ordered(subject, wanted, endOf(answer));
+    this._tracker.recordOrder(subject, wanted, toOrderEnd(answer));
     this._context.metrics.duties.inc({ duty: 'capacity', answer });
     const policy = this._options.policy.name;
     this._context.log.info('capacity order', { pool, of: domain, wanted, present, answer, policy });
   }
 }
 
-/** Endpoints that a pool is to have in a failure domain, and has. */
+/** Wanted and present number of endpoints of a pool in one failure domain. */
 interface PoolOrder {
   readonly pool: string;
   readonly domain: string;
@@ -127,7 +127,7 @@
   readonly present: number;
 }
 
-function endOf(answer: DutyAnswer): CapacityOrderEnd {
+function toOrderEnd(answer: DutyAnswer): CapacityOrderEnd {
   switch (answer) {
     case 'accepted':
       return 'accepted';
--- a/packages/gateway/src/gateway.ts
+++ b/packages/gateway/src/gateway.ts
@@ -7,7 +7,7 @@
 import { BatchService } from './batchService.js';
 import { BatchStore } from './batchStore.js';
 import { BatchSweeper } from './batchSweeper.js';
-import { CallerStore, type StoreCaller } from './callerStore.js';
+import { CountedStore, type StoreComponent } from './countedStore.js';
 import { claimLeaseMs } from './claimLease.js';
 import { CapacityOrders, LAST_CAPACITY_KEY, type CapacityOptions } from './capacityOrders.js';
 import { ConfigurationService } from './configurationService.js';
@@ -15,8 +15,8 @@
 import { Forwarder } from './forwarder.js';
 import type { GatewayContext } from './gatewayContext.js';
 import { HostDirectory, type CallRegistry, type HostDirectoryOptions } from './hostDirectory.js';
-import { ReachMonitor } from './reachMonitor.js';
-import { OrphanedBatches } from './orphanedBatches.js';
+import { ReachabilityMonitor } from './reachabilityMonitor.js';
+import { OrphanRecovery } from './orphanRecovery.js';
 import { PoisonGuard } from './poisonGuard.js';
 import { RelayedStore } from './relayedStore.js';
 import { SharedWatch } from './sharedWatch.js';
@@ -45,9 +45,9 @@
   readonly batchEndMs: number;
 }
 
-const SERVING_POLL_MS = 100;
+const IN_FLIGHT_POLL_MS = 100;
 /** The balancer asks once a second and stops sending after two misses. */
-const ARRIVAL_MS = 3200;
+const BALANCER_DRAIN_MS = 3200;
 
 export class Gateway {
   readonly configuration: ConfigurationService;
@@ -60,9 +60,9 @@
   private readonly _store: RelayedStore;
   private readonly _watch: SharedWatch;
   private readonly _poison: PoisonGuard;
-  private readonly _reach: ReachMonitor;
+  private readonly _reach: ReachabilityMonitor;
   private readonly _sweeper: BatchSweeper;
-  private readonly _orphans: OrphanedBatches;
+  private readonly _orphans: OrphanRecovery;
   private readonly _usage: UsageService | undefined;
   private readonly _capacity: CapacityOrders | undefined;
   private _inFlight = 0;
@@ -71,24 +71,25 @@
   constructor(context: GatewayContext, options: GatewayOptions) {
     const { client, keys, decoder } = options;
     const store = new RelayedStore(context, options.store);
-    const storeOf = (caller: StoreCaller): CallerStore => new CallerStore(store, caller, context.metrics);
+    const storeOf = (caller: StoreComponent): CountedStore =>
+      new CountedStore(store, caller, context.metrics);
     this._context = context;
     this._store = store;
     this._watch = new SharedWatch(context, storeOf('watch'), watchedPrefixes(keys, decoder));
     this.configuration = new ConfigurationService(context, this._watch, keys, decoder);
     this.hosts = new HostDirectory(context, storeOf('host-lease'), this._watch, options.hosts, () =>
-      this._orphans.hostGone(),
+      this._orphans.hostRemoved(),
     );
-    this._watch.useHosts(this.hosts);
+    this._watch.setHosts(this.hosts);
     this.endpoints = new EndpointDirectory(context, this._watch, keys, decoder, address =>
-      client.restarted(address),
+      client.dropConnections(address),
     );
     const { hosts: peers } = this;
-    store.usePeers({
+    store.setPeers({
       addresses: () => peers.peers().map(peer => peer.address),
       relay: (address, request, timeoutMs) => peers.call(address, storeRelayCall, request, timeoutMs),
     });
-    this._reach = new ReachMonitor(context, store, this.hosts);
+    this._reach = new ReachabilityMonitor(context, store, this.hosts);
     this._poison = new PoisonGuard(context, storeOf('poison'), this.hosts, client);
     const { usage } = options;
     this._usage = usage && new UsageService(context, storeOf, this.hosts, usage);
@@ -104,7 +105,7 @@
     };
     this._sweeper = new BatchSweeper(context, storeOf('sweep'), ports.store, options.batchReadableMs);
     this.batches = new BatchService(context, ports, this.hosts);
-    this._orphans = new OrphanedBatches(context, ports.store, this.hosts, (batchId, from) =>
+    this._orphans = new OrphanRecovery(context, ports.store, this.hosts, (batchId, from) =>
       this.batches.adoptFrom(batchId, from),
     );
     const { configuration, endpoints, hosts } = this;
@@ -112,7 +113,8 @@
     this.orders = options.domains.map(
       domain => new WeightOrders(context, orderPorts, domain, options.orders),
     );
-    this._capacity = options.capacity && this._makeCapacity(options.capacity, storeOf('capacity-lease'));
+    this._capacity =
+      options.capacity && this._createCapacityOrders(options.capacity, storeOf('capacity-lease'));
     this._registerGauges();
   }
 
@@ -134,18 +136,18 @@
   }
 
   /** True if this host reaches neither the store nor another failure domain. */
-  isCutOff(): boolean {
+  isIsolated(): boolean {
     return this._reach.isCutOff();
   }
 
   /** True when callers may be sent here: the configuration and the endpoints are known, and others are in reach. */
   isReady(): boolean {
-    if (this.isCutOff()) return false;
-    return !this._isLeaving && this.configuration.isKnown() && this.endpoints.isSynced();
+    if (this.isIsolated()) return false;
+    return !this._isLeaving && this.configuration.hasConfiguration() && this.endpoints.isSynced();
   }
 
   /** Counts a call of a caller while it runs. */
-  async serving<T>(run: () => Promise<T>): Promise<T> {
+  async countInFlight<T>(run: () => Promise<T>): Promise<T> {
     this._inFlight += 1;
     try {
       return await run();
@@ -170,14 +172,14 @@
     await this.batches.handOver();
     await this.hosts.leave();
     const endMs = clock.nowMs() + graceMs;
-    const quietMs = Math.min(ARRIVAL_MS, graceMs / 2);
+    const quietMs = Math.min(BALANCER_DRAIN_MS, graceMs / 2);
     await sleep(clock, quietMs);
-    while (this._inFlight > 0 && clock.nowMs() < endMs) await sleep(clock, SERVING_POLL_MS);
+    while (this._inFlight > 0 && clock.nowMs() < endMs) await sleep(clock, IN_FLIGHT_POLL_MS);
     this.hosts.close();
     log.info('stopped', { inFlight: this._inFlight });
   }
 
-  private _makeCapacity(options: CapacityOptions, store: RevisionedStore): CapacityOrders {
+  private _createCapacityOrders(options: CapacityOptions, store: RevisionedStore): CapacityOrders {
     const { configuration, endpoints, hosts } = this;
     const lastHandover = (): DutyHandover | undefined => hosts.handover(LAST_CAPACITY_KEY);
     return new CapacityOrders(
@@ -203,7 +205,7 @@
     metrics.gauge(
       'fuchsiahitch_event_loop_delay_seconds',
       'Greatest delay of the event loop in the last seconds',
-      () => this._context.loop.recentMs() / 1000,
+      () => this._context.eventLoop.recentLagMs() / 1000,
     );
   }
 }
--- a/packages/gateway/src/poisonPeers.ts
+++ b/packages/gateway/src/poisonAnnouncer.ts
@@ -9,25 +9,27 @@
 import * as z from 'zod';
 import type { CallRegistry, Hosts } from './hostDirectory.js';
 
-const count = z.number().int().min(0);
+const nonNegativeInteger = z.number().int().min(0);
 
 const markSchema = z.discriminatedUnion('kind', [
   z.strictObject({ kind: z.literal('end'), startId: z.string() }).readonly(),
-  z.strictObject({ kind: z.literal('trial'), number: count, endsBefore: count }).readonly(),
+  z
+    .strictObject({ kind: z.literal('trial'), number: nonNegativeInteger, endsBefore: nonNegativeInteger })
+    .readonly(),
 ]);
 
 /** What is known of one request; no marks: it was answered. */
-const poisonNewsSchema = z
+const poisonAnnouncementSchema = z
   .strictObject({ fingerprint: z.string(), marks: z.array(markSchema).max(1000).readonly() })
   .readonly();
-export type PoisonNews = z.infer<typeof poisonNewsSchema>;
+export type PoisonAnnouncement = z.infer<typeof poisonAnnouncementSchema>;
 
-export const poisonCall = defineCall('poisonNews', poisonNewsSchema, z.strictObject({}).readonly());
+export const poisonCall = defineCall('poisonNews', poisonAnnouncementSchema, z.strictObject({}).readonly());
 
 /** A host that does not take the news in this time is cut off, and learns from the store later. */
-const TELL_TIMEOUT_MS = 1000;
+const ANNOUNCE_TIMEOUT_MS = 1000;
 
-export class PoisonPeers {
+export class PoisonAnnouncer {
   private readonly _hosts: Pick<Hosts, 'peers' | 'call'>;
 
   constructor(hosts: Pick<Hosts, 'peers' | 'call'>) {
@@ -35,16 +37,16 @@
   }
 
   /** Tells every host that lives. Nobody waits for the answers: whoever is missed hears of it by the store. */
-  tell(fingerprint: string, marks: readonly PoisonMark[]): void {
-    const news: PoisonNews = { fingerprint, marks };
+  announce(fingerprint: string, marks: readonly PoisonMark[]): void {
+    const news: PoisonAnnouncement = { fingerprint, marks };
     for (const { address } of this._hosts.peers())
-      void this._hosts.call(address, poisonCall, news, TELL_TIMEOUT_MS);
+      void this._hosts.call(address, poisonCall, news, ANNOUNCE_TIMEOUT_MS);
   }
 
   /** `heard`: told of what others tell. */
-  serve(server: CallRegistry, heard: (news: PoisonNews) => void): void {
+  serve(server: CallRegistry, onAnnouncement: (news: PoisonAnnouncement) => void): void {
     server.handle(poisonCall, news => {
-      heard(news);
+      onAnnouncement(news);
       return {};
     });
   }
--- a/packages/gateway/src/sharedWatch.ts
+++ b/packages/gateway/src/sharedWatch.ts
@@ -1,12 +1,8 @@
 /**
- * One watch of the store for all hosts of a failure domain.
+ * Shares one store watch among the hosts of a failure domain, to bound the number of store calls in large fleets.
  *
- * What goes wrong without it: every host asks the store for the same changes, so that calls grow with the fleet, and with its
- * square while all hosts start and each writes that it lives. One notices it as calls to the store, most of them watches, on
- * a fleet that nobody asks anything. So the host with the lowest identifier watches, and its neighbours follow it, with one
- * call at a time for all prefixes. A follower must not depend on a host that is silent, or that the store is silent to: it
- * waits for a short time only, hears nothing from a host whose own view is old, and watches by itself for a while whenever
- * that happens.
+ * The host with the lowest identifier watches the store. The other hosts follow it, with one call at a time for all prefixes.
+ * A follower watches the store itself for a while if the watching host does not respond or has a stale view.
  */
 import { sleep, type Deadline, type Result } from '@fuchsiahitch/base';
 import type { Changes, Snapshot, StoreError } from '@fuchsiahitch/clients';
@@ -16,25 +12,24 @@
 import { followCall, type FollowReply, type FollowRequest, type Revisions } from './storeRelayMessages.js';
 import { WatchFeed, type WatchedPrefix } from './watchFeed.js';
 
-/** A follower's question waits this long for news, and its answer this much longer for the network. */
+/** How long a follower's request waits for changes, and the additional time for the network. */
 const FOLLOW_WAIT_MS = 600;
 const FOLLOW_SLACK_MS = 300;
-/** After a question that failed, a follower watches by itself for this long. */
-const OWN_WATCH_MS = 2000;
+/** How long a follower watches the store itself after a failed request. */
+const DIRECT_WATCH_MS = 2000;
 
-/** What decides whom to follow. */
-export type Neighbours = Pick<Hosts, 'isSynced' | 'self' | 'peers' | 'isOwnDomain' | 'call'>;
+export type WatchHosts = Pick<Hosts, 'isSynced' | 'self' | 'peers' | 'isOwnDomain' | 'call'>;
 
 export class SharedWatch implements MirrorSource {
   private readonly _context: GatewayContext;
   private readonly _store: MirrorSource;
   private readonly _feeds: ReadonlyMap<string, WatchFeed>;
-  private _hosts: Neighbours | undefined;
-  private _ownUntilMs = -Infinity;
-  private _followed: string | undefined;
-  /** The question to the watching host that is on its way, for all prefixes. */
-  private _question: Promise<boolean> | undefined;
-  private _wake: (() => void)[] = [];
+  private _hosts: WatchHosts | undefined;
+  private _directUntilMs = -Infinity;
+  private _followedHostId: string | undefined;
+  /** Pending request to the watching host, shared by all prefixes. */
+  private _pendingFollow: Promise<boolean> | undefined;
+  private _waiters: (() => void)[] = [];
 
   constructor(context: GatewayContext, store: MirrorSource, prefixes: readonly WatchedPrefix[]) {
     this._context = context;
@@ -42,8 +37,8 @@
     this._feeds = new Map(prefixes.map(watched => [watched.prefix, new WatchFeed(watched)]));
   }
 
-  /** Until then this host watches by itself: which hosts live is itself learnt by a watch. */
-  useHosts(hosts: Neighbours): void {
+  /** Until it is called this host watches the store itself, since the hosts are learned through a watch. */
+  setHosts(hosts: WatchHosts): void {
     this._hosts = hosts;
   }
 
@@ -64,14 +59,14 @@
     deadline: Deadline,
   ): Promise<Result<Changes, StoreError | 'compacted'>> {
     const feed = this._feed(prefix);
-    const told =
-      feed.hasNewsAfter(afterRevision) || (await this._follow()) ? feed.after(afterRevision) : undefined;
-    if (told) return { ok: true, value: told };
-    await this._space(feed);
+    const buffered =
+      feed.hasChangesAfter(afterRevision) || (await this._follow()) ? feed.after(afterRevision) : undefined;
+    if (buffered) return { ok: true, value: buffered };
+    await this._awaitSpacing(feed);
     const ownWaitMs = Math.min(waitMs, feed.waitMs(this._context.clock.nowMs()));
     const changes = await this._store.changes(prefix, afterRevision, ownWaitMs, deadline);
     if (!changes.ok) return changes;
-    if (feed.take(afterRevision, changes.value, this._context.clock.nowMs())) this._wakeFollowers();
+    if (feed.apply(afterRevision, changes.value, this._context.clock.nowMs())) this._wakeFollowers();
     return { ok: true, value: feed.after(afterRevision) ?? changes.value };
   }
 
@@ -81,55 +76,55 @@
     return feed;
   }
 
-  /** Hears what the watching host tells, of all prefixes; false when this host watches by itself. */
+  /** Applies the watching host's changes of all prefixes; returns false if this host watches the store itself. */
   private async _follow(): Promise<boolean> {
-    const watcher = this._watcher();
-    if (!watcher) {
-      this._noteSource(undefined, 'this host watches');
+    const watchingHost = this._watchingHost();
+    if (!watchingHost) {
+      this._setSource(undefined, 'this host watches the store');
       return false;
     }
-    this._question ??= this._ask(watcher).finally(() => {
-      this._question = undefined;
+    this._pendingFollow ??= this._requestChanges(watchingHost).finally(() => {
+      this._pendingFollow = undefined;
     });
-    return this._question;
+    return this._pendingFollow;
   }
 
-  private async _ask(watcher: { readonly hostId: string; readonly address: string }): Promise<boolean> {
+  private async _requestChanges(host: {
+    readonly hostId: string;
+    readonly address: string;
+  }): Promise<boolean> {
     const after = this._revisions();
     const request: FollowRequest = { after, waitMs: FOLLOW_WAIT_MS };
     const timeoutMs = FOLLOW_WAIT_MS + FOLLOW_SLACK_MS;
-    const reply = await this._hosts?.call(watcher.address, followCall, request, timeoutMs);
+    const reply = await this._hosts?.call(host.address, followCall, request, timeoutMs);
     if (reply?.ok && reply.value.kind === 'changes') {
-      this._noteSource(watcher.hostId, 'it watches');
-      this._take(after, reply.value.changes);
+      this._setSource(host.hostId, 'watches the store');
+      this._applyChanges(after, reply.value.changes);
       return true;
     }
-    this._ownUntilMs = this._context.clock.nowMs() + OWN_WATCH_MS;
-    this._noteSource(
-      undefined,
-      reply?.ok === false ? reply.error.kind : 'the watching host has no fresh view',
-    );
+    this._directUntilMs = this._context.clock.nowMs() + DIRECT_WATCH_MS;
+    this._setSource(undefined, reply?.ok === false ? reply.error.kind : 'view of the watching host is stale');
     return false;
   }
 
-  /** The prefixes that were read whole, and up to where their changes are known. */
+  /** Last known revisions of the prefixes that were read completely. */
   private _revisions(): Revisions {
     const feeds = [...this._feeds].filter(([, feed]) => feed.revision > 0);
     return Object.fromEntries(feeds.map(([prefix, feed]) => [prefix, feed.revision]));
   }
 
-  private _take(after: Revisions, told: Readonly<Record<string, Changes>>): void {
+  private _applyChanges(after: Revisions, received: Readonly<Record<string, Changes>>): void {
     const nowMs = this._context.clock.nowMs();
     for (const [prefix, revision] of Object.entries(after)) {
-      const changes = told[prefix];
-      if (changes) this._feeds.get(prefix)?.take(revision, changes, nowMs);
+      const changes = received[prefix];
+      if (changes) this._feeds.get(prefix)?.apply(revision, changes, nowMs);
     }
   }
 
-  /** The host to follow: the one of the own domain with the lowest identifier, unless that is this host. */
-  private _watcher(): { readonly hostId: string; readonly address: string } | undefined {
+  /** Returns the host of the own domain with the lowest identifier, or undefined if this host is to watch. */
+  private _watchingHost(): { readonly hostId: string; readonly address: string } | undefined {
     const hosts = this._hosts;
-    if (!hosts?.isSynced() || this._context.clock.nowMs() < this._ownUntilMs) return undefined;
+    if (!hosts?.isSynced() || this._context.clock.nowMs() < this._directUntilMs) return undefined;
     const self = hosts.self();
     let lowest = self;
     for (const peer of hosts.peers())
@@ -137,62 +132,62 @@
     return lowest.hostId === self.hostId ? undefined : lowest;
   }
 
-  private _noteSource(hostId: string | undefined, reason: string): void {
-    if (hostId === this._followed) return;
-    this._followed = hostId;
+  private _setSource(hostId: string | undefined, reason: string): void {
+    if (hostId === this._followedHostId) return;
+    this._followedHostId = hostId;
     this._context.log.info('watch', { follows: hostId ?? 'the store', reason });
   }
 
-  /** Changes that come close together are read in one call. */
-  private async _space(feed: WatchFeed): Promise<void> {
+  /** Delays the next call so that close changes are read together. */
+  private async _awaitSpacing(feed: WatchFeed): Promise<void> {
     const { clock, stopped } = this._context;
-    const leftMs = feed.spaceMs(clock.nowMs());
+    const leftMs = feed.spacingLeftMs(clock.nowMs());
     if (leftMs > 0) await sleep(clock, leftMs, stopped);
   }
 
   private async _serveFollower({ after, waitMs }: FollowRequest): Promise<FollowReply> {
     const { clock } = this._context;
     const endMs = clock.nowMs() + waitMs;
-    while (this._freshForMs(after) > 0 && !this._hasNews(after) && clock.nowMs() < endMs)
-      await this._change(Math.min(this._freshForMs(after), endMs - clock.nowMs()));
+    while (this._freshForMs(after) > 0 && !this._hasChanges(after) && clock.nowMs() < endMs)
+      await this._nextChange(Math.min(this._freshForMs(after), endMs - clock.nowMs()));
     return this._freshForMs(after) > 0 ? this._replyOf(after) : { kind: 'not-watching' };
   }
 
   private _replyOf(after: Revisions): FollowReply {
     const changes: Record<string, Changes> = {};
     for (const [prefix, revision] of Object.entries(after)) {
-      const told = this._feeds.get(prefix)?.after(revision);
-      if (!told) return { kind: 'not-watching' };
-      changes[prefix] = told;
+      const buffered = this._feeds.get(prefix)?.after(revision);
+      if (!buffered) return { kind: 'not-watching' };
+      changes[prefix] = buffered;
     }
     return { kind: 'changes', changes };
   }
 
-  private _hasNews(after: Revisions): boolean {
+  private _hasChanges(after: Revisions): boolean {
     return Object.entries(after).some(([prefix, revision]) =>
-      this._feeds.get(prefix)?.hasNewsAfter(revision),
+      this._feeds.get(prefix)?.hasChangesAfter(revision),
     );
   }
 
-  /** How long this host's view of all these prefixes is still good; 0 if it does not watch the store itself. */
+  /** How long this host's view of all these prefixes remains fresh; 0 if it does not watch the store itself. */
   private _freshForMs(after: Revisions): number {
-    if (this._followed !== undefined) return 0;
+    if (this._followedHostId !== undefined) return 0;
     const nowMs = this._context.clock.nowMs();
     const fresh = Object.keys(after).map(prefix => this._feeds.get(prefix)?.freshForMs(nowMs) ?? 0);
     return Math.max(0, Math.min(...fresh));
   }
 
   private _wakeFollowers(): void {
-    const wake = this._wake;
-    this._wake = [];
-    for (const run of wake) run();
+    const waiters = this._waiters;
+    this._waiters = [];
+    for (const run of waiters) run();
   }
 
-  /** Resolves at the next news, or after the time. */
-  private async _change(waitMs: number): Promise<void> {
+  /** Resolves on the next change, or after the time. */
+  private async _nextChange(waitMs: number): Promise<void> {
     await new Promise<void>(resolve => {
       const cancel = this._context.clock.after(waitMs, resolve);
-      this._wake.push(() => {
+      this._waiters.push(() => {
         cancel();
         resolve();
       });
--- a/packages/requests/src/requestQueue.ts
+++ b/packages/requests/src/requestQueue.ts
@@ -68,12 +68,12 @@
       refuse('queue-full');
       return () => undefined;
     }
-    if (this.expectedWaitMs(priority) > deadline.leftMs()) {
+    if (this.expectedWaitMs(priority) > deadline.remainingMs()) {
       refuse('too-late');
       return () => undefined;
     }
     const queue = this._queues.get(priority);
-    const cancelTimer = this._clock.after(deadline.leftMs(), () => {
+    const cancelTimer = this._clock.after(deadline.remainingMs(), () => {
       if (queue?.delete(waiting)) refuse('too-late');
     });
     const waiting: WaitingRequest = { offer, refuse, cancelTimer };
--- a/tests/gatewayHosts.ts
+++ b/tests/gatewayHosts.ts
@@ -10,7 +10,7 @@
   ConfigurationService,
   EndpointDirectory,
   Forwarder,
-  OrphanedBatches,
+  OrphanRecovery,
   type CallRegistry,
   type Hosts,
 } from '@fuchsiahitch/gateway';
@@ -38,7 +38,7 @@
   readonly context: TestContext;
   readonly storeClient: FakeStoreClient;
   readonly batches: BatchService;
-  readonly orphans: OrphanedBatches;
+  readonly orphans: OrphanRecovery;
   readonly configuration: ConfigurationService;
   readonly endpoints: EndpointDirectory;
   readonly handlers = new Map<string, Handler>();
@@ -52,7 +52,7 @@
     const records = new PlainRecords();
     this.configuration = new ConfigurationService(this.context, this.storeClient, keys, records);
     this.endpoints = new EndpointDirectory(this.context, this.storeClient, keys, records, address =>
-      world.client.restarted(address),
+      world.client.dropConnections(address),
     );
     const poison = loneGuard(this.context, this.storeClient, world.client);
     const ports = {
@@ -71,7 +71,7 @@
       },
     };
     this.batches.serve(registry);
-    this.orphans = new OrphanedBatches(this.context, ports.store, this, (batchId, from) =>
+    this.orphans = new OrphanRecovery(this.context, ports.store, this, (batchId, from) =>
       this.batches.adoptFrom(batchId, from),
     );
     this.configuration.start();
@@ -81,7 +81,7 @@
   /** Ends the process at once: nothing of it goes on. */
   kill(): void {
     this.isRunning = false;
-    this.batches.halt();
+    this.batches.stopAll();
     this.context.stop.abort();
   }
 
@@ -98,11 +98,11 @@
     return this._world.leases.some(lease => isSameOwner(lease, owner));
   }
 
-  onGone(owner: Owner, run: () => void): CancelTimer {
+  onTerminated(owner: Owner, run: () => void): CancelTimer {
     return this._world.onGone(owner, run);
   }
 
-  isGone(owner: Owner): boolean {
+  isTerminated(owner: Owner): boolean {
     return !this.isAlive(owner);
   }
 
@@ -110,7 +110,7 @@
     return true;
   }
 
-  onKey(): void {
+  onKeyChange(): void {
     // No host of these orders weights.
   }
 
--- a/tests/resumption.spec.ts
+++ b/tests/resumption.spec.ts
@@ -3,13 +3,13 @@
  */
 import tap from 'tap';
 import { Deadline } from '@fuchsiahitch/base';
-import { BATCH, read, started, submit } from './batchCalls.js';
+import { BATCH, read, startHosts, submit } from './batchCalls.js';
 import { batch } from './gatewayWorld.js';
 
 await tap.test('should list a complete stored text without sending it to an endpoint', async t => {
   // A batch may end after a text is complete and before it is listed. If the text were resumed in a later step, the
   // endpoint would have nothing to add and report no version, so that the item would be retried forever.
-  const [world, a, b] = await started('a', 'b');
+  const [world, a, b] = await startHosts('a', 'b');
   if (!a || !b) return;
   world.client.script = call => {
     const events = 60 - call.afterEvent;
@@ -34,7 +34,7 @@
 
 await tap.test('should complete a text if the resumed stream ends without another event', async t => {
   // The owner may die when all events of a text are stored but not that it is complete.
-  const [world, a] = await started('a');
+  const [world, a] = await startHosts('a');
   if (!a) return;
   world.client.script = call => {
     if (call.afterEvent > 0) return { events: 0, end: { kind: 'done' }, version: 'none' };
@@ -49,7 +49,7 @@
 });
 
 await tap.test('should not accept a stream without events as a text', async t => {
-  const [world, a] = await started('a');
+  const [world, a] = await startHosts('a');
   if (!a) return;
   let attempts = 0;
   world.client.script = () => {
@@ -67,7 +67,7 @@
 await tap.test('should start an item over if no endpoint can continue its text', async t => {
   // Otherwise an item whose text every endpoint refuses would be retried forever.
   for (const mode of ['always', 'once'] as const) {
-    const [world, a] = await started('a');
+    const [world, a] = await startHosts('a');
     if (!a) return;
     let refusals = 0;
     world.client.script = call => {
@@ -95,7 +95,7 @@
 
 await tap.test('should wait for an endpoint with new enough weights and keep the text', async t => {
   // The versions in the endpoints' answers take precedence over outdated records.
-  const [world, a] = await started('a');
+  const [world, a] = await startHosts('a');
   if (!a) return;
   const untilMs = world.clock.nowMs() + 4000;
   world.client.script = () =>
