--- a/packages/gateway/src/progressRecorder.ts
+++ b/packages/gateway/src/progressRecorder.ts
@@ -88,6 +88,6 @@
 
   private _nextWrite(minEvents?: number): PendingWrite | undefined {
     const events = this._recorded.missing(minEvents);
-    return events.length > 0 ? { events, texts: this._recorded.texts(events) } : undefined;
+    return events.length > 0 ? { events, texts: this._recorded.currentTextNumbers(events) } : undefined;
   }
 }
--- a/packages/orders/src/loadChoice.ts
+++ b/packages/orders/src/loadChoice.ts
@@ -1,9 +1,8 @@
 /**
  * Selects the endpoints that load a newly named version.
  *
- * A step accepts tokens of the previous version. If every endpoint loaded every version, each step would start while
- * its endpoints load, and their runs would be interrupted. Therefore half of a model's endpoints load one version and
- * the other half the next: loads occur on endpoints that the running step does not use, and half as often.
+ * A step also accepts tokens of the previous version. Therefore half of a model's endpoints load one version and the
+ * other half the next: loads then interrupt no run of the current step, and occur half as often.
  */
 import type { Clock } from '@fuchsiahitch/base';
 
@@ -21,7 +20,7 @@
 /** The minimum share of endpoints with the newest version. */
 const FRESH_SHARE = 0.5;
 
-/** Returns the endpoints that should load the version, the most urgent first. */
+/** Sorted by urgency. */
 export function endpointsDueForLoad(
   candidates: readonly LoadCandidate[],
   namedVersion: number,
@@ -50,9 +49,9 @@
 /**
  * Limits the number of concurrent loads over all failure domains.
  *
- * Orderers of different domains do not coordinate: each computes the same list of due endpoints and gives orders to
- * those of its own domain that are in the window. An endpoint that stays in the window too long has no orderer or
- * cannot load; it no longer counts, so that it does not block the others.
+ * Orderers of different domains do not coordinate: each computes the same window of due endpoints and gives orders to
+ * those of its own domain. An endpoint that stays in the window too long no longer counts, so that it does not block
+ * the others.
  */
 export class LoadWindow {
   private readonly _clock: Clock;
@@ -67,17 +66,17 @@
   next(due: readonly DueEndpoint[], limit: number): readonly DueEndpoint[] {
     const nowMs = this._clock.nowMs();
     const sinceMs = new Map<string, number>();
-    const window: DueEndpoint[] = [];
+    const included: DueEndpoint[] = [];
     let counted = 0;
     for (const endpoint of due) {
       if (counted >= limit) break;
       const key = `${endpoint.id} ${endpoint.version}`;
-      const firstMs = this._firstDueMs.get(key) ?? nowMs;
-      sinceMs.set(key, firstMs);
-      window.push(endpoint);
-      if (nowMs - firstMs < this._skipAfterMs) counted += 1;
+      const dueSinceMs = this._firstDueMs.get(key) ?? nowMs;
+      sinceMs.set(key, dueSinceMs);
+      included.push(endpoint);
+      if (nowMs - dueSinceMs < this._skipAfterMs) counted += 1;
     }
     this._firstDueMs = sinceMs;
-    return window;
+    return included;
   }
 }
--- a/packages/requests/src/requestQueue.ts
+++ b/packages/requests/src/requestQueue.ts
@@ -7,7 +7,6 @@
 export const queuePriorities = ['customer-high', 'customer', 'customer-low', 'rollout'] as const;
 export type QueuePriority = (typeof queuePriorities)[number];
 
-/** Why a request left the queue without being served. */
 export type QueueRefusal = 'queue-full' | 'too-late';
 
 interface WaitingRequest {
@@ -16,7 +15,7 @@
   readonly cancelTimer: CancelTimer;
 }
 
-/** The window over which served requests are counted to estimate the wait. */
+/** The window of the service rate. */
 const RATE_WINDOW_MS = 2000;
 
 export class RequestQueue {
@@ -41,26 +40,26 @@
     return total;
   }
 
-  /** Estimates the wait of a new request from the recent service rate; 0 when the queue is empty. */
-  expectedWaitMs(waitClass: QueuePriority): number {
+  /** Estimates the wait of a new request from the recent service rate; 0 if none is ahead. */
+  expectedWaitMs(priority: QueuePriority): number {
     let ahead = 0;
     for (const name of queuePriorities) {
       ahead += this._queues.get(name)?.size ?? 0;
-      if (name === waitClass) break;
+      if (name === priority) break;
     }
     this._rotateWindow();
-    const turns = Math.max(this._served, this._servedInLastWindow);
-    if (ahead === 0 || turns === 0) return 0;
-    return (ahead / turns) * RATE_WINDOW_MS;
+    const served = Math.max(this._served, this._servedInLastWindow);
+    if (ahead === 0 || served === 0) return 0;
+    return (ahead / served) * RATE_WINDOW_MS;
   }
 
   /**
-   * Adds a request. `offer` is called when there may be room and returns true if the request was sent; `refuse` is
-   * called immediately when the queue is full or the expected wait exceeds the deadline, and otherwise at the deadline.
-   * Returns a function that removes the request from the queue.
+   * `offer` is called when there may be room and returns true if the request was sent. `refuse` is called immediately
+   * if the queue is full or the expected wait exceeds the deadline, otherwise at the deadline. Returns a function that
+   * removes the request.
    */
   enqueue(
-    waitClass: QueuePriority,
+    priority: QueuePriority,
     deadline: Deadline,
     offer: () => boolean,
     refuse: (r: QueueRefusal) => void,
@@ -69,11 +68,11 @@
       refuse('queue-full');
       return () => undefined;
     }
-    if (this.expectedWaitMs(waitClass) > deadline.remainingMs()) {
+    if (this.expectedWaitMs(priority) > deadline.remainingMs()) {
       refuse('too-late');
       return () => undefined;
     }
-    const queue = this._queues.get(waitClass);
+    const queue = this._queues.get(priority);
     const cancelTimer = this._clock.after(deadline.remainingMs(), () => {
       if (queue?.delete(waiting)) refuse('too-late');
     });
@@ -85,7 +84,7 @@
     };
   }
 
-  /** Offers room to waiting requests, by priority and then in order of arrival, until one declines. */
+  /** Offers room by priority and then in order of arrival, until a request declines. */
   dispatch(): void {
     for (const name of queuePriorities) {
       for (const waiting of this._queues.get(name) ?? []) {
@@ -100,9 +99,9 @@
 
   private _rotateWindow(): void {
     const nowMs = this._clock.nowMs();
-    const passedMs = nowMs - this._windowStartMs;
-    if (passedMs < RATE_WINDOW_MS) return;
-    this._servedInLastWindow = passedMs < 2 * RATE_WINDOW_MS ? this._served : 0;
+    const elapsedMs = nowMs - this._windowStartMs;
+    if (elapsedMs < RATE_WINDOW_MS) return;
+    this._servedInLastWindow = elapsedMs < 2 * RATE_WINDOW_MS ? this._served : 0;
     this._served = 0;
     this._windowStartMs = nowMs;
   }
--- a/tests/keyFleet.ts
+++ b/tests/keyFleet.ts
@@ -1,6 +1,5 @@
 /**
- * Hosts of one failure domain that answer for idempotency keys, on a virtual clock. The witness counts what
- * really ran.
+ * Simulates the hosts of one failure domain that own idempotency keys, on a virtual clock, and counts actual runs.
  */
 import { Deadline, SeededRandom, VirtualClock } from '@fuchsiahitch/base';
 import {
@@ -24,9 +23,9 @@
 const DIGEST = 'list';
 const CALL_MS = 200;
 const CLAIM_MS = 2000;
-const LEARN_MS = 100;
+const MAP_POLL_MS = 100;
 
-/** The platform's store, as far as the slot map needs it. */
+/** The part of the platform's store that holds the slot map. */
 class MapStore {
   map: SlotMap | undefined;
   isDown = false;
@@ -55,7 +54,7 @@
     this.process = new SimProcess(id, fleet.clock);
     this.holder = new KeyHolder({ self: this.holderId, domains: DIGEST, clock: this.process, peers: this });
     this.client = new KeyClient([DOMAIN], DIGEST, this);
-    this._learnForever();
+    this._pollMap();
   }
 
   get holderId(): string {
@@ -85,9 +84,9 @@
 
   isProvenTerminated(holder: string): boolean {
     const { hostId, incarnation } = splitHolder(holder);
-    const isGone = (this._fleet.hosts.get(hostId)?.incarnation ?? 0) > incarnation;
-    // Word of a restart spreads in its own time.
-    return isGone && this._fleet.random.below(2) === 0;
+    const isTerminated = (this._fleet.hosts.get(hostId)?.incarnation ?? 0) > incarnation;
+    // Information about a restart arrives with a random delay.
+    return isTerminated && this._fleet.random.below(2) === 0;
   }
 
   async claim(_domain: string, claim: Claim, deadline: Deadline): Promise<ClaimReply | undefined> {
@@ -103,7 +102,7 @@
   }
 
   async refresh(): Promise<void> {
-    await new Promise<void>(resolve => this.process.after(LEARN_MS, resolve));
+    await new Promise<void>(resolve => this.process.after(MAP_POLL_MS, resolve));
   }
 
   private async _call<T>(
@@ -116,17 +115,17 @@
     return this._fleet.net.call(this.process, target.process, timeoutMs, () => handler(target));
   }
 
-  private _learnForever(): void {
-    this.process.after(LEARN_MS, () => {
+  private _pollMap(): void {
+    this.process.after(MAP_POLL_MS, () => {
       const { map, isDown } = this._fleet.store;
       if (map && !isDown && !this.isCutOff) this.holder.updateMap(map);
-      this._learnForever();
+      this._pollMap();
     });
   }
 }
 
-/** What a caller was told of one arrival, and how often its key had run by then. */
-export interface Told {
+/** The result reported to the caller of one arrival and the number of runs of the key by then. */
+export interface ArrivalResult {
   readonly key: string;
   readonly result: ClaimResult['kind'] | 'not-run';
   readonly runsBefore: number;
@@ -139,7 +138,7 @@
   readonly store = new MapStore();
   readonly hosts = new Map<string, KeyHost>();
   readonly runs = new Map<string, number>();
-  readonly told: Told[] = [];
+  readonly told: ArrivalResult[] = [];
   private _nextIncarnation = 1;
 
   constructor(seed: number, ids: readonly string[]) {
@@ -148,7 +147,7 @@
     for (const id of ids) this.start(id);
   }
 
-  /** Starts a host, or its next process. */
+  /** Starts a host or restarts it as a new process. */
   start(id: string): KeyHost {
     this.hosts.get(id)?.process.kill();
     const host = new KeyHost(this, id, this._nextIncarnation++);
@@ -162,7 +161,7 @@
     return host;
   }
 
-  /** Has a host plan with its own opinion of who lives, right or wrong. */
+  /** Makes a host plan with the given list of live hosts, which may be wrong. */
   plan(planner: string, live: readonly string[]): void {
     if (this.store.isDown) return;
     const host = this.host(planner);
@@ -182,7 +181,7 @@
     await this.clock.advance(5000);
   }
 
-  /** One arrival of a key at a host; granted, it runs at once or after a while, if the host still lives. */
+  /** Sends a key to a host. If granted, it runs after `runDelayMs` unless the host was terminated. */
   arrive(at: string, key: string, runDelayMs = 1, answers = true): void {
     const host = this.host(at);
     const attemptId = this.random.id();
@@ -196,8 +195,8 @@
     });
   }
 
-  /** An arrival whose granted attempt is proved not to have run, so that its caller is told so. */
-  arriveUnrun(at: string, key: string): void {
+  /** Sends a key whose granted attempt provably does not run, which is reported to the caller. */
+  arriveReleased(at: string, key: string): void {
     const host = this.host(at);
     const attemptId = this.random.id();
     const deadline = Deadline.after(host.process, CLAIM_MS);
@@ -210,8 +209,8 @@
     });
   }
 
-  /** The last thing that a caller was told of a key. */
-  lastTold(key: string): string | undefined {
+  /** Returns the last result reported for a key. */
+  lastResult(key: string): string | undefined {
     return this.told.filter(told => told.key === key).at(-1)?.result;
   }
 
