--- a/tests/scoring.spec.ts
+++ b/tests/scoring.spec.ts
@@ -53,7 +53,7 @@
 }
 
 /** Reads a request and never answers. */
-function neverAnswer(_call: EndpointCall, signal: AbortSignal): Promise<EndpointReply> {
+function hang(_call: EndpointCall, signal: AbortSignal): Promise<EndpointReply> {
   return new Promise(resolve => {
     signal.addEventListener('abort', () => resolve({ kind: 'cancelled' }));
   });
@@ -209,7 +209,7 @@
   for (const fault of ['no-scores', 'no-store'] as const) {
     const [world, a, b] = await startHosts('a', 'b');
     if (!a || !b) return;
-    if (fault === 'no-scores') world.client.reply = neverAnswer;
+    if (fault === 'no-scores') world.client.reply = hang;
     await submit(world, a);
     await world.clock.advance(fault === 'no-store' ? 100 : 1800);
     if (fault === 'no-store') {
@@ -257,7 +257,7 @@
   const faults: Readonly<
     Record<string, (call: EndpointCall, signal: AbortSignal) => Promise<EndpointReply>>
   > = {
-    silent: neverAnswer,
+    silent: hang,
     broken: () => Promise.resolve({ kind: 'broken', text: 'reset' }),
     full: () => Promise.resolve({ kind: 'not-run', reason: 'refused', load: undefined }),
     cut: () => Promise.resolve({ kind: 'answered', answer: answer(200, '', { body: brokenBody('half') }) }),
@@ -285,9 +285,8 @@
   if (!a) return;
   world.addScorers('s4');
   await world.clock.advance(100);
-  const unresponsive = new Set(['s1', 's2']);
-  world.client.reply = (call, signal) =>
-    unresponsive.has(call.endpoint.id) ? neverAnswer(call, signal) : scoreOf(call);
+  const down = new Set(['s1', 's2']);
+  world.client.reply = (call, signal) => (down.has(call.endpoint.id) ? hang(call, signal) : scoreOf(call));
   await submit(world, a);
   await world.clock.advance(1900);
   t.equal((await resultsAt(world, a)).length, 3);
@@ -322,7 +321,7 @@
       let dropped = 0;
       world.client.reply = (call, signal) => {
         signal.addEventListener('abort', () => (dropped += 1));
-        return neverAnswer(call, signal);
+        return hang(call, signal);
       };
       await submit(world, a);
       await world.clock.advance(700);
