--- a/packages/gateway/src/batchService.ts
+++ b/packages/gateway/src/batchService.ts
@@ -56,7 +56,7 @@
   private readonly _owned = new Map<string, BatchOwner>();
   private readonly _submits = new Map<string, Promise<SubmitOutcome>>();
   private readonly _takeovers = new Map<string, Promise<BatchLocation>>();
-  /** Claims as last read. A stale entry is harmless: a former owner answers `not-owner`. */
+  /** Claims as last read. A stale entry is harmless: a previous owner answers `not-owner`. */
   private readonly _claims = new Map<string, HeldClaim>();
   private readonly _storedBatches: StoredBatchReader;
   private readonly _paceUpdates: PaceUpdates;
@@ -150,8 +150,8 @@
 
   /** Ends a batch at its owner, or in the store if the owner does not answer. Does not start the batch to end it. */
   async end(batchId: string): Promise<EndOutcome> {
-    const located = await this._locate(batchId, false, false);
-    const reply = await this._endAt(batchId, located);
+    const location = await this._locate(batchId, false, false);
+    const reply = await this._endAt(batchId, location);
     if (reply === 'ended' || reply === 'no-batch') return reply;
     const held = await this._ports.store.readClaim(batchId, this._storeDeadline());
     if (!held.ok) return 'unsure';
@@ -161,25 +161,25 @@
   }
 
   /** Ends a batch at a location. Returns `unsure` also if the host there is no longer its owner. */
-  private async _endAt(batchId: string, located: BatchLocation): Promise<EndOutcome> {
-    switch (located.kind) {
+  private async _endAt(batchId: string, location: BatchLocation): Promise<EndOutcome> {
+    switch (location.kind) {
       case 'here':
-        return (await located.owner.end()) === 'ended' ? 'ended' : 'unsure';
+        return (await location.owner.end()) === 'ended' ? 'ended' : 'unsure';
       case 'peer': {
-        const { address } = located.held.claim.owner;
+        const { address } = location.held.claim.owner;
         const timeoutMs = STORE_TIMEOUT_MS + PEER_TIMEOUT_MS;
         const reply = await this._hosts.call(address, calls.batchEnd, { batchId }, timeoutMs);
         return reply.ok && reply.value.kind === 'ended' ? 'ended' : 'unsure';
       }
       case 'stored':
-        return located.held.claim.isEnded ? 'ended' : 'unsure';
+        return location.held.claim.isEnded ? 'ended' : 'unsure';
       case 'no-batch':
       case 'unsure':
-        return located.kind;
+        return location.kind;
     }
   }
 
-  /** Stops all batches without handing them over, as a crash of the process would. */
+  /** Stops all batches without handing them over. */
   stopAll(): void {
     for (const owner of this._owned.values()) owner.stop('process is terminating');
   }
@@ -228,8 +228,8 @@
   private async _adopt(request: BatchAdopt): Promise<{ readonly isAdopted: boolean }> {
     const { batchId, from, isGivenUp, unfinished } = request;
     if (this._isShuttingDown) return { isAdopted: false };
-    const located = await this._replaceOwner(batchId, from, isGivenUp, unfinished);
-    return { isAdopted: located.kind === 'here' };
+    const location = await this._replaceOwner(batchId, from, isGivenUp, unfinished);
+    return { isAdopted: location.kind === 'here' };
   }
 
   /**
@@ -362,14 +362,14 @@
     remote: (address: string) => Promise<Result<A, unknown>>,
   ): Promise<A | Exclude<BatchLocation, { readonly kind: 'here' | 'peer' }>> {
     for (let tries = 0; tries < 3; tries++) {
-      const located = await this._locate(batchId, tries > 0);
-      if (located.kind === 'here') {
-        const reply = await local(located.owner);
+      const location = await this._locate(batchId, tries > 0);
+      if (location.kind === 'here') {
+        const reply = await local(location.owner);
         if (reply.kind !== 'not-owner') return reply;
         continue;
       }
-      if (located.kind !== 'peer') return located;
-      const { owner } = located.held.claim;
+      if (location.kind !== 'peer') return location;
+      const { owner } = location.held.claim;
       const reply = await this._callOwner(owner, remote);
       // An owner that can't reach the store may have lost its host lease.
       const isDoubtful = reply.ok && reply.value.kind === 'unsure' && !this._hosts.isAlive(owner);
@@ -423,9 +423,9 @@
   ): Promise<BatchLocation> {
     const running = this._takeovers.get(batchId) ?? this._takeOver(batchId, owner, isDenied, unfinished);
     this._takeovers.set(batchId, running);
-    const located = await running;
+    const location = await running;
     this._takeovers.delete(batchId);
-    return located;
+    return location;
   }
 
   private async _takeOver(
--- a/tests/endedReads.spec.ts
+++ b/tests/endedReads.spec.ts
@@ -149,14 +149,15 @@
 
 async function startBatch(given: Batch, script: Script): Promise<RunningBatch> {
   const [world, a, b, c] = await startHosts('a', 'b', 'c');
-  if (!a || !b || !c) throw new Error('no hosts');
+  if (!a || !b || !c) throw new Error('expected three hosts');
   cut(world, a, c);
   world.client.script = script;
   const startMs = await submitAt(world, a, given);
   await advanceTo(world, startMs + SHORT_LISTED_MS);
   const readers = new Readers(world);
   await readers.readAt([a, b], 'at the beginning');
-  if (readers.returnedCount() !== 2) throw new Error(`${readers.returnedCount()} results are listed`);
+  if (readers.returnedCount() !== 2)
+    throw new Error(`${readers.returnedCount()} results are listed, expected 2`);
   await advanceTo(world, startMs + BEFORE_COMPLETE_MS);
   return { world, a, b, c, readers, startMs };
 }
--- a/tests/listing.spec.ts
+++ b/tests/listing.spec.ts
@@ -36,7 +36,7 @@
   const work = batch('b', items, { groupsWanted: GROUPS_WANTED });
   const owner = { hostId: 'host-a', incarnation: 'i1', address: 'a' };
   const accepted = await store.accept(work, owner, Deadline.after(clock, 1000));
-  if (accepted.kind !== 'accepted') throw new Error('not accepted');
+  if (accepted.kind !== 'accepted') throw new Error('the batch was not accepted');
   const ledger = new BatchLedger(work, [], { maxAttempts: 3, isSingleVersion: false });
   const lease = new ClaimLease(context, store, 'b', accepted.held, CLAIM_MS, () => undefined);
   const completedMs = new Map<string, number>();
--- a/tests/orphans.spec.ts
+++ b/tests/orphans.spec.ts
@@ -15,7 +15,7 @@
   const hosts = ['c', 'a', 'b'].map(id => world.start(id));
   await world.clock.advance(200);
   const [c, a, b] = hosts;
-  if (!c || !a || !b) throw new Error('three hosts');
+  if (!c || !a || !b) throw new Error('expected three hosts');
   await world.until(c.batches.submit(BATCH, Deadline.after(world.clock, 1000)));
   return [world, c, a, b];
 }
