--- a/tests/orphans.spec.ts
+++ b/tests/orphans.spec.ts
@@ -1,5 +1,5 @@
 /**
- * Batches whose owners are gone and that nobody reads here.
+ * Reassignment of batches whose owners have terminated and that have no readers.
  */
 import tap from 'tap';
 import { Deadline } from '@fuchsiahitch/base';
@@ -8,27 +8,25 @@
 
 const BATCH = batch('b1', [item('x'), item('y'), item('z')]);
 
-/** Three hosts, of which the first owns a batch that takes 4 s. */
-async function owned(): Promise<[GatewayWorld, GatewayHost, GatewayHost, GatewayHost]> {
+/** Starts three hosts. The first one owns a batch that takes 4 s. */
+async function startOwnedBatch(): Promise<[GatewayWorld, GatewayHost, GatewayHost, GatewayHost]> {
   const world = new GatewayWorld();
   world.client.script = call => ({ events: 100 - call.afterEvent, end: { kind: 'done' }, eventMs: 40 });
   const hosts = ['c', 'a', 'b'].map(id => world.start(id));
   await world.clock.advance(200);
   const [c, a, b] = hosts;
-  if (!c || !a || !b) throw new Error('three hosts');
+  if (!c || !a || !b) throw new Error('expected three hosts');
   await world.until(c.batches.submit(BATCH, Deadline.after(world.clock, 1000)));
   return [world, c, a, b];
 }
 
-function tellGone(...hosts: readonly GatewayHost[]): void {
+function reportRemoved(...hosts: readonly GatewayHost[]): void {
   for (const host of hosts) host.orphans.hostRemoved();
 }
 
-await tap.test('should go on with a batch of a domain that is cut off, without a reader', async t => {
-  // Symptom: a trainer whose failure domain is cut off for 6 s loses the steps that were under way. Sequence: the owner
-  // in that domain reaches neither the store nor others; the trainer's readers reach that domain only, so that nobody
-  // asks another host. Cause: readers alone drive a takeover.
-  const [world, c, a, b] = await owned();
+await tap.test('should reassign a batch of an isolated failure domain without a reader', async t => {
+  // Fails if only readers trigger takeovers: the readers of an isolated domain can't reach hosts elsewhere.
+  const [world, c, a, b] = await startOwnedBatch();
   await world.clock.advance(1500);
   c.storeClient.mode = 'away';
   for (const peer of ['a', 'b']) {
@@ -36,34 +34,34 @@
     world.cuts.add(`${peer}-c`);
   }
   world.expire('c');
-  tellGone(a, b);
+  reportRemoved(a, b);
   await world.clock.advance(1500);
   t.equal(a.batches.ownedCount() + b.batches.ownedCount(), 1);
   await world.clock.advance(4000);
   c.storeClient.mode = 'well';
   world.cuts.clear();
   const page = await world.until(c.batches.read('b1', 0, 500));
-  t.ok(page.kind === 'page' && page.page.results.length === 3, 'whole when the domain is back');
+  t.ok(page.kind === 'page' && page.page.results.length === 3, 'complete once the domain is reachable again');
   await world.clock.advance(1500);
-  t.equal(c.batches.ownedCount(), 0, 'the former owner has heard of it');
+  t.equal(c.batches.ownedCount(), 0, 'the previous owner has learned of it');
   world.stop();
 });
 
-await tap.test('should look for orphans at one host, once for hosts that go together', async t => {
-  const [world, c, a, b] = await owned();
+await tap.test('should search for orphans at one host, once for hosts that are removed together', async t => {
+  const [world, c, a, b] = await startOwnedBatch();
   const lists = (host: GatewayHost): number =>
     host.context.log.lines.filter(line => line.text === 'orphaned batches').length;
   c.kill();
   world.expire('c');
-  tellGone(a, b, a, b);
+  reportRemoved(a, b, a, b);
   await world.clock.advance(2000);
   t.same([lists(a), lists(b)], [1, 0]);
   world.stop();
 });
 
-await tap.test('should leave batches that have ended, and those of hosts that live', async t => {
-  const [world, c, a, b] = await owned();
-  tellGone(a, b);
+await tap.test('should not reassign ended batches or batches of live hosts', async t => {
+  const [world, c, a, b] = await startOwnedBatch();
+  reportRemoved(a, b);
   await world.clock.advance(1000);
   t.same(
     [c, a, b].map(host => host.batches.ownedCount()),
@@ -73,18 +71,18 @@
   c.kill();
   world.expire('c');
   const sent = world.client.items.length;
-  tellGone(a, b);
+  reportRemoved(a, b);
   await world.clock.advance(2000);
   t.equal(world.client.items.length, sent);
   world.stop();
 });
 
-await tap.test('should look again when the store is back', async t => {
-  const [world, c, a, b] = await owned();
+await tap.test('should retry when the store is available again', async t => {
+  const [world, c, a, b] = await startOwnedBatch();
   c.kill();
   world.expire('c');
   for (const host of [a, b]) host.storeClient.mode = 'away';
-  tellGone(a, b);
+  reportRemoved(a, b);
   await world.clock.advance(1500);
   for (const host of [a, b]) host.storeClient.mode = 'well';
   await world.clock.advance(2500);
@@ -92,15 +90,14 @@
   world.stop();
 });
 
-await tap.test('should leave a batch to an owner that lives and whose lease lapsed', async t => {
-  // Symptom: a batch goes from owner to owner every two seconds and lists hardly a result. Sequence: an owner that is short
-  // of processor time renews its lease too late; the host that looks for orphans finds it gone, and the batch is given to
-  // another, which gets short of processor time as well. Cause: orphans were taken without asking the owner once more.
-  const [world, c, a, b] = await owned();
+await tap.test('should not reassign a batch of a live owner whose lease lapsed', async t => {
+  // Fails if orphans are reassigned without probing the owner: an overloaded owner that renews its lease late would lose
+  // its batch, and overload the next owner in the same way.
+  const [world, c, a, b] = await startOwnedBatch();
   await world.clock.advance(500);
   const { leases } = world;
   world.expire('c');
-  tellGone(a, b);
+  reportRemoved(a, b);
   await world.clock.advance(1000);
   world.leases = leases;
   await world.clock.advance(2000);
