--- a/packages/clients/src/engine.ts
+++ b/packages/clients/src/engine.ts
@@ -26,7 +26,7 @@
  * How a generation ended. `not-run`: proved, nothing was written or the engine refused. `broken`: the stream
  * ended early. `cancelled`: this side gave it up.
  */
-export type GenerationEnd =
+export type GenerationResult =
   | { readonly kind: 'done'; readonly tokens: number; readonly finishReason: string }
   | {
       readonly kind: 'not-run';
@@ -57,7 +57,7 @@
     request: GenerationRequest,
     onChunks: (chunks: readonly GenerationChunk[]) => Promise<void> | void,
     signal: AbortSignal,
-  ): Promise<GenerationEnd>;
+  ): Promise<GenerationResult>;
   report(url: string, deadline: Deadline): Promise<EngineReport | undefined>;
   order(url: string, version: number, token: number, deadline: Deadline): Promise<OrderAnswer>;
 }
--- a/packages/clients/src/etcdStore.ts
+++ b/packages/clients/src/etcdStore.ts
@@ -20,7 +20,7 @@
 const OK_STATUS = 200;
 const LAST_CLIENT_ERROR = 499;
 /** Errors under which nothing was written to the service. */
-const UNSENT = new Set([
+const NOT_SENT_CODES = new Set([
   'ECONNREFUSED',
   'UND_ERR_CONNECT_TIMEOUT',
   'EHOSTUNREACH',
@@ -138,7 +138,7 @@
       const parsed = schema.safeParse(JSON.parse(text));
       return parsed.success ? ok(parsed.data) : err('unknown');
     } catch (thrown) {
-      return err(UNSENT.has(codeOf(thrown)) ? 'not-done' : 'unknown');
+      return err(NOT_SENT_CODES.has(errorCode(thrown)) ? 'not-done' : 'unknown');
     }
   }
 }
@@ -210,8 +210,8 @@
 }
 
 /** The code of an error or of its cause. */
-export function codeOf(thrown: unknown): string {
+export function errorCode(thrown: unknown): string {
   if (typeof thrown !== 'object' || thrown === null) return '';
   if ('code' in thrown && typeof thrown.code === 'string') return thrown.code;
-  return 'cause' in thrown ? codeOf(thrown.cause) : '';
+  return 'cause' in thrown ? errorCode(thrown.cause) : '';
 }
--- a/packages/clients/src/httpEngineClient.ts
+++ b/packages/clients/src/httpEngineClient.ts
@@ -9,11 +9,17 @@
   EngineClient,
   EngineReport,
   GenerationChunk,
-  GenerationEnd,
+  GenerationResult,
   GenerationRequest,
   OrderAnswer,
 } from './engine.js';
-import { headerOf, isUnwritten, LEAVING_HEADER, NOT_RUN_HEADER, retryAfterMsOf } from './httpTools.js';
+import {
+  firstHeaderValue,
+  isNotSentError,
+  LEAVING_HEADER,
+  NOT_RUN_HEADER,
+  retryAfterMsOf,
+} from './httpTools.js';
 
 const OK_STATUS = 200;
 const CONFLICT = 409;
@@ -48,12 +54,12 @@
     generation: GenerationRequest,
     onChunks: (chunks: readonly GenerationChunk[]) => Promise<void> | void,
     signal: AbortSignal,
-  ): Promise<GenerationEnd> {
+  ): Promise<GenerationResult> {
     let response: Dispatcher.ResponseData;
     try {
       response = await this._send(generation, signal);
     } catch (thrown) {
-      if (isUnwritten(thrown))
+      if (isNotSentError(thrown))
         return { kind: 'not-run', isUnreachable: true, isLeaving: false, retryAfterMs: 0 };
       return signal.aborted ? { kind: 'cancelled' } : { kind: 'broken' };
     }
@@ -91,7 +97,7 @@
       if (response.statusCode < SERVER_ERROR && response.statusCode !== CONFLICT) return 'accepted';
       return response.statusCode === CONFLICT ? 'fenced' : 'failed';
     } catch (thrown) {
-      return isUnwritten(thrown) ? 'failed' : 'unknown';
+      return isNotSentError(thrown) ? 'failed' : 'unknown';
     }
   }
 
@@ -115,9 +121,9 @@
   }
 }
 
-async function refusalOf(response: Dispatcher.ResponseData): Promise<GenerationEnd> {
-  const isProven = headerOf(response.headers, NOT_RUN_HEADER) !== '';
-  const isLeaving = headerOf(response.headers, LEAVING_HEADER) !== '';
+async function refusalOf(response: Dispatcher.ResponseData): Promise<GenerationResult> {
+  const isProven = firstHeaderValue(response.headers, NOT_RUN_HEADER) !== '';
+  const isLeaving = firstHeaderValue(response.headers, LEAVING_HEADER) !== '';
   const retryAfterMs = retryAfterMsOf(response.headers);
   await response.body.dump();
   if (isProven) return { kind: 'not-run', isUnreachable: false, isLeaving, retryAfterMs };
@@ -129,7 +135,7 @@
   body: AsyncIterable<Buffer>,
   onChunks: (chunks: readonly GenerationChunk[]) => Promise<void> | void,
   signal: AbortSignal,
-): Promise<GenerationEnd> {
+): Promise<GenerationResult> {
   const waiting: string[] = [];
   const parser = createParser({ onEvent: event => waiting.push(event.data) });
   const decoder = new TextDecoder();
--- a/packages/clients/src/httpTools.ts
+++ b/packages/clients/src/httpTools.ts
@@ -2,17 +2,17 @@
  * What the HTTP adapters share.
  */
 import { Agent, type Dispatcher } from 'undici';
-import { codeOf } from './etcdStore.js';
+import { errorCode } from './etcdStore.js';
 
 const CONNECT_TIMEOUT_MS = 1000;
 const KEEP_ALIVE_MS = 10_000;
 
 /** Errors under which no byte of a request can have reached the other side. */
-const UNWRITTEN = new Set(['ECONNREFUSED', 'EHOSTUNREACH', 'ENETUNREACH', 'UND_ERR_CONNECT_TIMEOUT']);
+const NOT_SENT_CODES = new Set(['ECONNREFUSED', 'EHOSTUNREACH', 'ENETUNREACH', 'UND_ERR_CONNECT_TIMEOUT']);
 
 /** True if the error proves that the request was never written. Any other leaves it unknown. */
-export function isUnwritten(thrown: unknown): boolean {
-  return UNWRITTEN.has(codeOf(thrown));
+export function isNotSentError(thrown: unknown): boolean {
+  return NOT_SENT_CODES.has(errorCode(thrown));
 }
 
 /** Connections to endpoints. One request at a time on each: a reset then concerns one request only. */
@@ -33,7 +33,7 @@
 const MS_A_SECOND = 1000;
 
 /** One header as text. */
-export function headerOf(
+export function firstHeaderValue(
   headers: Readonly<Record<string, string | string[] | undefined>>,
   name: string,
 ): string {
@@ -43,6 +43,6 @@
 
 /** The pause of a `Retry-After` header in seconds, as milliseconds. */
 export function retryAfterMsOf(headers: Readonly<Record<string, string | string[] | undefined>>): number {
-  const seconds = Number(headerOf(headers, 'retry-after'));
+  const seconds = Number(firstHeaderValue(headers, 'retry-after'));
   return Number.isFinite(seconds) ? Math.max(0, seconds) * MS_A_SECOND : 0;
 }
--- a/packages/clients/src/resetGuard.ts
+++ b/packages/clients/src/resetInterceptor.ts
@@ -11,35 +11,35 @@
 type Headers = Parameters<NonNullable<Handler['onResponseStart']>>[2];
 
 /** Whether a connection's reset is being told at this moment. */
-export class ResetMoment {
-  private _isNow = false;
+export class ResetTracker {
+  private _isResetting = false;
 
-  isNow(): boolean {
-    return this._isNow;
+  isResetting(): boolean {
+    return this._isResetting;
   }
 
   /** A reset is told to all listeners of the connection, this one first; the moment ends with the present turn. */
-  begin(): void {
-    this._isNow = true;
+  markReset(): void {
+    this._isResetting = true;
     queueMicrotask(() => {
-      this._isNow = false;
+      this._isResetting = false;
     });
   }
 }
 
 /** Fails answers that a reset has cut, for every request of a dispatcher. */
-export function resetGuard(moment: ResetMoment): Dispatcher.DispatcherComposeInterceptor {
-  return dispatch => (options, handler) => dispatch(options, new GuardedHandler(handler, moment));
+export function resetInterceptor(moment: ResetTracker): Dispatcher.DispatcherComposeInterceptor {
+  return dispatch => (options, handler) => dispatch(options, new ResetHandler(handler, moment));
 }
 
-class GuardedHandler implements Handler {
+class ResetHandler implements Handler {
   private readonly _inner: Handler;
-  private readonly _moment: ResetMoment;
+  private readonly _resets: ResetTracker;
   private _hasLength = false;
 
-  constructor(handler: Handler, moment: ResetMoment) {
+  constructor(handler: Handler, moment: ResetTracker) {
     this._inner = new DecoratorHandler(handler);
-    this._moment = moment;
+    this._resets = moment;
   }
 
   onRequestStart(...[controller, context]: Parameters<NonNullable<Handler['onRequestStart']>>): void {
@@ -56,7 +56,7 @@
   }
 
   onResponseEnd(...args: Parameters<NonNullable<Handler['onResponseEnd']>>): void {
-    if (this._hasLength || !this._moment.isNow()) {
+    if (this._hasLength || !this._resets.isResetting()) {
       this._inner.onResponseEnd?.(...args);
       return;
     }
--- a/packages/clients/src/scorer.ts
+++ b/packages/clients/src/scorer.ts
@@ -5,7 +5,7 @@
 import type { Deadline } from '@fuchsiahitch/base';
 import { request, type Dispatcher } from 'undici';
 import * as z from 'zod';
-import { isUnwritten } from './httpTools.js';
+import { isNotSentError } from './httpTools.js';
 
 export interface ScoreRequest {
   readonly sampleId: string;
@@ -67,7 +67,7 @@
       const parsed = scoreSchema.safeParse(JSON.parse(text));
       return parsed.success ? { kind: 'scored', score: parsed.data.score } : { kind: 'unknown' };
     } catch (thrown) {
-      return isUnwritten(thrown) && method === 'POST' ? { kind: 'not-scored' } : { kind: 'unknown' };
+      return isNotSentError(thrown) && method === 'POST' ? { kind: 'not-scored' } : { kind: 'unknown' };
     }
   }
 }
--- a/packages/clients/src/serviceClient.ts
+++ b/packages/clients/src/serviceClient.ts
@@ -2,7 +2,13 @@
  * Plain services beside the engines. Some of their calls may not be repeated.
  */
 import { request, type Dispatcher } from 'undici';
-import { headerOf, isUnwritten, LEAVING_HEADER, NOT_RUN_HEADER, retryAfterMsOf } from './httpTools.js';
+import {
+  firstHeaderValue,
+  isNotSentError,
+  LEAVING_HEADER,
+  NOT_RUN_HEADER,
+  retryAfterMsOf,
+} from './httpTools.js';
 
 export interface ServiceRequest {
   readonly url: string;
@@ -13,7 +19,7 @@
 }
 
 /** A whole answer, or how little is known. `not-run` is proved; `broken` proves nothing. */
-export type ServiceEnd =
+export type ServiceResult =
   | {
       readonly kind: 'answered';
       readonly status: number;
@@ -33,7 +39,7 @@
 
 export interface ServiceClient {
   /** `onHead` is called when the answer begins. */
-  call(service: ServiceRequest, onHead: () => void, signal: AbortSignal): Promise<ServiceEnd>;
+  call(service: ServiceRequest, onHead: () => void, signal: AbortSignal): Promise<ServiceResult>;
 }
 
 export class HttpServiceClient implements ServiceClient {
@@ -43,7 +49,7 @@
     this._agent = agent;
   }
 
-  async call(service: ServiceRequest, onHead: () => void, signal: AbortSignal): Promise<ServiceEnd> {
+  async call(service: ServiceRequest, onHead: () => void, signal: AbortSignal): Promise<ServiceResult> {
     try {
       const response = await request(`${service.url}${service.path}`, {
         method: service.method,
@@ -52,8 +58,8 @@
         dispatcher: this._agent,
         signal,
       });
-      const isLeaving = headerOf(response.headers, LEAVING_HEADER) !== '';
-      if (headerOf(response.headers, NOT_RUN_HEADER) !== '') {
+      const isLeaving = firstHeaderValue(response.headers, LEAVING_HEADER) !== '';
+      if (firstHeaderValue(response.headers, NOT_RUN_HEADER) !== '') {
         await response.body.dump();
         return {
           kind: 'not-run',
@@ -64,10 +70,10 @@
       }
       onHead();
       const body = Buffer.from(await response.body.arrayBuffer());
-      const contentType = headerOf(response.headers, 'content-type');
+      const contentType = firstHeaderValue(response.headers, 'content-type');
       return { kind: 'answered', status: response.statusCode, contentType, body, isLeaving };
     } catch (thrown) {
-      if (isUnwritten(thrown))
+      if (isNotSentError(thrown))
         return { kind: 'not-run', isUnreachable: true, isLeaving: false, retryAfterMs: 0 };
       return signal.aborted ? { kind: 'cancelled' } : { kind: 'broken' };
     }
--- a/packages/clients/src/singleCall.ts
+++ b/packages/clients/src/singleCall.ts
@@ -5,7 +5,7 @@
  * that finds no connection in time is never sent.
  */
 import { Client } from 'undici';
-import { isUnwritten } from './httpTools.js';
+import { isNotSentError } from './httpTools.js';
 
 export interface SingleCall {
   readonly origin: string;
@@ -21,12 +21,15 @@
 }
 
 /** `unreached`: certainly not sent. `unknown`: it may have been carried out, or will be. */
-export type SingleCallEnd =
+export type SingleCallResult =
   | { readonly kind: 'answered'; readonly status: number }
   | { readonly kind: 'unreached' }
   | { readonly kind: 'unknown' };
 
-export async function postOnce(call: SingleCall, timeouts: SingleCallTimeouts): Promise<SingleCallEnd> {
+export async function postOnNewConnection(
+  call: SingleCall,
+  timeouts: SingleCallTimeouts,
+): Promise<SingleCallResult> {
   const client = new Client(call.origin, { connect: { timeout: timeouts.connectMs }, pipelining: 1 });
   try {
     const answer = await client.request({
@@ -39,7 +42,7 @@
     await answer.body.dump();
     return { kind: 'answered', status: answer.statusCode };
   } catch (thrown) {
-    return { kind: isUnwritten(thrown) ? 'unreached' : 'unknown' };
+    return { kind: isNotSentError(thrown) ? 'unreached' : 'unknown' };
   } finally {
     await client.destroy();
   }
--- a/packages/clients/src/timeoutAfterReading.ts
+++ b/packages/clients/src/timeoutAfterPendingIo.ts
@@ -7,7 +7,7 @@
  */
 
 /** Aborted so long from now, after one more reading. Does not keep a process alive. */
-export function timeoutAfterReading(delayMs: number): AbortSignal {
+export function timeoutAfterPendingIo(delayMs: number): AbortSignal {
   const abort = new AbortController();
   const giveUp = (): void => {
     abort.abort(new DOMException('the time of the call is over', 'TimeoutError'));
--- a/packages/entry/src/requestService.ts
+++ b/packages/entry/src/requestService.ts
@@ -6,9 +6,9 @@
 import type {
   EngineClient,
   GenerationChunk,
-  GenerationEnd,
+  GenerationResult,
   ServiceClient,
-  ServiceEnd,
+  ServiceResult,
 } from '@fuchsiahitch/clients';
 import {
   backoffMs,
@@ -352,7 +352,7 @@
     work: RunningRequest,
     endpoint: CallableEndpoint,
     attempt: number,
-    end: Extract<ServiceEnd, { kind: 'answered' }>,
+    end: Extract<ServiceResult, { kind: 'answered' }>,
   ): void {
     if (end.isLeaving) this._endpoints.saysLeaving(endpoint.id);
     if (!work.run.answered(attempt, end.status, end.status >= SERVER_ERROR)) return;
@@ -365,7 +365,7 @@
     return 'ended';
   }
 
-  private _freed(endpoint: CallableEndpoint, end: GenerationEnd | ServiceEnd): void {
+  private _freed(endpoint: CallableEndpoint, end: GenerationResult | ServiceResult): void {
     if (end.kind === 'cancelled') this._dispatcher.cancelled(endpoint, false);
     else this._dispatcher.ended(endpoint, false, isFault(end));
     if (end.kind === 'not-run' && !end.isUnreachable) endpoint.limit.refused();
@@ -436,7 +436,7 @@
 }
 
 /** True for an end that speaks against the endpoint: a refusal for lack of room does not. */
-function isFault(end: GenerationEnd | ServiceEnd): boolean {
+function isFault(end: GenerationResult | ServiceResult): boolean {
   if (end.kind === 'answered' || end.kind === 'failed') return end.status >= SERVER_ERROR;
   return end.kind === 'broken' || (end.kind === 'not-run' && end.isUnreachable);
 }
--- a/packages/entry/src/rolloutService.ts
+++ b/packages/entry/src/rolloutService.ts
@@ -5,7 +5,7 @@
 import type {
   EngineClient,
   GenerationChunk,
-  GenerationEnd,
+  GenerationResult,
   Scorer,
   ScoreResult,
 } from '@fuchsiahitch/clients';
@@ -345,7 +345,7 @@
     return { end, endpoint };
   }
 
-  private _freed(endpoint: CallableEndpoint, end: GenerationEnd): void {
+  private _freed(endpoint: CallableEndpoint, end: GenerationResult): void {
     if (end.kind === 'cancelled') {
       this._dispatcher.cancelled(endpoint, true);
       return;
@@ -451,7 +451,7 @@
 }
 
 interface EndedStream {
-  readonly end: GenerationEnd;
+  readonly end: GenerationResult;
   readonly endpoint: CallableEndpoint;
 }
 
--- a/packages/gateway/src/httpExchange.ts
+++ b/packages/gateway/src/httpExchange.ts
@@ -2,7 +2,7 @@
  * One request over HTTP and its answer, without anything that a platform's protocol names.
  */
 import type http from 'node:http';
-import { toPairs, valueOf } from '@fuchsiahitch/clients';
+import { toHeaderPairs, headerValue } from '@fuchsiahitch/clients';
 import type { HeaderPair } from './ports.js';
 
 const LAST_SUCCESS = 299;
@@ -24,7 +24,7 @@
     this._request = request;
     this.response = response;
     this._isLeaving = isLeaving;
-    this.headerPairs = toPairs(request.rawHeaders);
+    this.headerPairs = toHeaderPairs(request.rawHeaders);
   }
 
   method(): string {
@@ -47,7 +47,7 @@
   }
 
   header(name: string): string | undefined {
-    return valueOf(this.headerPairs, name);
+    return headerValue(this.headerPairs, name);
   }
 
   /** Every value of a header, in the order in which they came. */
--- a/packages/protocol/src/peerLink.ts
+++ b/packages/protocol/src/peerLink.ts
@@ -16,7 +16,7 @@
 import { challengeSchema, envelopeSchema, welcomeSchema } from './envelope.js';
 import { encodeFrame, FrameReader, MAX_FRAME_BYTES, MAX_HELLO_BYTES } from './frameCodec.js';
 import type { ProtocolCounters } from './peerServer.js';
-import { isSameProof, newNonce, proofOf } from './proof.js';
+import { isSameProof, newNonce, computeProof } from './proof.js';
 
 /** After a failed connect, calls fail at once for this long: a dead peer must not hold up every request. */
 const RECONNECT_PAUSE_MS = 300;
@@ -221,7 +221,7 @@
     const challenge = challengeSchema.safeParse(value);
     if (!challenge.success) return false;
     const own = this._options.identity;
-    const proof = proofOf(this._options.fleetKey, 'client', challenge.data.nonce, own);
+    const proof = computeProof(this._options.fleetKey, 'client', challenge.data.nonce, own);
     this._socket.write(encodeFrame({ ...own, nonce: this._nonce, proof }));
     this._state = 'welcome';
     return true;
@@ -231,7 +231,7 @@
     const welcome = welcomeSchema.safeParse(value);
     if (!welcome.success) return false;
     const { proof, ...peer } = welcome.data;
-    if (!isSameProof(proof, proofOf(this._options.fleetKey, 'server', this._nonce, peer))) return false;
+    if (!isSameProof(proof, computeProof(this._options.fleetKey, 'server', this._nonce, peer))) return false;
     this._state = 'done';
     this._done(peer);
     return true;
--- a/packages/protocol/src/peerServer.ts
+++ b/packages/protocol/src/peerServer.ts
@@ -6,7 +6,7 @@
 import type { CallDefinition, Envelope, PeerIdentity } from './channel.js';
 import { challengeSchema, envelopeSchema, helloSchema } from './envelope.js';
 import { encodeFrame, FrameReader, MAX_FRAME_BYTES, MAX_HELLO_BYTES } from './frameCodec.js';
-import { isSameProof, newNonce, proofOf } from './proof.js';
+import { isSameProof, newNonce, computeProof } from './proof.js';
 
 const HANDSHAKE_TIMEOUT_MS = 3000;
 /** Replies waiting for a peer that does not read: beyond this its connection ends. */
@@ -133,12 +133,12 @@
     const hello = helloSchema.safeParse(value);
     if (!hello.success) return this._end('bad-hello');
     const { nonce, proof, ...identity } = hello.data;
-    const expected = proofOf(this._options.fleetKey, 'client', this._nonce, identity);
+    const expected = computeProof(this._options.fleetKey, 'client', this._nonce, identity);
     if (!isSameProof(proof, expected)) return this._end('wrong-key');
     this._peer = identity;
     this._reader.setLimit(MAX_FRAME_BYTES);
     const own = this._options.identity;
-    this._send({ ...own, proof: proofOf(this._options.fleetKey, 'server', nonce, own) });
+    this._send({ ...own, proof: computeProof(this._options.fleetKey, 'server', nonce, own) });
   }
 
   private _readCall(value: unknown, peer: PeerIdentity): void {
--- a/packages/protocol/src/proof.ts
+++ b/packages/protocol/src/proof.ts
@@ -11,7 +11,7 @@
 }
 
 /** The proof binds the role, the other side's number and all that the sender says of itself. */
-export function proofOf(
+export function computeProof(
   fleetKey: string,
   role: 'client' | 'server',
   nonce: string,
--- a/packages/testkit/src/simWorld.ts
+++ b/packages/testkit/src/simWorld.ts
@@ -9,7 +9,7 @@
   EngineClient,
   EngineReport,
   GenerationChunk,
-  GenerationEnd,
+  GenerationResult,
   GenerationRequest,
   KeyValueStore,
   MemberList,
@@ -18,7 +18,7 @@
   ScoreRequest,
   ScoreResult,
   ServiceClient,
-  ServiceEnd,
+  ServiceResult,
   ServiceRequest,
   StoredValue,
   StoreError,
@@ -313,7 +313,7 @@
     request: GenerationRequest,
     onChunks: (chunks: readonly GenerationChunk[]) => Promise<void> | void,
     signal: AbortSignal,
-  ): Promise<GenerationEnd> {
+  ): Promise<GenerationResult> {
     const engine = this._engines.get(request.url);
     if (!engine || !this._reaches(engine))
       return { kind: 'not-run', isUnreachable: true, isLeaving: false, retryAfterMs: 0 };
@@ -358,7 +358,7 @@
     request: GenerationRequest,
     onChunks: (chunks: readonly GenerationChunk[]) => Promise<void> | void,
     signal: AbortSignal,
-  ): Promise<GenerationEnd> {
+  ): Promise<GenerationResult> {
     const length = Math.min(request.maxTokens, lengthOf(request.prompt));
     const versions = engine.made.get(request.requestId) ?? [];
     engine.made.set(request.requestId, versions);
@@ -388,7 +388,7 @@
     this._host = host;
   }
 
-  async call(service: ServiceRequest, onHead: () => void, signal: AbortSignal): Promise<ServiceEnd> {
+  async call(service: ServiceRequest, onHead: () => void, signal: AbortSignal): Promise<ServiceResult> {
     if (this.refuse > 0) {
       this.refuse -= 1;
       return { kind: 'not-run', isUnreachable: false, isLeaving: false, retryAfterMs: 0 };
--- a/tests/accounts.spec.ts
+++ b/tests/accounts.spec.ts
@@ -7,7 +7,7 @@
 import { Deadline, SeededRandom, VirtualClock } from '@fuchsiahitch/base';
 import { batchIdOf } from '@fuchsiahitch/batches';
 import { ConfigurationService } from '@fuchsiahitch/gateway';
-import { PlatformRecords, recordKeys } from '@fuchsiahitch/platform';
+import { PlatformRecordDecoder, recordKeys } from '@fuchsiahitch/platform';
 import { FakeStore } from './fakeStore.js';
 import { GatewayWorld } from './gatewayHosts.js';
 import { batch, item, testContext } from './gatewayWorld.js';
@@ -137,7 +137,7 @@
   const clock = new VirtualClock();
   const store = new FakeStore(clock);
   const context = testContext(clock);
-  const service = new ConfigurationService(context, store.client(), recordKeys, new PlatformRecords());
+  const service = new ConfigurationService(context, store.client(), recordKeys, new PlatformRecordDecoder());
   const put = async (content: object): Promise<void> => {
     store.put(recordKeys.configurationKey, JSON.stringify(content));
     await clock.advance(200);
@@ -166,7 +166,7 @@
   const store = new FakeStore(clock);
   const context = testContext(clock);
   const client = store.client();
-  const service = new ConfigurationService(context, client, recordKeys, new PlatformRecords());
+  const service = new ConfigurationService(context, client, recordKeys, new PlatformRecordDecoder());
   store.put(recordKeys.configurationKey, JSON.stringify(configuration(1)));
   service.start();
   await clock.advance(200);
--- a/tests/capacity.spec.ts
+++ b/tests/capacity.spec.ts
@@ -11,7 +11,7 @@
   type PoolView,
 } from '@fuchsiahitch/capacity';
 import { VirtualClock } from '@fuchsiahitch/base';
-import { PlatformRecords } from '@fuchsiahitch/platform';
+import { PlatformRecordDecoder } from '@fuchsiahitch/platform';
 import { GatewayFleet, type FleetHost } from './gatewayFleet.js';
 import { endpointRecord, keys, route } from './gatewayWorld.js';
 
@@ -84,7 +84,7 @@
   const scaling = { min: 1, max: 22, boot_s: 4, spot_price: 0.18, zone_prices: { tekapo: 0.8 } };
   const services = [{ name: 's1', scaling }, { name: 's2', scaling: { min: 'one' } }, { name: 's3' }];
   const text = JSON.stringify({ version: 1, routes: [], services, limits });
-  const scalings = new PlatformRecords().configuration(text)?.scalings;
+  const scalings = new PlatformRecordDecoder().configuration(text)?.scalings;
   t.same([...(scalings?.keys() ?? [])], ['s1']);
   t.same(scalings?.get('s1'), { min: 1, max: 22, bootMs: 4000, prices: new Map([['tekapo', 0.8]]) });
   t.end();
--- a/tests/endpointStarts.spec.ts
+++ b/tests/endpointStarts.spec.ts
@@ -6,7 +6,7 @@
 import { Deadline, VirtualClock } from '@fuchsiahitch/base';
 import { EndpointDirectory, serveVersions, type CallRegistry, type Endpoint } from '@fuchsiahitch/gateway';
 import { SwapPlanner } from '@fuchsiahitch/orders';
-import { PlatformRecords } from '@fuchsiahitch/platform';
+import { PlatformRecordDecoder } from '@fuchsiahitch/platform';
 import { calls } from '@fuchsiahitch/protocol';
 import { FakeStore } from './fakeStore.js';
 import { fuzzRuns } from './fuzzRuns.js';
@@ -211,7 +211,7 @@
 await tap.test('should read no endpoint from a record of another writer', t => {
   // Symptom: requests go to an endpoint in a state that nobody knows, or every endpoint is lost. Sequence: something else
   // writes a record beside the endpoints'. Cause: missing fields filled in; one odd record spoils the whole reading.
-  const records = new PlatformRecords();
+  const records = new PlatformRecordDecoder();
   t.ok(records.endpoint('i', JSON.stringify(VALID_RECORD)));
   t.ok(records.endpoint('i', JSON.stringify({ ...VALID_RECORD, other: [1] })), 'a field that is not known');
   for (const field of ['service', 'address', 'zone', 'version', 'slots', 'state', 'cold_left_ms', 'seq'])
@@ -232,7 +232,7 @@
 });
 
 await tap.test('should read any record without failing', t => {
-  const records = new PlatformRecords();
+  const records = new PlatformRecordDecoder();
   const field = fc.constantFrom(...Object.keys(VALID_RECORD));
   fc.assert(
     fc.property(fc.dictionary(field, fc.jsonValue()), fc.string(), (fields, text) => {
--- a/tests/eventLoopLag.spec.ts
+++ b/tests/eventLoopLag.spec.ts
@@ -4,7 +4,7 @@
 import tap from 'tap';
 import { Deadline, SystemClock } from '@fuchsiahitch/base';
 import type { EndpointInfo, ItemCall, ItemEnd, ItemListener } from '@fuchsiahitch/gateway';
-import { PlatformEndpoints, StoreClient } from '@fuchsiahitch/platform';
+import { PlatformEndpointClient, StoreClient } from '@fuchsiahitch/platform';
 import { GatewayWorld, type GatewayHost } from './gatewayHosts.js';
 import { batch, endpointRecord, item, keys } from './gatewayWorld.js';
 import { genuine, WireServer } from './platformStandIns.js';
@@ -211,7 +211,7 @@
     isLeaving: false,
     versions: new Map(),
   };
-  const report = await new PlatformEndpoints().report(endpoint, ANSWER_MS);
+  const report = await new PlatformEndpointClient().report(endpoint, ANSWER_MS);
   t.match(report, { sequence: 4 });
   await server.close();
 });
--- a/tests/platform.spec.ts
+++ b/tests/platform.spec.ts
@@ -7,7 +7,7 @@
 import { spawnSync } from 'node:child_process';
 import tap from 'tap';
 import { SystemClock } from '@fuchsiahitch/base';
-import { decodeBatch, encodePage, parseSettings, PlatformRecords } from '@fuchsiahitch/platform';
+import { decodeBatch, encodePage, parseSettings, PlatformRecordDecoder } from '@fuchsiahitch/platform';
 import { requestFingerprint } from '@fuchsiahitch/requests';
 import { RuleEvaluator } from '@fuchsiahitch/rules';
 import { PlatformHost } from './platformHost.js';
@@ -106,7 +106,7 @@
 };
 
 await tap.test('should decide by the longest prefix, as ordered rules', t => {
-  const decoded = new PlatformRecords().configuration(JSON.stringify(CONFIGURATION));
+  const decoded = new PlatformRecordDecoder().configuration(JSON.stringify(CONFIGURATION));
   t.ok(decoded);
   if (!decoded) return t.end();
   t.equal(decoded.revision, 7);
@@ -135,7 +135,7 @@
 });
 
 await tap.test('should take no configuration that it can’t read whole', t => {
-  const records = new PlatformRecords();
+  const records = new PlatformRecordDecoder();
   t.equal(records.configuration('{"version":8'), undefined);
   t.equal(records.configuration(JSON.stringify({ ...CONFIGURATION, limits: {} })), undefined);
   t.equal(records.endpoint('i', '[]'), undefined);
@@ -156,7 +156,7 @@
     models: [{ name: 'm1', version: 4 }],
     seq: 3,
   };
-  const endpoint = new PlatformRecords().endpoint('i-1', JSON.stringify(record));
+  const endpoint = new PlatformRecordDecoder().endpoint('i-1', JSON.stringify(record));
   t.match(endpoint, { id: 'i-1', pool: 's3', domain: 'tekapo', slots: 12, isLeaving: true });
   t.equal(endpoint?.startWallMs, record.born);
   t.equal(endpoint?.versions.get('m1'), 4);
@@ -251,7 +251,7 @@
   store.refuseWith = 503;
   const unsure = await host.ask({ path: '/v1/lots/other?after=0', headers });
   t.equal(unsure.status, 503, 'not 404 when the store can’t be asked');
-  host.leave();
+  host.drain();
   const leaving = await host.ask({ path: '/a/x', headers: { ...headers, connection: 'keep-alive' } });
   t.equal(leaving.headers.connection, 'close');
   await host.stop();
--- a/tests/platformHost.ts
+++ b/tests/platformHost.ts
@@ -12,8 +12,8 @@
 } from '@fuchsiahitch/gateway';
 import {
   CallerServer,
-  PlatformEndpoints,
-  PlatformRecords,
+  PlatformEndpointClient,
+  PlatformRecordDecoder,
   recordKeys,
   StoreClient,
 } from '@fuchsiahitch/platform';
@@ -76,9 +76,9 @@
     const peers = new PeerServer({ address: '127.0.0.1:0', ...link });
     const gateway = new Gateway(context, {
       store: new StoreClient(storeAddress, () => undefined),
-      client: new PlatformEndpoints(),
+      client: new PlatformEndpointClient(),
       keys: recordKeys,
-      decoder: new PlatformRecords(),
+      decoder: new PlatformRecordDecoder(),
       hosts: { peers: new PeerLinks(link), address: await peers.listen() },
       orders: { handoverMs: 3000 },
       domains: ['tekapo'],
@@ -100,8 +100,8 @@
   }
 
   /** Asks every caller to connect anew. */
-  leave(): void {
-    this._callers.leave();
+  drain(): void {
+    this._callers.startDraining();
   }
 
   /** Learns what stands in its store, a configuration among it. */
--- a/tests/platformWire.spec.ts
+++ b/tests/platformWire.spec.ts
@@ -5,7 +5,7 @@
 import tap from 'tap';
 import { Deadline, SystemClock, VirtualClock } from '@fuchsiahitch/base';
 import { Retirement, type EndpointCall, type EndpointInfo, type ItemCall } from '@fuchsiahitch/gateway';
-import { PlatformEndpoints, retirementRecord, StoreClient } from '@fuchsiahitch/platform';
+import { PlatformEndpointClient, retirementRecord, StoreClient } from '@fuchsiahitch/platform';
 import { FakeStore } from './fakeStore.js';
 import { TestLog } from './gatewayWorld.js';
 import { chunk, genuine, LAST_CHUNK, StoreStandIn, streamHead, WireServer } from './platformStandIns.js';
@@ -126,7 +126,7 @@
 });
 
 async function withServer(
-  run: (server: WireServer, endpoint: EndpointInfo, client: PlatformEndpoints) => Promise<void>,
+  run: (server: WireServer, endpoint: EndpointInfo, client: PlatformEndpointClient) => Promise<void>,
 ): Promise<void> {
   const server = new WireServer();
   const address = await server.listen();
@@ -140,7 +140,7 @@
     isLeaving: false,
     versions: new Map([['m1', 2]]),
   };
-  await run(server, endpoint, new PlatformEndpoints());
+  await run(server, endpoint, new PlatformEndpointClient());
   await server.close();
 }
 
--- a/tests/sockets.spec.ts
+++ b/tests/sockets.spec.ts
@@ -3,7 +3,7 @@
  */
 import net from 'node:net';
 import tap from 'tap';
-import { endpointAgent, HttpEngineClient, HttpServiceClient, isUnwritten } from '@fuchsiahitch/clients';
+import { endpointAgent, HttpEngineClient, HttpServiceClient, isNotSentError } from '@fuchsiahitch/clients';
 import { eventually, TestFleet } from '@fuchsiahitch/testkit';
 
 tap.setTimeout(0);
@@ -63,9 +63,9 @@
     'refused',
     async () => (await client.call(call, () => undefined, new AbortController().signal)).kind === 'not-run',
   );
-  t.ok(isUnwritten({ code: 'ECONNREFUSED' }));
-  t.notOk(isUnwritten({ code: 'ECONNRESET' }));
-  t.notOk(isUnwritten({ code: 'UND_ERR_SOCKET' }));
+  t.ok(isNotSentError({ code: 'ECONNREFUSED' }));
+  t.notOk(isNotSentError({ code: 'ECONNRESET' }));
+  t.notOk(isNotSentError({ code: 'UND_ERR_SOCKET' }));
 });
 
 await tap.test('should not buffer a stream that its reader does not take', async t => {
