--- a/packages/clients/src/connectionProbe.ts
+++ b/packages/clients/src/connectionProbe.ts
@@ -1,5 +1,5 @@
 /**
- * Tells whether anybody listens at an address.
+ * Checks whether a process listens at an address.
  */
 import { splitAddress } from '@fuchsiahitch/base';
 import { Socket } from 'node:net';
@@ -8,10 +8,10 @@
 
 const LAST_PORT = 65_535;
 
-/** How an attempt to connect went. `silent`: nobody answered in time. */
-export type ProbeResult = 'connected' | 'refused' | 'silent';
+/** `inconclusive`: no answer in time, or another error than a refused connection. */
+export type ProbeResult = 'connected' | 'refused' | 'inconclusive';
 
-/** Connects to `IP:port` and closes again at once; nothing is sent. */
+/** Connects to `IP:port` and closes the connection without sending data. */
 export async function probeConnection(address: string, timeoutMs: number): Promise<ProbeResult> {
   const socket = new Socket();
   const end = await attempt(socket, address, timeoutMs);
@@ -21,13 +21,13 @@
 
 async function attempt(socket: Socket, address: string, timeoutMs: number): Promise<ProbeResult> {
   const { ip, port } = splitAddress(address);
-  // Nobody listens at a port that there isn't, but that is a fault of the record and not the end of a process.
-  if (port > LAST_PORT) return 'silent';
+  // An invalid port means a malformed record and proves nothing about the process.
+  if (port > LAST_PORT) return 'inconclusive';
   return new Promise(resolve => {
-    timeoutAfterPendingIo(timeoutMs).addEventListener('abort', () => resolve('silent'));
+    timeoutAfterPendingIo(timeoutMs).addEventListener('abort', () => resolve('inconclusive'));
     socket.on('connect', () => resolve('connected'));
-    // Any other error, such as no way to the host, says nothing of who listens there.
-    socket.on('error', thrown => resolve(errorCode(thrown) === 'ECONNREFUSED' ? 'refused' : 'silent'));
+    // Other errors, such as an unreachable host, don't show whether a process listens.
+    socket.on('error', thrown => resolve(errorCode(thrown) === 'ECONNREFUSED' ? 'refused' : 'inconclusive'));
     socket.connect(port, ip);
   });
 }
--- a/packages/clients/src/endpointPools.ts
+++ b/packages/clients/src/endpointPools.ts
@@ -1,5 +1,5 @@
 /**
- * Kept connections to servers, a pool for each address.
+ * Keep-alive connection pools, one per endpoint address.
  */
 import type { Socket } from 'node:net';
 import { errorCode } from './etcdStore.js';
@@ -7,19 +7,19 @@
 import { buildConnector, Pool, type Dispatcher } from 'undici';
 
 const CONNECT_TIMEOUT_MS = 600;
-/** Shorter than what servers usually keep, so that they seldom close a connection that is just used again. */
+/** Shorter than common server keep-alive timeouts, so that servers rarely close a connection that is being reused. */
 const KEEP_ALIVE_MS = 4000;
-/** Addresses whose pools are remembered: servers come and go, and an idle pool has no connections. */
+/** Pools beyond this number are evicted, oldest first. */
 const MAX_POOLS = 2000;
 
 export class EndpointPools {
   private readonly _pools = new Map<string, Dispatcher>();
   private readonly _resets = new ResetTracker();
 
-  /** The pool of an address. One request at a time on a connection: a reset then concerns one request only. */
+  /** Returns the pool of an address. Without pipelining, a connection reset affects at most one request. */
   poolFor(address: string): Dispatcher {
-    const known = this._pools.get(address);
-    if (known) return known;
+    const existing = this._pools.get(address);
+    if (existing) return existing;
     const [oldest] = this._pools.keys();
     if (this._pools.size >= MAX_POOLS && oldest !== undefined) this.replace(oldest);
     const pool = new Pool(`http://${address}`, {
@@ -33,28 +33,27 @@
     return pool;
   }
 
-  /** Lets what runs on the present connections end, and uses none of them again. */
+  /** Lets running requests finish on their connections; later requests use a new pool. */
   replace(address: string): void {
     const pool = this._pools.get(address);
     this._pools.delete(address);
-    // Closing waits for the requests that run; their own ends tell how they went.
+    // `close` waits for running requests, whose results are handled by their callers.
     void pool?.close();
   }
 
   private _trackResets(socket: Socket): void {
     socket.on('error', (thrown: unknown) => {
-      // An ordinary end shows as an error of the library's own; only the system's word is a reset.
+      // A regular close surfaces as an undici error; only ECONNRESET from the operating system is a reset.
       if (errorCode(thrown) === 'ECONNRESET') this._resets.markReset();
     });
     socket.on('end', () => {
-      // A reset that is read together with the bytes before it is told as an ordinary end. After an ordinary end the
-      // system still knows the other side, and after a reset it doesn't. The address must not be asked for earlier,
-      // since the socket remembers it.
+      // A reset that arrives together with data is reported as a regular end, but leaves the socket without a peer
+      // address. `remoteAddress` must not be read earlier, since the socket caches it.
       if (socket.remoteAddress === undefined) this._resets.markReset();
     });
   }
 
-  /** Connects, and hears of the resets of connections before the library does. */
+  /** Attaches the reset listeners before undici attaches its own. */
   private _connector(): buildConnector.connector {
     const connect = buildConnector({ timeout: CONNECT_TIMEOUT_MS });
     return (options, callback) => {
--- a/packages/clients/src/engine.ts
+++ b/packages/clients/src/engine.ts
@@ -1,9 +1,9 @@
 /**
- * Model engines: generation as a stream, load reports, weight orders.
+ * Client interface of model engines: streamed generation, load reports and weight orders.
  */
 import type { Deadline } from '@fuchsiahitch/base';
 
-/** A generation to run. With `resumeText` the engine goes on after tokens that were already made. */
+/** With `resumeText` the engine continues after tokens that were already generated. */
 export interface GenerationRequest {
   readonly url: string;
   readonly requestId: string;
@@ -15,7 +15,7 @@
   readonly trace: string | undefined;
 }
 
-/** Some tokens of a stream, with the weight version that the engine states for them. */
+/** Tokens of a stream, with the weight version that the engine reports for them. */
 export interface GenerationChunk {
   readonly text: string;
   readonly tokens: number;
@@ -23,14 +23,14 @@
 }
 
 /**
- * How a generation ended. `not-run`: proved, nothing was written or the engine refused. `broken`: the stream
- * ended early. `cancelled`: this side gave it up.
+ * `not-run`: certainly not run; nothing was sent or the engine refused. `broken`: the stream ended early. `cancelled`: aborted
+ * by the client.
  */
 export type GenerationResult =
   | { readonly kind: 'done'; readonly tokens: number; readonly finishReason: string }
   | {
       readonly kind: 'not-run';
-      /** No connection was made. */
+      /** No connection was established. */
       readonly isUnreachable: boolean;
       readonly isLeaving: boolean;
       readonly retryAfterMs: number;
@@ -39,7 +39,7 @@
   | { readonly kind: 'broken' }
   | { readonly kind: 'cancelled' };
 
-/** What an engine reports of itself. The report lags. */
+/** An engine's load report. It may be stale. */
 export interface EngineReport {
   readonly inFlight: number;
   readonly queued: number;
@@ -48,11 +48,11 @@
   readonly isLeaving: boolean;
 }
 
-/** How an order was answered. `unknown`: no answer; reading the version back decides. */
+/** `unknown`: no answer; the reported version shows whether the order was executed. */
 export type OrderAnswer = 'accepted' | 'failed' | 'fenced' | 'unknown';
 
 export interface EngineClient {
-  /** `onChunks` gets all that one read brought, in order; the next read waits for its promise. */
+  /** `onChunks` receives all chunks of one read, in order; the next read waits for its promise. */
   generate(
     request: GenerationRequest,
     onChunks: (chunks: readonly GenerationChunk[]) => Promise<void> | void,
--- a/packages/clients/src/etcdStore.ts
+++ b/packages/clients/src/etcdStore.ts
@@ -1,5 +1,5 @@
 /**
- * The key-value service over the JSON gateway of etcd's version 3 interface.
+ * Key-value store client for etcd's v3 JSON gateway.
  */
 import { err, ok, type Deadline, type Result } from '@fuchsiahitch/base';
 import { Agent, request, type Dispatcher } from 'undici';
@@ -15,11 +15,11 @@
   Write,
 } from './keyValueStore.js';
 
-const MS_A_SECOND = 1000;
+const MS_PER_SECOND = 1000;
 const CONNECT_TIMEOUT_MS = 1000;
 const OK_STATUS = 200;
 const LAST_CLIENT_ERROR = 499;
-/** Errors under which nothing was written to the service. */
+/** Error codes that prove that no byte of the request was sent. */
 const NOT_SENT_CODES = new Set([
   'ECONNREFUSED',
   'UND_ERR_CONNECT_TIMEOUT',
@@ -82,7 +82,7 @@
   }
 
   async grantLease(ttlMs: number, deadline: Deadline): Promise<Result<string, StoreError>> {
-    const body = { TTL: String(Math.ceil(ttlMs / MS_A_SECOND)) };
+    const body = { TTL: String(Math.ceil(ttlMs / MS_PER_SECOND)) };
     const reply = await this._post('/v3/lease/grant', body, leaseSchema, deadline);
     return reply.ok ? ok(reply.value.ID) : reply;
   }
@@ -204,12 +204,12 @@
   return Buffer.from(text, 'base64').toString('utf8');
 }
 
-/** The first key after all that begin with the prefix. Prefixes end in an ASCII character. */
+/** The exclusive upper bound of keys with the prefix. Prefixes must end in an ASCII character. */
 function prefixEnd(prefix: string): string {
   return prefix.slice(0, -1) + String.fromCharCode(prefix.charCodeAt(prefix.length - 1) + 1);
 }
 
-/** The code of an error or of its cause. */
+/** Returns the code of an error or of its cause. */
 export function errorCode(thrown: unknown): string {
   if (typeof thrown !== 'object' || thrown === null) return '';
   if ('code' in thrown && typeof thrown.code === 'string') return thrown.code;
--- a/packages/clients/src/headerPairs.ts
+++ b/packages/clients/src/headerPairs.ts
@@ -1,11 +1,11 @@
 /**
- * Headers as pairs, in the spelling and order of their sender.
+ * HTTP headers as name-value pairs.
  */
 
-/** A header's name and value, in the spelling and order of the sender. */
+/** A header's name and value, in the sender's spelling. */
 export type HeaderPair = readonly [name: string, value: string];
 
-/** Headers that concern one connection only, by HTTP/1.1; names in lower case. */
+/** Headers that apply to a single connection (RFC 9110, section 7.6.1), and the body's framing. */
 const HOP_BY_HOP_HEADERS = new Set([
   'connection',
   'keep-alive',
@@ -20,19 +20,19 @@
   'content-length',
 ]);
 
-/** Pairs of a flat list of names and values, as HTTP libraries give them. */
+/** Converts a flat list of alternating names and values, as in `IncomingMessage.rawHeaders`. */
 export function toHeaderPairs(flat: readonly string[]): readonly HeaderPair[] {
   const pairs: HeaderPair[] = [];
   for (let i = 0; i + 1 < flat.length; i += 2) pairs.push([flat[i] ?? '', flat[i + 1] ?? '']);
   return pairs;
 }
 
-/** The first value of a header, by its name in lower case. */
+/** Returns the first value of a header. `name` is in lower case. */
 export function headerValue(headers: readonly HeaderPair[], name: string): string | undefined {
   return headers.find(([key]) => key.toLowerCase() === name)?.[1];
 }
 
-/** The headers that are passed on: without those that concern one connection, nor those that it names. */
+/** Removes hop-by-hop headers, the headers that `Connection` lists, and the excluded ones (in lower case). */
 export function endToEndHeaders(
   headers: readonly HeaderPair[],
   excluded: readonly string[] = [],
@@ -42,12 +42,12 @@
   return headers.filter(([name]) => !dropped.has(name.toLowerCase()));
 }
 
-/** The headers without those of these names, given in lower case, however often they stand there. */
+/** Removes all occurrences of the dropped headers. Names are in lower case. */
 export function withoutHeaders(headers: readonly HeaderPair[], dropped: readonly string[]): HeaderPair[] {
   return headers.filter(([name]) => !dropped.includes(name.toLowerCase()));
 }
 
-/** A number in a header; undefined if there is none. */
+/** Parses a numeric header; undefined if it is absent or not a finite number. */
 export function parseNumber(text: string | undefined): number | undefined {
   const value = Number(text);
   return text === undefined || text === '' || !Number.isFinite(value) ? undefined : value;
--- a/packages/clients/src/httpEngineClient.ts
+++ b/packages/clients/src/httpEngineClient.ts
@@ -1,5 +1,5 @@
 /**
- * Engines that speak the completions interface with server-sent events.
+ * Client for engines with a completions API and server-sent events.
  */
 import type { Deadline } from '@fuchsiahitch/base';
 import { createParser } from 'eventsource-parser';
@@ -130,14 +130,14 @@
   return { kind: 'failed', status: response.statusCode };
 }
 
-/** Reads the whole stream. A stream that ends without its last event is broken, however much it brought. */
+/** Reads the stream to its end. A stream that ends without the final event is `broken`. */
 async function readStream(
   body: AsyncIterable<Buffer>,
   onChunks: (chunks: readonly GenerationChunk[]) => Promise<void> | void,
   signal: AbortSignal,
 ): Promise<GenerationResult> {
-  const waiting: string[] = [];
-  const parser = createParser({ onEvent: event => waiting.push(event.data) });
+  const pendingEvents: string[] = [];
+  const parser = createParser({ onEvent: event => pendingEvents.push(event.data) });
   const decoder = new TextDecoder();
   let tokens = 0;
   let finishReason = '';
@@ -146,7 +146,7 @@
     parser.feed(decoder.decode(bytes, { stream: true }));
     const chunks: GenerationChunk[] = [];
     let isDone = false;
-    for (const data of waiting.splice(0)) {
+    for (const data of pendingEvents.splice(0)) {
       if (data === DONE) {
         isDone = true;
         break;
@@ -159,7 +159,7 @@
         chunks.push({ text: choice.text, tokens: event.tokens, version: event.weight_version });
       }
     }
-    // One call and one write for all that a read brought, instead of one for each token.
+    // Batches all chunks of one read, so that the caller is not invoked per token.
     if (chunks.length > 0) await onChunks(chunks);
     if (isDone) return { kind: 'done', tokens, finishReason };
   }
--- a/packages/clients/src/httpTools.ts
+++ b/packages/clients/src/httpTools.ts
@@ -1,5 +1,5 @@
 /**
- * What the HTTP adapters share.
+ * Helpers shared by the HTTP clients.
  */
 import { Agent, type Dispatcher } from 'undici';
 import { errorCode } from './etcdStore.js';
@@ -7,15 +7,15 @@
 const CONNECT_TIMEOUT_MS = 1000;
 const KEEP_ALIVE_MS = 10_000;
 
-/** Errors under which no byte of a request can have reached the other side. */
+/** Error codes that prove that no byte of the request was sent. */
 const NOT_SENT_CODES = new Set(['ECONNREFUSED', 'EHOSTUNREACH', 'ENETUNREACH', 'UND_ERR_CONNECT_TIMEOUT']);
 
-/** True if the error proves that the request was never written. Any other leaves it unknown. */
+/** True if the error proves that the request was never sent. After any other error its outcome is unknown. */
 export function isNotSentError(thrown: unknown): boolean {
   return NOT_SENT_CODES.has(errorCode(thrown));
 }
 
-/** Connections to endpoints. One request at a time on each: a reset then concerns one request only. */
+/** Connections to endpoints, without pipelining: a connection reset affects at most one request. */
 export function endpointAgent(): Dispatcher {
   return new Agent({
     connect: { timeout: CONNECT_TIMEOUT_MS },
@@ -26,13 +26,13 @@
   });
 }
 
-/** The header by which an endpoint says that it refused a request before running any of it. */
+/** Set by an endpoint that refused a request before running any of it. */
 export const NOT_RUN_HEADER = 'x-not-run';
-/** The header by which an endpoint says that it leaves. */
+/** Set by an endpoint that is draining. */
 export const LEAVING_HEADER = 'x-leaving';
-const MS_A_SECOND = 1000;
+const MS_PER_SECOND = 1000;
 
-/** One header as text. */
+/** The header's first value, or an empty string. */
 export function firstHeaderValue(
   headers: Readonly<Record<string, string | string[] | undefined>>,
   name: string,
@@ -41,8 +41,8 @@
   return Array.isArray(value) ? (value[0] ?? '') : (value ?? '');
 }
 
-/** The pause of a `Retry-After` header in seconds, as milliseconds. */
+/** The delay of a `Retry-After` header, converted to milliseconds; 0 if absent or invalid. */
 export function retryAfterMsOf(headers: Readonly<Record<string, string | string[] | undefined>>): number {
   const seconds = Number(firstHeaderValue(headers, 'retry-after'));
-  return Number.isFinite(seconds) ? Math.max(0, seconds) * MS_A_SECOND : 0;
+  return Number.isFinite(seconds) ? Math.max(0, seconds) * MS_PER_SECOND : 0;
 }
--- a/packages/clients/src/index.ts
+++ b/packages/clients/src/index.ts
@@ -1,4 +1,4 @@
-/** Adapters to the platform, the endpoints and the scorers. */
+/** Clients for the platform's services, endpoints and scorers. */
 export * from './connectionProbe.js';
 export * from './engine.js';
 export * from './endpointPools.js';
--- a/packages/clients/src/memberList.ts
+++ b/packages/clients/src/memberList.ts
@@ -1,11 +1,11 @@
 /**
- * The platform's membership list: which hosts and endpoints a failure domain has. It lags.
+ * The platform's membership list: hosts and endpoints of a failure domain. It is eventually consistent.
  */
 import type { Deadline } from '@fuchsiahitch/base';
 import { request, type Dispatcher } from 'undici';
 
 export interface MemberList {
-  /** The document of one failure domain as the list gives it, unchecked; undefined when out of reach. */
+  /** Returns the unvalidated document of a failure domain; undefined if the list is unreachable. */
   read(domain: string, deadline: Deadline): Promise<unknown>;
 }
 
--- a/packages/clients/src/resetInterceptor.ts
+++ b/packages/clients/src/resetInterceptor.ts
@@ -1,16 +1,15 @@
 /**
- * Tells a reset from the end of an answer that has no length.
+ * Interceptor that fails close-delimited responses whose connection was reset.
  *
- * Such an answer ends with its connection, and the HTTP library takes a reset for that end: half an answer would look
- * whole, which one notices as a body that is too short under a good status. The library ends the answer while the
- * connection's reset is being told, so that an end at that very moment is none.
+ * Such a response ends when its connection closes, and undici takes a reset for that end, so a truncated body would look
+ * complete. undici ends the response synchronously while the socket emits the reset; an end in that turn is an error.
  */
 import { DecoratorHandler, type Dispatcher } from 'undici';
 
 type Handler = Dispatcher.DispatchHandler;
 type Headers = Parameters<NonNullable<Handler['onResponseStart']>>[2];
 
-/** Whether a connection's reset is being told at this moment. */
+/** Whether a connection reset is being emitted in the current turn of the event loop. */
 export class ResetTracker {
   private _isResetting = false;
 
@@ -18,7 +17,7 @@
     return this._isResetting;
   }
 
-  /** A reset is told to all listeners of the connection, this one first; the moment ends with the present turn. */
+  /** Must be called by the socket's first listener. The mark is cleared in a microtask, after the other listeners ran. */
   markReset(): void {
     this._isResetting = true;
     queueMicrotask(() => {
@@ -27,7 +26,6 @@
   }
 }
 
-/** Fails answers that a reset has cut, for every request of a dispatcher. */
 export function resetInterceptor(moment: ResetTracker): Dispatcher.DispatcherComposeInterceptor {
   return dispatch => (options, handler) => dispatch(options, new ResetHandler(handler, moment));
 }
@@ -60,7 +58,7 @@
       this._inner.onResponseEnd?.(...args);
       return;
     }
-    const error = new Error('the connection was reset in the middle of an answer without a length');
+    const error = new Error('connection reset before the end of a close-delimited response');
     this._inner.onResponseError?.(args[0], error);
   }
 
@@ -69,7 +67,7 @@
   }
 }
 
-/** True if the head says where the body ends: by its length or in chunks. */
+/** True if the headers delimit the body, by `Content-Length` or chunked encoding. */
 function hasLength(headers: Headers): boolean {
   const isChunked = String(headers['transfer-encoding'] ?? '')
     .toLowerCase()
--- a/packages/clients/src/scorer.ts
+++ b/packages/clients/src/scorer.ts
@@ -1,6 +1,6 @@
 /**
- * The services that score samples. A score is known by the sample's identifier, so that a lost answer is
- * looked up and the sample is not scored twice.
+ * Client for services that score samples. Scores are stored by sample identifier, so that a lost response can be looked up
+ * instead of scoring the sample twice.
  */
 import type { Deadline } from '@fuchsiahitch/base';
 import { request, type Dispatcher } from 'undici';
@@ -21,7 +21,7 @@
 
 export interface Scorer {
   score(sample: ScoreRequest, deadline: Deadline): Promise<ScoreResult>;
-  /** Looks up the score of a sample whose answer was lost. */
+  /** Looks up the score of a sample whose response was lost. */
   find(sampleId: string, deadline: Deadline): Promise<ScoreResult>;
 }
 
@@ -40,14 +40,14 @@
 
   async score(sample: ScoreRequest, deadline: Deadline): Promise<ScoreResult> {
     const body = JSON.stringify({ sample_id: sample.sampleId, prompt: sample.prompt, text: sample.text });
-    return this._ask('POST', '/score', body, deadline);
+    return this._request('POST', '/score', body, deadline);
   }
 
   async find(sampleId: string, deadline: Deadline): Promise<ScoreResult> {
-    return this._ask('GET', `/score/${encodeURIComponent(sampleId)}`, null, deadline);
+    return this._request('GET', `/score/${encodeURIComponent(sampleId)}`, null, deadline);
   }
 
-  private async _ask(
+  private async _request(
     method: 'GET' | 'POST',
     path: string,
     body: string | null,
--- a/packages/clients/src/serviceClient.ts
+++ b/packages/clients/src/serviceClient.ts
@@ -1,5 +1,5 @@
 /**
- * Plain services beside the engines. Some of their calls may not be repeated.
+ * Client for HTTP services other than engines. Some of their calls are not idempotent.
  */
 import { request, type Dispatcher } from 'undici';
 import {
@@ -18,7 +18,7 @@
   readonly body: Buffer | undefined;
 }
 
-/** A whole answer, or how little is known. `not-run` is proved; `broken` proves nothing. */
+/** `answered`: a complete response. `not-run`: certainly not run. `broken`: may have run. */
 export type ServiceResult =
   | {
       readonly kind: 'answered';
@@ -29,7 +29,7 @@
     }
   | {
       readonly kind: 'not-run';
-      /** No connection was made. */
+      /** No connection was established. */
       readonly isUnreachable: boolean;
       readonly isLeaving: boolean;
       readonly retryAfterMs: number;
@@ -38,7 +38,7 @@
   | { readonly kind: 'cancelled' };
 
 export interface ServiceClient {
-  /** `onHead` is called when the answer begins. */
+  /** `onHead` is called when the response headers arrive. */
   call(service: ServiceRequest, onHead: () => void, signal: AbortSignal): Promise<ServiceResult>;
 }
 
--- a/packages/clients/src/singleCall.ts
+++ b/packages/clients/src/singleCall.ts
@@ -1,8 +1,8 @@
 /**
- * One call on a connection of its own.
+ * A single HTTP call on a new connection.
  *
- * On a kept connection that has fallen silent a call arrives when the link heals, after those of whoever took over meanwhile; one
- * that finds no connection in time is never sent.
+ * A call on a reused, unresponsive connection can be delivered when the link recovers, after the calls of a new duty
+ * holder. A call on a new connection is never sent if the connection isn't established in time.
  */
 import { Client } from 'undici';
 import { isNotSentError } from './httpTools.js';
@@ -14,13 +14,13 @@
   readonly json: unknown;
 }
 
-/** `connectMs`: without a connection by then nothing is sent. `answerMs` counts from the same moment. */
+/** `connectMs`: nothing is sent if no connection is established by then. `answerMs` counts from the same start. */
 export interface SingleCallTimeouts {
   readonly connectMs: number;
   readonly answerMs: number;
 }
 
-/** `unreached`: certainly not sent. `unknown`: it may have been carried out, or will be. */
+/** `unreached`: certainly not sent. `unknown`: it may have been executed, or may still be. */
 export type SingleCallResult =
   | { readonly kind: 'answered'; readonly status: number }
   | { readonly kind: 'unreached' }
--- a/packages/clients/src/timeoutAfterPendingIo.ts
+++ b/packages/clients/src/timeoutAfterPendingIo.ts
@@ -1,18 +1,17 @@
 /**
- * Gives a call up when its time is over, but not before the event loop has read what has arrived by then.
+ * Timeout that expires only after pending I/O was read.
  *
- * What goes wrong with a plain time-out: a process that is held up runs its timers before it reads, so that a call whose
- * answer has come counts as one without an answer. One notices it as writes that the store has done and that are taken for
- * unknown, in a process that has too little processor time; it repeats them, and loses its lease.
+ * After an event loop stall, timers run before I/O. With a plain timeout, a call whose response has already arrived would
+ * fail with an unknown outcome; repeated store writes then cost a host its lease.
  */
 
-/** Aborted so long from now, after one more reading. Does not keep a process alive. */
+/** Returns a signal that aborts after the delay and one more I/O poll. The timer is unreferenced. */
 export function timeoutAfterPendingIo(delayMs: number): AbortSignal {
   const abort = new AbortController();
-  const giveUp = (): void => {
-    abort.abort(new DOMException('the time of the call is over', 'TimeoutError'));
+  const abortCall = (): void => {
+    abort.abort(new DOMException('the call timed out', 'TimeoutError'));
   };
-  const timer = setTimeout(() => setImmediate(giveUp), delayMs);
+  const timer = setTimeout(() => setImmediate(abortCall), delayMs);
   timer.unref();
   return abort.signal;
 }
--- a/packages/clients/src/watchByChanges.ts
+++ b/packages/clients/src/watchByChanges.ts
@@ -1,12 +1,12 @@
 /**
- * A watch made of repeated questions for changes.
+ * A watch implemented by long polling.
  */
 import { Deadline, SystemClock } from '@fuchsiahitch/base';
 import type { RevisionedStore, WatchEnd, WatchEvent } from './keyValueStore.js';
 
-const WAIT_MS = 5000;
-/** Beyond the question's own wait: after it the connection is taken for silent. */
-const SLACK_MS = 1000;
+const LONG_POLL_MS = 5000;
+/** Added to the poll duration; after it the connection counts as unresponsive. */
+const REPLY_MARGIN_MS = 1000;
 
 /** Reports changes under a prefix until the signal is aborted or the store fails. */
 export async function watchByChanges(
@@ -16,12 +16,12 @@
   signal: AbortSignal,
 ): Promise<WatchEnd> {
   const clock = new SystemClock();
-  const deadline = (): Deadline => Deadline.after(clock, WAIT_MS + SLACK_MS);
+  const deadline = (): Deadline => Deadline.after(clock, LONG_POLL_MS + REPLY_MARGIN_MS);
   const start = await store.snapshot(prefix, deadline());
   if (!start.ok) return 'failed';
   let { revision } = start.value;
   while (!signal.aborted) {
-    const changes = await store.changes(prefix, revision, WAIT_MS, deadline());
+    const changes = await store.changes(prefix, revision, LONG_POLL_MS, deadline());
     if (!changes.ok) return changes.error === 'compacted' ? 'compacted' : 'failed';
     if (changes.value.events.length > 0) onEvents(changes.value.events);
     ({ revision } = changes.value);
--- a/packages/protocol/src/frameCodec.ts
+++ b/packages/protocol/src/frameCodec.ts
@@ -49,12 +49,12 @@
   /** The next whole frame's value, or undefined until more bytes arrive. */
   next(): Result<{ readonly value: unknown } | undefined, FrameError> {
     if (this._sizeBytes < LENGTH_BYTES) return ok(undefined);
-    const sizeBytes = this._joined().readUInt32BE(0);
+    const sizeBytes = this._joinChunks().readUInt32BE(0);
     if (sizeBytes > this._limitBytes) {
       return err({ kind: 'frame-too-large', sizeBytes, limitBytes: this._limitBytes });
     }
     if (this._sizeBytes < LENGTH_BYTES + sizeBytes) return ok(undefined);
-    const joined = this._joined();
+    const joined = this._joinChunks();
     const body = joined.subarray(LENGTH_BYTES, LENGTH_BYTES + sizeBytes);
     this._chunks = [joined.subarray(LENGTH_BYTES + sizeBytes)];
     this._sizeBytes -= LENGTH_BYTES + sizeBytes;
@@ -62,12 +62,12 @@
   }
 
   /** Joins lazily: a large frame that arrives in many pieces is copied once for its length and once whole. */
-  private _joined(): Buffer {
+  private _joinChunks(): Buffer {
     const first = this._chunks[0];
     if (this._chunks.length === 1 && first) return first;
     if (first && first.length >= LENGTH_BYTES) {
-      const needBytes = LENGTH_BYTES + first.readUInt32BE(0);
-      if (this._sizeBytes < needBytes) return first;
+      const frameBytes = LENGTH_BYTES + first.readUInt32BE(0);
+      if (this._sizeBytes < frameBytes) return first;
     }
     const joined = Buffer.concat(this._chunks);
     this._chunks = [joined];
--- a/packages/protocol/src/peerLink.ts
+++ b/packages/protocol/src/peerLink.ts
@@ -22,7 +22,7 @@
 const RECONNECT_PAUSE_MS = 300;
 const CONNECT_TIMEOUT_MS = 1500;
 /** A connection that brings nothing for so long while a call waits is given up; a busy peer answers sooner. */
-const SILENT_MS = 1000;
+const UNRESPONSIVE_MS = 1000;
 /** Calls written and not yet answered on one link; more are refused as not sent. */
 const MAX_PENDING_CALLS = 20_000;
 
@@ -51,8 +51,8 @@
   private _connection: Promise<Connection | undefined> | undefined;
   private _socket: net.Socket | undefined;
   private _nextId = 1;
-  private _pausedUntilMs = 0;
-  private _readMs = -Infinity;
+  private _reconnectAfterMs = 0;
+  private _lastReadMs = -Infinity;
   private _isClosed = false;
 
   constructor(options: PeerLinkOptions) {
@@ -98,7 +98,7 @@
       const sentMs = this._options.clock.nowMs();
       const cancelTimer = afterPendingIo(this._options.clock, deadline.remainingMs(), () => {
         this._settle(id, err({ kind: 'timed-out' }));
-        this._dropIfSilent(socket, sentMs);
+        this._dropIfUnresponsive(socket, sentMs);
       });
       this._pending.set(id, { settle: resolve, cancelTimer });
       this._options.counters.sent(frame.length);
@@ -110,11 +110,11 @@
    * Ends a connection on which nothing has come since a call that got no reply. A connection can fall silent for good
    * without a reset while new ones work; every later call on it would wait out its deadline too.
    */
-  private _dropIfSilent(socket: net.Socket, sentMs: number): void {
-    const silentMs = this._options.clock.nowMs() - this._readMs;
-    if (this._readMs >= sentMs || silentMs < SILENT_MS || socket !== this._socket) return;
+  private _dropIfUnresponsive(socket: net.Socket, sentMs: number): void {
+    const idleMs = this._options.clock.nowMs() - this._lastReadMs;
+    if (this._lastReadMs >= sentMs || idleMs < UNRESPONSIVE_MS || socket !== this._socket) return;
     this._drop(socket, 'silent');
-    this._lost(socket);
+    this._onDisconnected(socket);
   }
 
   private _settle(id: number, result: Result<unknown, CallError>): void {
@@ -126,12 +126,12 @@
   }
 
   private async _connected(): Promise<Connection | undefined> {
-    if (this._isClosed || this._options.clock.nowMs() < this._pausedUntilMs) return undefined;
+    if (this._isClosed || this._options.clock.nowMs() < this._reconnectAfterMs) return undefined;
     this._connection ??= this._connect();
     const connection = await this._connection;
     if (!connection) {
       this._connection = undefined;
-      this._pausedUntilMs = this._options.clock.nowMs() + RECONNECT_PAUSE_MS;
+      this._reconnectAfterMs = this._options.clock.nowMs() + RECONNECT_PAUSE_MS;
     }
     return connection;
   }
@@ -153,14 +153,14 @@
       socket.on('close', () => {
         cancel();
         resolve(undefined);
-        this._lost(socket);
+        this._onDisconnected(socket);
       });
     });
   }
 
   private _read(socket: net.Socket, reader: FrameReader, handshake: ClientHandshake, chunk: Buffer): void {
     this._options.counters.received(chunk.length);
-    this._readMs = this._options.clock.nowMs();
+    this._lastReadMs = this._options.clock.nowMs();
     reader.push(chunk);
     for (;;) {
       if (socket.destroyed) return;
@@ -186,7 +186,7 @@
     socket.destroy();
   }
 
-  private _lost(socket: net.Socket): void {
+  private _onDisconnected(socket: net.Socket): void {
     if (this._socket !== socket) return;
     this._connection = undefined;
     for (const id of [...this._pending.keys()])
@@ -198,14 +198,14 @@
 class ClientHandshake {
   private readonly _options: PeerLinkOptions;
   private readonly _socket: net.Socket;
-  private readonly _done: (peer: PeerIdentity) => void;
+  private readonly _onDone: (peer: PeerIdentity) => void;
   private readonly _nonce = newNonce();
   private _state: 'challenge' | 'welcome' | 'done' = 'challenge';
 
-  constructor(options: PeerLinkOptions, socket: net.Socket, done: (peer: PeerIdentity) => void) {
+  constructor(options: PeerLinkOptions, socket: net.Socket, onDone: (peer: PeerIdentity) => void) {
     this._options = options;
     this._socket = socket;
-    this._done = done;
+    this._onDone = onDone;
   }
 
   isDone(): boolean {
@@ -214,10 +214,10 @@
 
   /** False when the server does not follow the handshake or lacks the key. */
   read(value: unknown): boolean {
-    return this._state === 'challenge' ? this._answer(value) : this._verify(value);
+    return this._state === 'challenge' ? this._answerChallenge(value) : this._verifyWelcome(value);
   }
 
-  private _answer(value: unknown): boolean {
+  private _answerChallenge(value: unknown): boolean {
     const challenge = challengeSchema.safeParse(value);
     if (!challenge.success) return false;
     const own = this._options.identity;
@@ -227,13 +227,13 @@
     return true;
   }
 
-  private _verify(value: unknown): boolean {
+  private _verifyWelcome(value: unknown): boolean {
     const welcome = welcomeSchema.safeParse(value);
     if (!welcome.success) return false;
     const { proof, ...peer } = welcome.data;
     if (!isSameProof(proof, computeProof(this._options.fleetKey, 'server', this._nonce, peer))) return false;
     this._state = 'done';
-    this._done(peer);
+    this._onDone(peer);
     return true;
   }
 }
--- a/packages/protocol/src/peerServer.ts
+++ b/packages/protocol/src/peerServer.ts
@@ -78,7 +78,7 @@
     const nonce = newNonce();
     const reader = new FrameReader(MAX_HELLO_BYTES);
     const connection = new ServerConnection(socket, nonce, reader, this._options, this._handlers);
-    const cancel = this._options.clock.after(HANDSHAKE_TIMEOUT_MS, () => connection.endUnproved());
+    const cancel = this._options.clock.after(HANDSHAKE_TIMEOUT_MS, () => connection.closeUnauthenticated());
     socket.on('data', chunk => connection.read(chunk));
     socket.on('error', () => socket.destroy());
     socket.on('close', () => {
@@ -112,8 +112,8 @@
     this._handlers = handlers;
   }
 
-  endUnproved(): void {
-    if (!this._peer) this._end('handshake-timeout');
+  closeUnauthenticated(): void {
+    if (!this._peer) this._close('handshake-timeout');
   }
 
   read(chunk: Buffer): void {
@@ -122,7 +122,7 @@
     for (;;) {
       if (this._socket.destroyed) return;
       const frame = this._reader.next();
-      if (!frame.ok) return this._end(frame.error.kind);
+      if (!frame.ok) return this._close(frame.error.kind);
       if (!frame.value) return;
       if (this._peer) this._readCall(frame.value.value, this._peer);
       else this._readHello(frame.value.value);
@@ -131,10 +131,10 @@
 
   private _readHello(value: unknown): void {
     const hello = helloSchema.safeParse(value);
-    if (!hello.success) return this._end('bad-hello');
+    if (!hello.success) return this._close('bad-hello');
     const { nonce, proof, ...identity } = hello.data;
     const expected = computeProof(this._options.fleetKey, 'client', this._nonce, identity);
-    if (!isSameProof(proof, expected)) return this._end('wrong-key');
+    if (!isSameProof(proof, expected)) return this._close('wrong-key');
     this._peer = identity;
     this._reader.setLimit(MAX_FRAME_BYTES);
     const own = this._options.identity;
@@ -143,7 +143,7 @@
 
   private _readCall(value: unknown, peer: PeerIdentity): void {
     const envelope = envelopeSchema.safeParse(value);
-    if (!envelope.success || envelope.data.t !== 'call') return this._end('bad-envelope');
+    if (!envelope.success || envelope.data.t !== 'call') return this._close('bad-envelope');
     const { id, name, body, trace } = envelope.data;
     const handler = this._handlers.get(name);
     if (!handler) return this._reply({ t: 'refusal', id, text: `no call '${name}' in this version` });
@@ -163,13 +163,13 @@
   private _send(value: unknown): void {
     if (this._socket.destroyed) return;
     // A peer that sends calls and never reads replies would make this host buffer without bound.
-    if (this._socket.writableLength > MAX_UNREAD_BYTES) return this._end('slow-reader');
+    if (this._socket.writableLength > MAX_UNREAD_BYTES) return this._close('slow-reader');
     const frame = encodeFrame(value);
     this._options.counters.sent(frame.length);
     this._socket.write(frame);
   }
 
-  private _end(reason: string): void {
+  private _close(reason: string): void {
     this._options.counters.refused(reason);
     this._socket.destroy();
   }
--- a/packages/protocol/src/proof.ts
+++ b/packages/protocol/src/proof.ts
@@ -17,7 +17,7 @@
   nonce: string,
   identity: PeerIdentity,
 ): string {
-  const parts = [
+  const fields = [
     role,
     nonce,
     identity.hostId,
@@ -25,7 +25,7 @@
     identity.domain,
     identity.programVersion,
   ];
-  return createHmac('sha256', fleetKey).update(parts.join('\n')).digest('hex');
+  return createHmac('sha256', fleetKey).update(fields.join('\n')).digest('hex');
 }
 
 export function isSameProof(left: string, right: string): boolean {
