--- a/packages/protocol/src/calls.ts
+++ b/packages/protocol/src/calls.ts
@@ -1,5 +1,5 @@
 /**
- * Every call between entry hosts.
+ * Definitions of all calls between entry hosts.
  */
 import {
   batchAdoptReplySchema,
@@ -55,13 +55,13 @@
 
 const count = z.number().int().min(0);
 
-/** What one host tells another about the fleet. Revisions show who has to fetch something. */
+/** Gossip between two hosts. A host with a lower revision pulls the newer state. */
 export const pingSchema = z
   .strictObject({
     updates: z.array(memberUpdateSchema).max(64).readonly(),
     rulesRevision: count,
     slotMapRevision: count,
-    /** Digest of the revisions of all member documents; where it differs they are compared. */
+    /** Digest of the revisions of all member documents; they are compared if it differs. */
     membersDigest: z.string(),
     leaving: z.array(leavingNoticeSchema).max(256).readonly(),
   })
@@ -70,7 +70,7 @@
 
 const numberedEditSchema = z.strictObject({ revision: count, edit: editSchema }).readonly();
 
-/** What a host that is behind in rules gets. */
+/** Update for a host with an older rules revision. */
 export const rulesPullReplySchema = z.discriminatedUnion('kind', [
   z.strictObject({ kind: z.literal('none') }),
   z.strictObject({ kind: z.literal('edits'), edits: z.array(numberedEditSchema).readonly() }),
@@ -96,7 +96,7 @@
   .readonly();
 export type HostStatus = z.infer<typeof hostStatusSchema>;
 
-/** Wraps a trainer's call on its way to the step's owner. `hops` ends loops between hosts that disagree. */
+/** Wraps a trainer's call that is relayed to the step's owner. `hops` bounds loops between hosts with different views. */
 const relayed = <T extends z.ZodType>(
   request: T,
 ): z.ZodType<{ readonly hops: number; readonly request: z.infer<T> }> =>
--- a/packages/protocol/src/channel.ts
+++ b/packages/protocol/src/channel.ts
@@ -1,10 +1,9 @@
 /**
- * Typed calls: a name, the schema of what is sent and the schema of what comes back. Client and server
- * are thin around these definitions, and both check what they read.
+ * Types of the peer protocol: call definitions, identities, errors and envelopes. Client and server both validate what
+ * they receive against the schemas of a call.
  */
 import type * as z from 'zod';
 
-/** A call that has one reply. */
 export interface CallDefinition<Q, A> {
   readonly name: string;
   readonly request: z.ZodType<Q>;
@@ -19,7 +18,7 @@
   return { name, request, reply };
 }
 
-/** Who is at the other end of a connection, as proved at the handshake. */
+/** Identity of a peer, authenticated in the handshake. */
 export interface PeerIdentity {
   readonly hostId: string;
   readonly incarnation: string;
@@ -27,14 +26,14 @@
   readonly programVersion: string;
 }
 
-/** Why a call has no reply. `not-sent` proves that the peer did not act; the others prove nothing. */
+/** `not-sent` proves that the peer did not execute the call; with the others it may have. */
 export type CallError =
   | { readonly kind: 'not-sent'; readonly text: string }
   | { readonly kind: 'timed-out' }
   | { readonly kind: 'broken'; readonly text: string }
   | { readonly kind: 'refused'; readonly text: string };
 
-/** What travels: a call, its reply, or a refusal of it. */
+/** A message on a connection: a call, its reply or its refusal. */
 export type Envelope =
   | {
       readonly t: 'call';
--- a/packages/protocol/src/envelope.ts
+++ b/packages/protocol/src/envelope.ts
@@ -1,5 +1,5 @@
 /**
- * Checks what arrives on a connection before any field is used.
+ * Schemas of the handshake messages and envelopes of the peer protocol.
  */
 import * as z from 'zod';
 
@@ -27,15 +27,15 @@
   programVersion: z.string().min(1).max(MAX_NAME),
 };
 
-/** The first frame, from the server: a number used once. */
+/** First frame, sent by the server. */
 export const challengeSchema = z.strictObject({ nonce: z.string().length(32) });
 
-/** The second, from the client: who it is, its own number, and the proof over both. */
+/** Second frame, sent by the client: its identity, its nonce, and the proof over the server's nonce and that identity. */
 export const helloSchema = z.strictObject({
   ...identityFields,
   nonce: z.string().length(32),
   proof: z.string().length(64),
 });
 
-/** The third, from the server: who it is, and its proof over the client's number. */
+/** Third frame, sent by the server: its identity and the proof over the client's nonce. */
 export const welcomeSchema = z.strictObject({ ...identityFields, proof: z.string().length(64) });
--- a/packages/protocol/src/frameCodec.ts
+++ b/packages/protocol/src/frameCodec.ts
@@ -1,23 +1,22 @@
 /**
- * Frames of the inner protocol: a 4-byte big-endian length and one CBOR value.
+ * Frames of the peer protocol: a 4-byte big-endian length and one CBOR value.
  */
 import { err, messageOf, ok, type Result } from '@fuchsiahitch/base';
 import { Encoder } from 'cbor-x';
 
 const LENGTH_BYTES = 4;
-/** The largest frame between hosts that proved the fleet key. */
+/** Frame size limit on authenticated connections. */
 export const MAX_FRAME_BYTES = 8 * 1024 * 1024;
-/** The largest frame before that proof: a stranger cannot make a host buffer more. */
+/** Frame size limit before authentication: bounds what an unauthenticated client can make a host buffer. */
 export const MAX_HELLO_BYTES = 1024;
 
-/** Why bytes from a peer are not a frame. The connection ends; nothing else is affected. */
+/** A framing error. It closes the connection. */
 export type FrameError =
   | { readonly kind: 'frame-too-large'; readonly sizeBytes: number; readonly limitBytes: number }
   | { readonly kind: 'malformed-frame'; readonly text: string };
 
 const codec = new Encoder({ useRecords: false, mapsAsObjects: true, tagUint8Array: false });
 
-/** Encodes one value as a frame. */
 export function encodeFrame(value: unknown): Buffer {
   const body = codec.encode(value);
   const frame = Buffer.allocUnsafe(LENGTH_BYTES + body.length);
@@ -26,7 +25,7 @@
   return frame;
 }
 
-/** Collects bytes and yields whole frames. */
+/** Reassembles frames from received chunks. */
 export class FrameReader {
   private _chunks: Buffer[] = [];
   private _sizeBytes = 0;
@@ -36,7 +35,7 @@
     this._limitBytes = limitBytes;
   }
 
-  /** Raises the limit once the peer has proved the fleet key. */
+  /** Called after authentication to raise the limit. */
   setLimit(limitBytes: number): void {
     this._limitBytes = limitBytes;
   }
@@ -46,7 +45,7 @@
     this._sizeBytes += chunk.length;
   }
 
-  /** The next whole frame's value, or undefined until more bytes arrive. */
+  /** Returns the next complete frame's value, or undefined if more bytes are needed. */
   next(): Result<{ readonly value: unknown } | undefined, FrameError> {
     if (this._sizeBytes < LENGTH_BYTES) return ok(undefined);
     const sizeBytes = this._joinChunks().readUInt32BE(0);
@@ -61,7 +60,7 @@
     return decodeBody(body);
   }
 
-  /** Joins lazily: a large frame that arrives in many pieces is copied once for its length and once whole. */
+  /** Joins chunks lazily: a large frame in many chunks is copied at most twice, for its length and when it is complete. */
   private _joinChunks(): Buffer {
     const first = this._chunks[0];
     if (this._chunks.length === 1 && first) return first;
--- a/packages/protocol/src/index.ts
+++ b/packages/protocol/src/index.ts
@@ -1,4 +1,4 @@
-/** The inner protocol between entry hosts. */
+/** The peer protocol between entry hosts. */
 export * from './calls.js';
 export * from './channel.js';
 export * from './frameCodec.js';
--- a/packages/protocol/src/peerLink.ts
+++ b/packages/protocol/src/peerLink.ts
@@ -1,5 +1,5 @@
 /**
- * The calling side of the inner protocol: one connection to one peer, made at the first call.
+ * Client of the peer protocol: one connection to one peer, established on the first call.
  */
 import net from 'node:net';
 import {
@@ -18,12 +18,12 @@
 import type { ProtocolCounters } from './peerServer.js';
 import { isSameProof, newNonce, computeProof } from './proof.js';
 
-/** After a failed connect, calls fail at once for this long: a dead peer must not hold up every request. */
+/** After a failed connect, calls fail immediately for this long, so that an unreachable peer does not delay every request. */
 const RECONNECT_PAUSE_MS = 300;
 const CONNECT_TIMEOUT_MS = 1500;
-/** A connection that brings nothing for so long while a call waits is given up; a busy peer answers sooner. */
+/** A connection without received data for this long is dropped when a call on it times out. */
 const UNRESPONSIVE_MS = 1000;
-/** Calls written and not yet answered on one link; more are refused as not sent. */
+/** Limit on pending calls per link; further calls fail as `not-sent`. */
 const MAX_PENDING_CALLS = 20_000;
 
 export interface PeerLinkOptions {
@@ -44,7 +44,7 @@
   readonly peer: PeerIdentity;
 }
 
-/** Calls to one peer. Every call ends with a reply or a tagged error, never by throwing. */
+/** Calls to one peer. Errors are returned, never thrown. */
 export class PeerLink {
   private readonly _options: PeerLinkOptions;
   private readonly _pending = new Map<number, PendingCall>();
@@ -68,16 +68,16 @@
   ): Promise<Result<A, CallError>> {
     const connection = await this._connected();
     if (!connection) return err({ kind: 'not-sent', text: `no connection to ${this._options.address}` });
-    // The connection may have come up late, as a late loop reads once more: what is over is not written.
-    if (deadline.isOver()) return err({ kind: 'not-sent', text: 'no time left' });
+    // The connect timeout expires only after pending I/O was read, so the connection may come up after the deadline.
+    if (deadline.isOver()) return err({ kind: 'not-sent', text: 'deadline passed before the call was sent' });
     if (this._pending.size >= MAX_PENDING_CALLS)
-      return err({ kind: 'not-sent', text: 'too many calls wait' });
+      return err({ kind: 'not-sent', text: 'too many pending calls' });
     const reply = await this._exchange(connection.socket, call.name, request, deadline, trace);
     if (!reply.ok) return reply;
     const parsed = call.reply.safeParse(reply.value);
     if (parsed.success) return ok(parsed.data);
     this._options.counters.refused('bad-reply');
-    return err({ kind: 'broken', text: `reply of '${call.name}' does not fit its schema` });
+    return err({ kind: 'broken', text: `reply to '${call.name}' does not match its schema` });
   }
 
   close(): void {
@@ -107,8 +107,8 @@
   }
 
   /**
-   * Ends a connection on which nothing has come since a call that got no reply. A connection can fall silent for good
-   * without a reset while new ones work; every later call on it would wait out its deadline too.
+   * Drops a connection that received nothing since a timed-out call was sent. A connection can become unresponsive without a
+   * reset while new ones work; every later call on it would time out too.
    */
   private _dropIfUnresponsive(socket: net.Socket, sentMs: number): void {
     const idleMs = this._options.clock.nowMs() - this._lastReadMs;
@@ -194,7 +194,7 @@
   }
 }
 
-/** The client's part of the handshake. */
+/** Client side of the handshake. */
 class ClientHandshake {
   private readonly _options: PeerLinkOptions;
   private readonly _socket: net.Socket;
@@ -212,7 +212,7 @@
     return this._state === 'done';
   }
 
-  /** False when the server does not follow the handshake or lacks the key. */
+  /** Handles one handshake frame. False if it is malformed or the server's proof is invalid. */
   read(value: unknown): boolean {
     return this._state === 'challenge' ? this._answerChallenge(value) : this._verifyWelcome(value);
   }
--- a/packages/protocol/src/peerServer.ts
+++ b/packages/protocol/src/peerServer.ts
@@ -1,5 +1,5 @@
 /**
- * The listening side of the inner protocol.
+ * Server of the peer protocol.
  */
 import net from 'node:net';
 import { messageOf, listenAt, type Clock } from '@fuchsiahitch/base';
@@ -9,10 +9,9 @@
 import { isSameProof, newNonce, computeProof } from './proof.js';
 
 const HANDSHAKE_TIMEOUT_MS = 3000;
-/** Replies waiting for a peer that does not read: beyond this its connection ends. */
+/** Limit on buffered replies to a peer that does not read; beyond it the connection is closed. */
 const MAX_UNREAD_BYTES = 4 * MAX_FRAME_BYTES;
 
-/** What a handler is told beside the request. */
 export interface CallContext {
   readonly peer: PeerIdentity;
   readonly trace: string | undefined;
@@ -20,7 +19,7 @@
 
 type Handler = (body: unknown, context: CallContext) => Promise<unknown>;
 
-/** Counts what the inner protocol refuses. */
+/** Metrics of the peer protocol: refusals by reason, and bytes. */
 export interface ProtocolCounters {
   refused(reason: string): void;
   sent(sizeBytes: number): void;
@@ -35,7 +34,7 @@
   readonly counters: ProtocolCounters;
 }
 
-/** Accepts peers that prove the fleet key and answers their calls. */
+/** Accepts peers that prove knowledge of the fleet key and answers their calls. */
 export class PeerServer {
   private readonly _options: PeerServerOptions;
   private readonly _handlers = new Map<string, Handler>();
@@ -47,7 +46,7 @@
     this._server = net.createServer(socket => this._accept(socket));
   }
 
-  /** Sets the handler of a call. A request that does not fit the schema is refused before it runs. */
+  /** Registers the handler of a call. A request that does not match the schema is refused before the handler runs. */
   handle<Q, A>(
     call: CallDefinition<Q, A>,
     handler: (request: Q, context: CallContext) => Promise<A> | A,
@@ -60,7 +59,7 @@
     });
   }
 
-  /** Starts to listen; resolves with the address, which tells the port when 0 was asked. */
+  /** Starts listening. Resolves with the bound address, including the port when port 0 was requested. */
   async listen(): Promise<string> {
     return listenAt(this._server, this._options.address);
   }
@@ -89,7 +88,7 @@
   }
 }
 
-/** One accepted connection: first the proof, then calls. */
+/** An accepted connection: the handshake, then calls. */
 class ServerConnection {
   private readonly _socket: net.Socket;
   private readonly _nonce: string;
@@ -162,7 +161,7 @@
 
   private _send(value: unknown): void {
     if (this._socket.destroyed) return;
-    // A peer that sends calls and never reads replies would make this host buffer without bound.
+    // Bounds the buffer for a peer that sends calls but does not read the replies.
     if (this._socket.writableLength > MAX_UNREAD_BYTES) return this._close('slow-reader');
     const frame = encodeFrame(value);
     this._options.counters.sent(frame.length);
--- a/packages/protocol/src/proof.ts
+++ b/packages/protocol/src/proof.ts
@@ -1,5 +1,5 @@
 /**
- * Proof that a peer holds the fleet key, without sending the key.
+ * HMAC proof that a peer holds the fleet key.
  */
 import { createHmac, randomBytes, timingSafeEqual } from 'node:crypto';
 import type { PeerIdentity } from './channel.js';
@@ -10,7 +10,7 @@
   return randomBytes(NONCE_BYTES).toString('hex');
 }
 
-/** The proof binds the role, the other side's number and all that the sender says of itself. */
+/** The proof covers the role, the other side's nonce and the sender's identity. */
 export function computeProof(
   fleetKey: string,
   role: 'client' | 'server',
