--- a/packages/clients/src/etcdStore.ts
+++ b/packages/clients/src/etcdStore.ts
@@ -209,7 +209,7 @@
   return prefix.slice(0, -1) + String.fromCharCode(prefix.charCodeAt(prefix.length - 1) + 1);
 }
 
-/** Returns the code of an error or of its cause. */
+/** Returns the code of an error or of its cause, or an empty string. */
 export function errorCode(thrown: unknown): string {
   if (typeof thrown !== 'object' || thrown === null) return '';
   if ('code' in thrown && typeof thrown.code === 'string') return thrown.code;
--- a/packages/protocol/src/peerLink.ts
+++ b/packages/protocol/src/peerLink.ts
@@ -202,10 +202,10 @@
   private readonly _nonce = newNonce();
   private _state: 'challenge' | 'welcome' | 'done' = 'challenge';
 
-  constructor(options: PeerLinkOptions, socket: net.Socket, onDone: (peer: PeerIdentity) => void) {
+  constructor(options: PeerLinkOptions, socket: net.Socket, done: (peer: PeerIdentity) => void) {
     this._options = options;
     this._socket = socket;
-    this._onDone = onDone;
+    this._onDone = done;
   }
 
   isDone(): boolean {
--- a/tests/accounts.spec.ts
+++ b/tests/accounts.spec.ts
@@ -12,7 +12,7 @@
 import { GatewayWorld } from './gatewayHosts.js';
 import { batch, item, testContext } from './gatewayWorld.js';
 import { PlatformHost } from './platformHost.js';
-import { chunk, genuine, LAST_CHUNK, streamHead } from './platformStandIns.js';
+import { chunk, validResponse, LAST_CHUNK, streamHead } from './platformStandIns.js';
 
 const LIMITS = {
   max_header_bytes: 16_384,
@@ -183,9 +183,9 @@
   // A server runs a request that nobody's key allows, or learns a key, or believes the account that a caller names.
   const host = await PlatformHost.start(configuration(1), ['s1']);
   const { server } = host;
-  server.answer = (request, socket) => void socket.write(genuine(request, 'whole'));
+  server.answer = (request, socket) => void socket.write(validResponse(request, 'whole'));
   const ask = async (path: string, headers: Record<string, string | string[]>): Promise<number> =>
-    (await host.ask({ method: 'POST', path, headers: { host: 'h', 'request-id': 'r', ...headers } }, 'x'))
+    (await host.send({ method: 'POST', path, headers: { host: 'h', 'request-id': 'r', ...headers } }, 'x'))
       .status;
   const denied: readonly Record<string, string | string[]>[] = [
     {},
@@ -218,7 +218,7 @@
   // One of two readers takes the first key of a request, and the other the last.
   const host = await PlatformHost.start(configuration(1), ['s1']);
   const headers = ['Host', 'h', 'Authorization', 'Token ann-1', 'Authorization', 'Token bob-1'];
-  t.equal((await host.ask({ path: '/a/x', headers: headers })).status, 401);
+  t.equal((await host.send({ path: '/a/x', headers: headers })).status, 401);
   t.equal(host.server.requests.length, 0);
   await host.stop();
 });
@@ -235,7 +235,7 @@
     });
   };
   const headers = { host: 'h', 'request-id': 'r', authorization: 'Token ann-1', 'deadline-ms': '5000' };
-  const answered = await host.ask({ method: 'POST', path: '/a/x', headers }, 'x');
+  const answered = await host.send({ method: 'POST', path: '/a/x', headers }, 'x');
   t.equal(answered.status, 401);
   t.equal(server.requests.length, 1);
   await host.stop();
@@ -271,28 +271,28 @@
       authorization: `Token ${name}`,
     });
     const submit = async (name: string): Promise<number> =>
-      (await host.ask({ method: 'POST', path: '/b/lot', headers: as(name) }, JSON.stringify(SUBMISSION)))
+      (await host.send({ method: 'POST', path: '/b/lot', headers: as(name) }, JSON.stringify(SUBMISSION)))
         .status;
     const read = async (name: string): Promise<number> =>
-      (await host.ask({ path: '/v1/lots/b1?after=0', headers: as(name) })).status;
+      (await host.send({ path: '/v1/lots/b1?after=0', headers: as(name) })).status;
     t.equal(await submit('ann-1'), 202);
     t.equal(await read('bob-1'), 404);
-    t.equal((await host.ask({ path: '/v1/items/b1?id=x', headers: as('bob-1') })).status, 404);
-    t.equal((await host.ask({ method: 'DELETE', path: '/v1/lots/b1', headers: as('bob-1') })).status, 404);
+    t.equal((await host.send({ path: '/v1/items/b1?id=x', headers: as('bob-1') })).status, 404);
+    t.equal((await host.send({ method: 'DELETE', path: '/v1/lots/b1', headers: as('bob-1') })).status, 404);
     t.equal(await read('ann-2'), 200);
-    t.equal((await host.ask({ path: '/v1/items/b1?id=x', headers: as('ann-2') })).body, 'prompt');
-    await host.until(() => server.requests.length > 0);
+    t.equal((await host.send({ path: '/v1/items/b1?id=x', headers: as('ann-2') })).body, 'prompt');
+    await host.waitUntil(() => server.requests.length > 0);
     t.same(
       server.requests.map(request => [request.headers.tenant, request.headers.authorization]),
       [['ann', undefined]],
     );
     t.equal(await submit('bob-1'), 202, 'under the same identifier');
-    await host.until(() => server.requests.length > 1);
+    await host.waitUntil(() => server.requests.length > 1);
     t.same(server.requests[1]?.headers.tenant, 'bob');
     await host.configure(configuration(2, [{ name: 'ann', api_keys: ['ann-3'] }]));
     t.equal(await read('ann-1'), 401);
     t.equal(await read('ann-3'), 200, 'a newer key of the account');
-    t.equal((await host.ask({ method: 'DELETE', path: '/v1/lots/b1', headers: as('ann-3') })).status, 200);
+    t.equal((await host.send({ method: 'DELETE', path: '/v1/lots/b1', headers: as('ann-3') })).status, 200);
     t.notMatch(JSON.stringify(host.store.data.keys('').map(name => host.store.data.value(name))), /ann-1/);
     await host.stop();
   },
--- a/tests/eventLoopLag.spec.ts
+++ b/tests/eventLoopLag.spec.ts
@@ -7,7 +7,7 @@
 import { PlatformEndpointClient, StoreClient } from '@fuchsiahitch/platform';
 import { GatewayWorld, type GatewayHost } from './gatewayHosts.js';
 import { batch, endpointRecord, item, keys } from './gatewayWorld.js';
-import { genuine, WireServer } from './platformStandIns.js';
+import { validResponse, WireServer } from './platformStandIns.js';
 
 const EVENT_MS = 45;
 
@@ -195,7 +195,7 @@
   server.answer = (request, socket) => {
     const isReport = request.target === '/v1/report';
     const answer = isReport ? { models: [], busy: false, seq: 4 } : { key: 'k', value: 'djE=', revision: 3 };
-    socket.write(genuine(request, JSON.stringify(answer)));
+    socket.write(validResponse(request, JSON.stringify(answer)));
     blockLoop(LATE_MS);
   };
   const store = new StoreClient(address, () => undefined);
--- a/tests/platform.spec.ts
+++ b/tests/platform.spec.ts
@@ -1,5 +1,5 @@
 /**
- * The adapter to the users' platform: settings, records, batches, store, servers, callers.
+ * The platform adapter: settings, records, batches, and one host end to end.
  */
 import fs from 'node:fs';
 import os from 'node:os';
@@ -11,7 +11,7 @@
 import { requestFingerprint } from '@fuchsiahitch/requests';
 import { RuleEvaluator } from '@fuchsiahitch/rules';
 import { PlatformHost } from './platformHost.js';
-import { chunk, genuine, LAST_CHUNK, streamHead } from './platformStandIns.js';
+import { chunk, validResponse, LAST_CHUNK, streamHead } from './platformStandIns.js';
 
 const clock = new SystemClock();
 
@@ -28,7 +28,7 @@
   something_new: { of: 'tomorrow' },
 };
 
-await tap.test('should read settings and ignore what it does not know', t => {
+await tap.test('should read settings and ignore unknown fields', t => {
   const settings = parseSettings(JSON.stringify(SETTINGS));
   t.ok(settings.ok);
   if (!settings.ok) return t.end();
@@ -44,14 +44,14 @@
   t.end();
 });
 
-await tap.test('should name every problem of a settings file', t => {
+await tap.test('should report every problem of a settings file', t => {
   const wrong = parseSettings(JSON.stringify({ ...SETTINGS, zone: 5, platform: { address: 'here' } }));
   t.ok(!wrong.ok && wrong.error.problems.length >= 2);
   t.notOk(parseSettings('{').ok);
   t.end();
 });
 
-await tap.test('should end with 2 and a line for each wrong setting', t => {
+await tap.test('should exit with status 2 and name each invalid setting', t => {
   const file = path.join(fs.mkdtempSync(path.join(os.tmpdir(), 'settings-')), 'node.json');
   fs.writeFileSync(file, JSON.stringify({ ...SETTINGS, zone: 5 }));
   const environment = { PATH: process.env.PATH, FUCHSIAHITCH_NODE_FILE: file };
@@ -105,14 +105,14 @@
   },
 };
 
-await tap.test('should decide by the longest prefix, as ordered rules', t => {
+await tap.test('should convert routes to ordered rules that match the longest prefix', t => {
   const decoded = new PlatformRecordDecoder().configuration(JSON.stringify(CONFIGURATION));
   t.ok(decoded);
   if (!decoded) return t.end();
   t.equal(decoded.revision, 7);
   t.same(decoded.models.get('s3'), ['m1', 'm2']);
   const document = { revision: 7, rules: decoded.rules, editIds: [] };
-  const book = new RuleEvaluator(document, clock, () => 0);
+  const evaluator = new RuleEvaluator(document, clock, () => 0);
   const facts = {
     kind: 'service',
     caller: '',
@@ -123,10 +123,10 @@
     version: '',
   } as const;
   const decide = (host: string, path: string): string | undefined =>
-    book.decide({ ...facts, host, path }).action.route?.run;
+    evaluator.decide({ ...facts, host, path }).action.route?.run;
   t.equal(decide('h.example', '/a/x'), 'idempotent');
   t.equal(decide('h.example', '/a/b/x'), 'batch');
-  t.equal(decide('h.example', '/c/x'), 'non-idempotent', 'an unknown kind is not repeated');
+  t.equal(decide('h.example', '/c/x'), 'non-idempotent', 'an unknown route type is not retried');
   t.equal(decide('h.example', '/d/'), undefined);
   t.equal(decide('other.example', '/a/x'), undefined);
   const batchRoute = decoded.rules.find(rule => rule.then.route?.run === 'batch')?.then.route;
@@ -134,7 +134,7 @@
   t.end();
 });
 
-await tap.test('should take no configuration that it can’t read whole', t => {
+await tap.test('should reject incomplete or malformed records', t => {
   const records = new PlatformRecordDecoder();
   t.equal(records.configuration('{"version":8'), undefined);
   t.equal(records.configuration(JSON.stringify({ ...CONFIGURATION, limits: {} })), undefined);
@@ -143,7 +143,7 @@
   t.end();
 });
 
-await tap.test('should decode a server’s record', t => {
+await tap.test('should decode an endpoint’s record', t => {
   const record = {
     service: 's3',
     address: '10.0.0.1:80',
@@ -181,7 +181,7 @@
   ],
 };
 
-await tap.test('should decode a batch, and nothing that is none', t => {
+await tap.test('should decode a batch and reject malformed ones', t => {
   const decoded = decodeBatch('b1', 'h.example', Buffer.from(JSON.stringify(SUBMISSION)));
   t.match(decoded, { id: 'b1', minVersion: 2, groupsWanted: 1, step: 3 });
   t.match(decoded?.items[0], { promptKey: '9c:300', expectedTokens: 700, tokens: 940, group: 'g' });
@@ -201,58 +201,67 @@
   t.end();
 });
 
-await tap.test('should serve callers, trainers and their batches from one end to the other', async t => {
+await tap.test('should serve requests and batches end to end', async t => {
   const host = await PlatformHost.listen(['s1', 's2', 's3']);
   const { store, server, gateway } = host;
   server.answer = (request, socket) => {
-    if (!request.target.startsWith('/a/b/')) return void socket.write(genuine(request, 'whole'));
+    if (!request.target.startsWith('/a/b/')) return void socket.write(validResponse(request, 'whole'));
     socket.write(streamHead(request, 2) + chunk('id: 1\ndata: one\n\nid: 2\ndata: two\n\n') + LAST_CHUNK);
   };
   const headers = { host: 'h.example', 'request-id': 'r1', 'deadline-ms': '3000' };
-  const early = await host.ask({ path: '/a/x', headers });
-  t.equal(early.status, 503, 'no configuration yet: not 404');
+  const early = await host.send({ path: '/a/x', headers });
+  t.equal(early.status, 503, 'not 404 before a configuration is loaded');
   t.ok(Number(early.headers['retry-after']) > 0);
 
-  // Other hosts have seen three endpoints end under a request, the last of them under its trial.
-  const deadly = { caller: 'key-1', host: 'h.example', method: 'POST', target: '/a/deadly' };
-  const marks = `fuchsiahitch/live/poison/${requestFingerprint({ ...deadly, body: Buffer.from('body') })}`;
+  // Other hosts recorded that three endpoints crashed while they ran this request, the last one in its trial.
+  const poisonRequest = { caller: 'key-1', host: 'h.example', method: 'POST', target: '/a/deadly' };
+  const marks = `fuchsiahitch/live/poison/${requestFingerprint({ ...poisonRequest, body: Buffer.from('body') })}`;
   for (const end of ['end-i-7@0', 'end-i-8@0', 'end-i-9@0']) store.data.put(`${marks}/${end}`, '{}');
   store.data.put(`${marks}/trial-1`, JSON.stringify({ hostId: 'edge-2', endsBefore: 2 }));
-  await host.begin(CONFIGURATION);
+  await host.configureAndStart(CONFIGURATION);
   t.ok(gateway.isReady());
   const odd = { ...headers, 'content-type': 'not/a type;;', 'transfer-encoding': 'chunked' };
-  const served = await host.ask({ method: 'POST', path: '/a/x?q=1', headers: odd }, 'body');
+  const served = await host.send({ method: 'POST', path: '/a/x?q=1', headers: odd }, 'body');
   t.match(served, { status: 200, body: 'whole' });
   t.equal(served.headers['server-stamp'], 'proof');
-  t.equal((await host.ask({ path: '/none/', headers })).status, 404);
-  const keyed = { ...headers, authorization: 'key-1' };
+  t.equal((await host.send({ path: '/none/', headers })).status, 404);
+  const withKey = { ...headers, authorization: 'key-1' };
   const poison = { method: 'POST', path: '/a/deadly' };
-  t.equal((await host.ask({ ...poison, headers: keyed }, 'body')).status, 400, 'not to be brought again');
+  t.equal((await host.send({ ...poison, headers: withKey }, 'body')).status, 400, 'not to be retried');
   t.notOk(server.requests.some(request => request.target === '/a/deadly'));
-  t.equal((await host.ask({ ...poison, headers }, 'body')).status, 200, 'another account’s');
-  const large = await host.ask({ method: 'POST', path: '/a/x', headers }, 'x'.repeat(100_001));
+  t.equal(
+    (await host.send({ ...poison, headers }, 'body')).status,
+    200,
+    'the same request from another caller',
+  );
+  const large = await host.send({ method: 'POST', path: '/a/x', headers }, 'x'.repeat(100_001));
   t.equal(large.status, 413);
 
   const submit = { method: 'POST', path: '/a/b/lot', headers: { ...headers, 'request-id': 'b1' } };
-  t.equal((await host.ask(submit, 'not a batch')).status, 400);
-  t.equal((await host.ask(submit, JSON.stringify(SUBMISSION))).status, 202);
-  t.equal((await host.ask(submit, JSON.stringify(SUBMISSION))).status, 202, 'accepted once, answered again');
+  t.equal((await host.send(submit, 'not a batch')).status, 400);
+  t.equal((await host.send(submit, JSON.stringify(SUBMISSION))).status, 202);
+  t.equal(
+    (await host.send(submit, JSON.stringify(SUBMISSION))).status,
+    202,
+    'a repeated submission is acknowledged',
+  );
   const poll = { path: '/v1/lots/b1?after=0', headers: { ...headers, 'wait-ms': '1000' } };
   let page = { total: 0, next: 0, results: [] as { id: string; text: string; versions: number[] }[] };
-  for (let i = 0; i < 20 && page.next < 2; i++) page = JSON.parse((await host.ask(poll)).body) as typeof page;
+  for (let i = 0; i < 20 && page.next < 2; i++)
+    page = JSON.parse((await host.send(poll)).body) as typeof page;
   t.equal(page.total, 2);
   t.same(page.results.map(result => result.id).sort(), ['x', 'y']);
   t.ok(page.results.every(result => result.text === 'one\ntwo' && result.versions.join() === '2'));
-  t.equal((await host.ask({ path: '/v1/items/b1?id=x', headers })).body, 'prompt');
-  t.equal((await host.ask({ path: '/v1/items/b1?id=none', headers })).status, 404);
-  t.equal((await host.ask({ path: '/v1/lots/none?after=0', headers })).status, 404);
-  t.equal((await host.ask({ method: 'DELETE', path: '/v1/lots/b1', headers })).status, 200);
-  t.equal((await host.ask({ method: 'DELETE', path: '/v1/lots/b1', headers })).status, 200);
-  store.refuseWith = 503;
-  const unsure = await host.ask({ path: '/v1/lots/other?after=0', headers });
-  t.equal(unsure.status, 503, 'not 404 when the store can’t be asked');
+  t.equal((await host.send({ path: '/v1/items/b1?id=x', headers })).body, 'prompt');
+  t.equal((await host.send({ path: '/v1/items/b1?id=none', headers })).status, 404);
+  t.equal((await host.send({ path: '/v1/lots/none?after=0', headers })).status, 404);
+  t.equal((await host.send({ method: 'DELETE', path: '/v1/lots/b1', headers })).status, 200);
+  t.equal((await host.send({ method: 'DELETE', path: '/v1/lots/b1', headers })).status, 200);
+  store.failWithStatus = 503;
+  const unsure = await host.send({ path: '/v1/lots/other?after=0', headers });
+  t.equal(unsure.status, 503, 'not 404 when the store is unreachable');
   host.drain();
-  const leaving = await host.ask({ path: '/a/x', headers: { ...headers, connection: 'keep-alive' } });
+  const leaving = await host.send({ path: '/a/x', headers: { ...headers, connection: 'keep-alive' } });
   t.equal(leaving.headers.connection, 'close');
   await host.stop();
 });
--- a/tests/platformHost.ts
+++ b/tests/platformHost.ts
@@ -1,5 +1,5 @@
 /**
- * One host on the platform's protocols, over sockets: its store, one server behind it, and callers.
+ * One host over sockets, with a store stand-in, one endpoint stand-in and an HTTP client for callers.
  */
 import http from 'node:http';
 import { SystemClock, SystemRandom } from '@fuchsiahitch/base';
@@ -26,7 +26,7 @@
 const MAX_POLLS = 500;
 const FLEET_KEY = 'fleet-key-for-tests';
 
-export interface Answered {
+export interface HttpReply {
   readonly status: number;
   readonly headers: http.IncomingHttpHeaders;
   readonly body: string;
@@ -53,14 +53,14 @@
     this._address = parts.address;
   }
 
-  /** Starts a host and waits until it is ready. */
+  /** Starts a host with a configuration and waits until it is ready. */
   static async start(configuration: unknown, pools: readonly string[]): Promise<PlatformHost> {
     const host = await PlatformHost.listen(pools);
-    await host.begin(configuration);
+    await host.configureAndStart(configuration);
     return host;
   }
 
-  /** A host that listens and has learnt nothing yet. Its pools, by name, each have the one server. */
+  /** Creates a host that listens but has no configuration yet. Each of the pools contains the one endpoint. */
   static async listen(pools: readonly string[]): Promise<PlatformHost> {
     const store = new StoreStandIn();
     const server = new WireServer();
@@ -99,19 +99,19 @@
     });
   }
 
-  /** Asks every caller to connect anew. */
+  /** Starts draining: every caller is made to reconnect. */
   drain(): void {
     this._callers.startDraining();
   }
 
-  /** Learns what stands in its store, a configuration among it. */
-  async begin(configuration: unknown): Promise<void> {
+  /** Stores a configuration, starts the gateway and waits until it is ready. */
+  async configureAndStart(configuration: unknown): Promise<void> {
     this.store.data.put(recordKeys.configurationKey, JSON.stringify(configuration));
     this.gateway.start(this._peers);
-    await this.until(() => this.gateway.isReady());
+    await this.waitUntil(() => this.gateway.isReady());
   }
 
-  async ask(options: http.RequestOptions, body?: string): Promise<Answered> {
+  async send(options: http.RequestOptions, body?: string): Promise<HttpReply> {
     const [host = '', port = ''] = this._address.split(':');
     return new Promise((resolve, reject) => {
       const request = http.request({ host, port: Number(port), agent: false, ...options }, response => {
@@ -131,19 +131,19 @@
     });
   }
 
-  /** Puts another configuration in force at the host. */
+  /** Stores another configuration and waits until the host has applied it. */
   async configure(configuration: { readonly version: number }): Promise<void> {
     this.store.data.put(recordKeys.configurationKey, JSON.stringify(configuration));
     const { version } = configuration;
-    await this.until(() =>
+    await this.waitUntil(() =>
       this.log.lines.some(line => line.text === 'configuration' && line.details.revision === version),
     );
   }
 
-  async until(isTrue: () => boolean): Promise<void> {
+  async waitUntil(isTrue: () => boolean): Promise<void> {
     for (let i = 0; i < MAX_POLLS && !isTrue(); i++)
       await new Promise(resolve => setTimeout(resolve, POLL_MS));
-    if (!isTrue()) throw new Error('the host did not come to it');
+    if (!isTrue()) throw new Error('the host did not reach the expected state in time');
   }
 
   async stop(): Promise<void> {
--- a/tests/platformStandIns.ts
+++ b/tests/platformStandIns.ts
@@ -1,5 +1,5 @@
 /**
- * Stand-ins that speak the platform's protocols over sockets: its store, and a server behind the system.
+ * Stand-ins for the platform's store and for an endpoint, over sockets.
  */
 import http from 'node:http';
 import net from 'node:net';
@@ -15,15 +15,15 @@
 
 const POLL_MS = 5;
 
-/** The platform's store, as its page describes it. */
+/** Implements the HTTP interface of the platform's store. */
 export class StoreStandIn {
   readonly data = new FakeStore(new SystemClock());
-  /** Status that every call is answered with, if set. */
-  refuseWith: number | undefined;
-  /** Calls are read and never answered. */
-  isSilent = false;
-  /** The next transaction is done and its connection reset without an answer. */
-  dropNextAnswer = false;
+  /** If set, every call fails with this status. */
+  failWithStatus: number | undefined;
+  /** Calls are read but never answered. */
+  isUnresponsive = false;
+  /** The next transaction is executed and its connection reset without a response. */
+  dropNextResponse = false;
   pageSize = 500;
   readonly paths: string[] = [];
   private readonly _server = http.createServer((request, response) => void this._handle(request, response));
@@ -49,15 +49,15 @@
     const body = Buffer.concat(chunks).toString();
     const url = new URL(request.url ?? '/', 'http://store');
     this.paths.push(`${request.method ?? ''} ${url.pathname}`);
-    if (this.isSilent) return;
-    if (this.refuseWith !== undefined) {
-      send(response, this.refuseWith, undefined);
+    if (this.isUnresponsive) return;
+    if (this.failWithStatus !== undefined) {
+      send(response, this.failWithStatus, undefined);
       return;
     }
-    await this._answer(request.method ?? '', url, body, response);
+    await this._dispatch(request.method ?? '', url, body, response);
   }
 
-  private async _answer(
+  private async _dispatch(
     method: string,
     url: URL,
     body: string,
@@ -146,8 +146,8 @@
     });
     const removes = body.remove.map((key): Write => ({ kind: 'delete', key }));
     const result = this.data.transact(compares, [...puts, ...removes]);
-    if (this.dropNextAnswer) {
-      this.dropNextAnswer = false;
+    if (this.dropNextResponse) {
+      this.dropNextResponse = false;
       response.socket?.resetAndDestroy();
       return;
     }
@@ -172,7 +172,7 @@
   return typeof bound === 'object' && bound ? `127.0.0.1:${bound.port}` : '';
 }
 
-/** A request as it stood on the wire. */
+/** A request as received. */
 export interface WireRequest {
   readonly method: string;
   readonly target: string;
@@ -180,16 +180,16 @@
   readonly body: Buffer;
 }
 
-/** Writes the bytes of an answer; it may write none, too many, or break off. */
-export type WireAnswer = (request: WireRequest, socket: net.Socket) => void;
+/** Writes raw response bytes; it may write none, too many or a truncated response. */
+export type WireHandler = (request: WireRequest, socket: net.Socket) => void;
 
-/** A server whose every byte a test decides. */
+/** An endpoint whose responses a test controls byte by byte. */
 export class WireServer {
   readonly requests: WireRequest[] = [];
   connections = 0;
-  /** Connections that the other side has closed. */
+  /** Number of closed connections. */
   closed = 0;
-  answer: WireAnswer = (request, socket) => void socket.write(genuine(request, 'whole'));
+  answer: WireHandler = (request, socket) => void socket.write(validResponse(request, 'whole'));
   private readonly _sockets = new Set<net.Socket>();
   private readonly _server = net.createServer(socket => this._accept(socket));
 
@@ -232,8 +232,8 @@
   const [method = '', target = ''] = first.split(' ');
   const headers = Object.fromEntries(
     lines.map(line => {
-      const at = line.indexOf(':');
-      return [line.slice(0, at).toLowerCase(), line.slice(at + 1).trim()];
+      const separator = line.indexOf(':');
+      return [line.slice(0, separator).toLowerCase(), line.slice(separator + 1).trim()];
     }),
   ) as Record<string, string>;
   const lengthBytes = Number(headers['content-length'] ?? 0);
@@ -242,8 +242,8 @@
   return { request: { method, target, headers, body: bytes.subarray(headEnd + 4, sizeBytes) }, sizeBytes };
 }
 
-/** A whole answer with the server's proof. */
-export function genuine(
+/** A complete response with the endpoint's proof. */
+export function validResponse(
   request: WireRequest,
   body: string,
   status = '200 OK',
@@ -260,7 +260,7 @@
   ].join('\r\n');
 }
 
-/** The head of a stream of events in chunks, under a weight version. */
+/** The headers of a chunked event stream with a weight version. */
 export function streamHead(request: WireRequest, version: number): string {
   return [
     'HTTP/1.1 200 OK',
--- a/tests/platformWire.spec.ts
+++ b/tests/platformWire.spec.ts
@@ -1,5 +1,5 @@
 /**
- * The platform's store and servers over sockets: what is written, what an answer proves, what a fault leaves.
+ * The clients for the platform's store and endpoints over sockets: wire format, error classification, connection faults.
  */
 import { setMaxListeners } from 'node:events';
 import tap from 'tap';
@@ -8,11 +8,18 @@
 import { PlatformEndpointClient, retirementRecord, StoreClient } from '@fuchsiahitch/platform';
 import { FakeStore } from './fakeStore.js';
 import { TestLog } from './gatewayWorld.js';
-import { chunk, genuine, LAST_CHUNK, StoreStandIn, streamHead, WireServer } from './platformStandIns.js';
+import {
+  chunk,
+  validResponse,
+  LAST_CHUNK,
+  StoreStandIn,
+  streamHead,
+  WireServer,
+} from './platformStandIns.js';
 
 const clock = new SystemClock();
 const deadline = (ms = 2000): Deadline => Deadline.after(clock, ms);
-const NOT_ABORTED = new AbortController().signal;
+const NEVER_ABORTED = new AbortController().signal;
 
 async function withStore(run: (store: StoreStandIn, client: StoreClient) => Promise<void>): Promise<void> {
   const store = new StoreStandIn();
@@ -21,7 +28,7 @@
   await store.close();
 }
 
-await tap.test('should write under a condition, read, list in pages and watch', t =>
+await tap.test('should write conditionally, read, list in pages and watch', t =>
   withStore(async (store, client) => {
     const put = { kind: 'put', key: 'a/1', value: 'näme' } as const;
     const first = await client.transact([{ key: 'a/1', version: 0 }], [put], deadline());
@@ -47,35 +54,35 @@
   }),
 );
 
-await tap.test('should tell what a failed call to the store proves', t =>
+await tap.test('should classify failed calls to the store', t =>
   withStore(async (store, client) => {
-    // Symptom: a batch that was refused runs. Sequence: the answer of its write is lost. Cause: one kind of failure.
+    // Guards against reporting a write as not done when only its response was lost.
     const put = { kind: 'put', key: 'k', value: 'v' } as const;
     for (const status of [503, 429]) {
-      store.refuseWith = status;
+      store.failWithStatus = status;
       const refused = await client.transact([], [put], deadline());
       t.ok(!refused.ok && refused.error === 'not-done', String(status));
     }
-    store.refuseWith = 500;
+    store.failWithStatus = 500;
     const failed = await client.transact([], [put], deadline());
     t.ok(!failed.ok && failed.error === 'unknown');
-    store.refuseWith = undefined;
-    store.dropNextAnswer = true;
+    store.failWithStatus = undefined;
+    store.dropNextResponse = true;
     const lost = await client.transact([], [put], deadline());
     t.ok(!lost.ok && lost.error === 'unknown');
     t.equal(store.data.value('k'), 'v');
-    store.isSilent = true;
-    const silent = await client.get('k', deadline(100));
-    t.ok(!silent.ok && silent.error === 'unknown');
-    store.isSilent = false;
-    t.ok((await client.get('k', deadline())).ok, 'a fresh connection');
-    const nobody = new StoreClient('127.0.0.1:1', () => undefined);
-    const refused = await nobody.get('k', deadline());
+    store.isUnresponsive = true;
+    const timedOut = await client.get('k', deadline(100));
+    t.ok(!timedOut.ok && timedOut.error === 'unknown');
+    store.isUnresponsive = false;
+    t.ok((await client.get('k', deadline())).ok, 'a new connection');
+    const unreachable = new StoreClient('127.0.0.1:1', () => undefined);
+    const refused = await unreachable.get('k', deadline());
     t.ok(!refused.ok && refused.error === 'not-done');
   }),
 );
 
-await tap.test('should hold keys by leases', t =>
+await tap.test('should grant, renew and revoke leases', t =>
   withStore(async (store, client) => {
     const lease = await client.grantLease(2000, deadline());
     t.ok(lease.ok);
@@ -91,9 +98,9 @@
   }),
 );
 
-await tap.test('should answer the wish to empty a storage host', async t => {
-  // Symptom: a host that is to be emptied waits for seconds, or for ever. Sequence: the store is away when the answer is
-  // written, or drops its history. Cause: a wish that was seen is taken for one that was answered.
+await tap.test('should answer a request to retire a storage host', async t => {
+  // Guards against taking a request that was seen for one that was answered, when the store is unreachable or compacts its
+  // history.
   const virtual = new VirtualClock();
   const store = new FakeStore(virtual);
   const client = store.client();
@@ -103,7 +110,7 @@
   void retirement.run(stop.signal);
   const watches = t.capture(client, 'changes', client.changes.bind(client));
   await virtual.advance(60_000);
-  t.ok(watches().length <= 5, 'a watch is one call in a quarter of a minute');
+  t.ok(watches().length <= 5, 'at most one watch call per 15 s');
   store.put('op/retire/storage-2', '{}');
   store.put('op/retire/storage-12', '{}');
   await virtual.advance(100);
@@ -170,9 +177,9 @@
   return Buffer.concat(chunks).toString();
 }
 
-await tap.test('should pass a request on as it came, with what is left of its time', t =>
+await tap.test('should forward a request unchanged, with its remaining deadline', t =>
   withServer(async (server, endpoint, client) => {
-    const reply = await client.send(call(endpoint), NOT_ABORTED);
+    const reply = await client.send(call(endpoint), NEVER_ABORTED);
     t.ok(reply.kind === 'answered' && reply.answer.proof === 'proof');
     if (reply.kind === 'answered') t.equal(await read(reply.answer.body), 'whole');
     const [request] = server.requests;
@@ -186,121 +193,120 @@
       'x-odd': 'Value',
     });
     t.equal(request?.headers['x-hop'], undefined);
-    const odd = await client.send(call(endpoint, { method: 'PROPFIND', body: undefined }), NOT_ABORTED);
+    const odd = await client.send(call(endpoint, { method: 'PROPFIND', body: undefined }), NEVER_ABORTED);
     t.equal(odd.kind, 'answered');
   }),
 );
 
-await tap.test('should take only proof for "not run"', t =>
+await tap.test('should report not-run only with proof', t =>
   withServer(async (server, endpoint, client) => {
-    const send = async (): Promise<unknown> => client.send(call(endpoint), NOT_ABORTED);
+    const send = async (): Promise<unknown> => client.send(call(endpoint), NEVER_ABORTED);
     server.answer = (request, socket) =>
       void socket.write(
-        genuine(request, '', '503 Service Unavailable', ['Not-Executed: 1', 'Server-Load: 4,9,4']),
+        validResponse(request, '', '503 Service Unavailable', ['Not-Executed: 1', 'Server-Load: 4,9,4']),
       );
     t.match(await send(), { kind: 'not-run', reason: 'refused', load: { running: 4, waiting: 9 } });
-    server.answer = (request, socket) => void socket.write(genuine(request, '', '421 Misdirected Request'));
+    server.answer = (request, socket) =>
+      void socket.write(validResponse(request, '', '421 Misdirected Request'));
     t.match(await send(), { kind: 'not-run', reason: 'other-instance' });
-    server.answer = (request, socket) => void socket.write(genuine(request, '', '503 Service Unavailable'));
+    server.answer = (request, socket) =>
+      void socket.write(validResponse(request, '', '503 Service Unavailable'));
     t.match(await send(), { kind: 'answered' });
     server.answer = (_request, socket) => void socket.resetAndDestroy();
     t.match(await send(), { kind: 'broken' });
     const nowhere = { ...endpoint, address: '127.0.0.1:1' };
-    t.match(await client.send(call(nowhere), NOT_ABORTED), { kind: 'not-run', reason: 'unreachable' });
+    t.match(await client.send(call(nowhere), NEVER_ABORTED), { kind: 'not-run', reason: 'unreachable' });
   }),
 );
 
-await tap.test('should tell an endpoint that has ended from one that broke a connection', t =>
+await tap.test('should distinguish a terminated endpoint from a broken connection', t =>
   withServer(async (server, endpoint, client) => {
     server.answer = (_request, socket) => void socket.resetAndDestroy();
-    t.match(await client.send(call(endpoint), NOT_ABORTED), { kind: 'broken' });
-    t.notOk(await client.hasEnded(endpoint), 'it listens');
+    t.match(await client.send(call(endpoint), NEVER_ABORTED), { kind: 'broken' });
+    t.notOk(await client.hasEnded(endpoint), 'still listening');
     server.answer = () => void server.close();
-    t.match(await client.send(call(endpoint), NOT_ABORTED), { kind: 'broken' });
-    t.ok(await client.hasEnded(endpoint), 'nobody listens any more');
-    // A record may hold any five digits.
-    t.notOk(await client.hasEnded({ ...endpoint, address: '127.0.0.1:99999' }), 'not known');
+    t.match(await client.send(call(endpoint), NEVER_ABORTED), { kind: 'broken' });
+    t.ok(await client.hasEnded(endpoint), 'no longer listening');
+    // A record may contain an invalid port.
+    t.notOk(await client.hasEnded({ ...endpoint, address: '127.0.0.1:99999' }), 'inconclusive');
   }),
 );
 
-await tap.test('should write a request once, also when its connection breaks', t =>
+await tap.test('should send a request only once when its connection breaks', t =>
   withServer(async (server, endpoint, client) => {
-    // Symptom: a seat is held twice. Sequence: a kept connection is closed as the request is written. Cause: the
-    // library's own retry.
-    const first = await client.send(call(endpoint), NOT_ABORTED);
+    // Guards against implicit retries in the HTTP library when a reused connection is closed.
+    const first = await client.send(call(endpoint), NEVER_ABORTED);
     if (first.kind === 'answered') await read(first.answer.body);
     server.answer = (_request, socket) => void socket.destroy();
     const before = server.requests.length;
-    t.match(await client.send(call(endpoint), NOT_ABORTED), { kind: 'broken' });
+    t.match(await client.send(call(endpoint), NEVER_ABORTED), { kind: 'broken' });
     t.equal(server.requests.length, before + 1);
   }),
 );
 
-await tap.test('should not take a late answer for the next request’s', t =>
+await tap.test('should not match an extra response to the next request', t =>
   withServer(async (server, endpoint, client) => {
-    // Symptom: a visitor gets another visitor's answer. Sequence: the server sends a second answer on a kept
-    // connection. Cause: answers matched by order.
+    // Guards against matching responses by order only: a second response on a reused connection would reach another caller.
     server.answer = (request, socket) => {
       const other = { ...request, headers: { ...request.headers, 'request-id': 'r0' } };
-      socket.write(genuine(other, 'of another'));
+      socket.write(validResponse(other, 'of another'));
     };
-    t.match(await client.send(call(endpoint), NOT_ABORTED), { kind: 'broken' });
+    t.match(await client.send(call(endpoint), NEVER_ABORTED), { kind: 'broken' });
     server.answer = (request, socket) => {
-      socket.write(genuine(request, 'whole') + genuine(request, 'and one more'));
+      socket.write(validResponse(request, 'whole') + validResponse(request, 'and one more'));
     };
-    const reply = await client.send(call(endpoint), NOT_ABORTED);
+    const reply = await client.send(call(endpoint), NEVER_ABORTED);
     if (reply.kind === 'answered') t.equal(await read(reply.answer.body), 'whole');
-    server.answer = (request, socket) => void socket.write(genuine(request, 'next'));
-    const next = await client.send(call(endpoint), NOT_ABORTED);
+    server.answer = (request, socket) => void socket.write(validResponse(request, 'next'));
+    const next = await client.send(call(endpoint), NEVER_ABORTED);
     if (next.kind === 'answered') t.equal(await read(next.answer.body), 'next');
-    t.ok(server.connections >= 3, 'spoiled connections are not used again');
+    t.ok(server.connections >= 3, 'connections with mismatched responses are not reused');
   }),
 );
 
-await tap.test('should not take part of an answer for the whole', t =>
+await tap.test('should not accept a truncated response', t =>
   withServer(async (server, endpoint, client) => {
     for (const length of ['Content-Length: 50', 'Transfer-Encoding: chunked']) {
       server.answer = (_request, socket) => {
         socket.write(`HTTP/1.1 200 OK\r\nServer-Stamp: p\r\n${length}\r\n\r\n`);
         socket.write(length.startsWith('C') ? 'half' : chunk('half'), () => socket.destroy());
       };
-      const reply = await client.send(call(endpoint), NOT_ABORTED);
+      const reply = await client.send(call(endpoint), NEVER_ABORTED);
       t.equal(reply.kind, 'answered');
       if (reply.kind === 'answered') await t.rejects(read(reply.answer.body), length);
     }
     server.answer = (_request, socket) => {
       socket.write('HTTP/1.1 200 OK\r\nServer-Stamp: p\r\n\r\nto the end', () => socket.end());
     };
-    const reply = await client.send(call(endpoint), NOT_ABORTED);
+    const reply = await client.send(call(endpoint), NEVER_ABORTED);
     if (reply.kind === 'answered') t.equal(await read(reply.answer.body), 'to the end');
     server.answer = (_request, socket) => void socket.write('this is no answer\r\n\r\n');
-    t.match(await client.send(call(endpoint), NOT_ABORTED), { kind: 'broken' });
+    t.match(await client.send(call(endpoint), NEVER_ABORTED), { kind: 'broken' });
   }),
 );
 
-await tap.test('should not take an answer without a length for whole when its connection is reset', t =>
+await tap.test('should fail a close-delimited response when its connection is reset', t =>
   withServer(async (server, endpoint, client) => {
-    // Symptom: a caller gets half an answer that looks complete. Sequence: the answer has no length and ends with its
-    // connection; the server crashes in the middle of it. Cause: the library takes a reset for the end.
+    // Guards against undici's handling of a reset as the regular end: a truncated response would look complete.
     let isReset = false;
     server.answer = (_request, socket) => {
       socket.write('HTTP/1.1 200 OK\r\nServer-Stamp: p\r\nConnection: close\r\n\r\nhalf');
-      waitForReader.then(
+      readingBegan.then(
         () => socket.resetAndDestroy(),
         () => undefined,
       );
     };
-    let begin: () => void = () => undefined;
-    const waitForReader = new Promise<void>(resolve => {
-      begin = resolve;
+    let onReading: () => void = () => undefined;
+    const readingBegan = new Promise<void>(resolve => {
+      onReading = resolve;
     });
-    const reply = await client.send(call(endpoint), NOT_ABORTED);
+    const reply = await client.send(call(endpoint), NEVER_ABORTED);
     t.equal(reply.kind, 'answered');
     if (reply.kind !== 'answered') return;
     try {
       for await (const part of reply.answer.body) {
         t.equal(part.toString(), 'half');
-        begin();
+        onReading();
       }
     } catch {
       isReset = true;
@@ -309,31 +315,30 @@
   }),
 );
 
-await tap.test('should notice a reset that comes before anybody reads the answer', t =>
+await tap.test('should detect a reset that arrives before the body is read', t =>
   withServer(async (server, endpoint, client) => {
-    // Symptom: as above, once in some hundred such answers. Sequence: the head, half of the body and the reset come
-    // before the reader begins. Cause: resets counted from the moment at which the reading began.
+    // Guards against tracking resets only once the body is being read.
     for (let i = 0; i < 5; i++) {
       server.answer = (_request, socket) => {
         socket.write('HTTP/1.1 200 OK\r\nServer-Stamp: p\r\nConnection: close\r\n\r\nhalf', () => {
           setImmediate(() => socket.resetAndDestroy());
         });
       };
-      const reply = await client.send(call(endpoint), NOT_ABORTED);
+      const reply = await client.send(call(endpoint), NEVER_ABORTED);
       if (reply.kind !== 'answered') {
         t.equal(reply.kind, 'broken');
         continue;
       }
       while (server.closed <= i) await new Promise(resolve => setImmediate(resolve));
       for (let turn = 0; turn < 20; turn++) await new Promise(resolve => setImmediate(resolve));
-      await t.rejects(read(reply.answer.body), 'half an answer is none');
+      await t.rejects(read(reply.answer.body), 'a truncated response');
     }
   }),
 );
 
-await tap.test('should close the connection of a request that is given up', t =>
+await tap.test('should close the connection of a cancelled request', t =>
   withServer(async (server, endpoint, client) => {
-    // Symptom: servers work for callers that are gone. Cause: the request is forgotten, its connection kept.
+    // Guards against endpoints that continue to work for disconnected callers.
     const abort = new AbortController();
     server.answer = () => abort.abort();
     t.match(await client.send(call(endpoint), abort.signal), { kind: 'cancelled' });
@@ -356,7 +361,7 @@
   };
 }
 
-await tap.test('should read an item’s events with the versions that made them', t =>
+await tap.test('should read an item’s events with their weight versions', t =>
   withServer(async (server, endpoint, client) => {
     const events: unknown[] = [];
     const listener = {
@@ -371,7 +376,7 @@
       socket.write(chunk('id: 4\ndata: a\n\nid: 5\nda'));
       socket.write(chunk('ta: b\n\nweight-versions: 3\nid: 6\ndata: c\n\n') + LAST_CHUNK);
     };
-    const end = await client.runItem(itemCall(endpoint, 3), listener, NOT_ABORTED);
+    const end = await client.runItem(itemCall(endpoint, 3), listener, NEVER_ABORTED);
     t.same(end, { kind: 'done' });
     t.same(events, [
       { number: 4, text: 'a', version: 2 },
@@ -388,7 +393,7 @@
   }),
 );
 
-await tap.test('should tell how an item’s attempt ended', t =>
+await tap.test('should classify the end of an item’s attempt', t =>
   withServer(async (server, endpoint, client) => {
     const seen: number[] = [];
     const listener = {
@@ -398,32 +403,34 @@
         return true;
       },
     };
-    const run = async (): Promise<unknown> => client.runItem(itemCall(endpoint), listener, NOT_ABORTED);
+    const run = async (): Promise<unknown> => client.runItem(itemCall(endpoint), listener, NEVER_ABORTED);
     server.answer = (request, socket) => {
-      // The stream breaks in the middle of an event: only whole events count.
+      // The stream breaks in the middle of an event: only complete events count.
       socket.write(streamHead(request, 2) + chunk('id: 1\ndata: a\n\nid: 2\ndata: b'), () =>
         socket.destroy(),
       );
     };
     t.match(await run(), { kind: 'broken' });
     t.same(seen, [1]);
-    server.answer = (request, socket) => void socket.write(genuine(request, '', '500 Internal Server Error'));
+    server.answer = (request, socket) =>
+      void socket.write(validResponse(request, '', '500 Internal Server Error'));
     t.match(await run(), { kind: 'failed', status: 500 });
-    server.answer = (request, socket) => void socket.write(genuine(request, '', '422 Unprocessable Entity'));
+    server.answer = (request, socket) =>
+      void socket.write(validResponse(request, '', '422 Unprocessable Entity'));
     t.match(await run(), { kind: 'impossible' });
     server.answer = (request, socket) =>
-      void socket.write(genuine(request, '', '503 Service Unavailable', ['Not-Executed: 1']));
+      void socket.write(validResponse(request, '', '503 Service Unavailable', ['Not-Executed: 1']));
     t.match(await run(), { kind: 'not-run', reason: 'refused' });
   }),
 );
 
-await tap.test('should order a version with what the server reported, and read its word', t =>
+await tap.test('should order a weight version and read the endpoint’s report', t =>
   withServer(async (server, endpoint, client) => {
     server.answer = (request, socket) => {
       const report = { models: [{ name: 'm1', version: 2 }], busy: true, seq: 5 };
       const isReport = request.target === '/v1/report';
       socket.write(
-        genuine(request, isReport ? JSON.stringify(report) : '', isReport ? '200 OK' : '202 Accepted'),
+        validResponse(request, isReport ? JSON.stringify(report) : '', isReport ? '200 OK' : '202 Accepted'),
       );
     };
     t.match(await client.report(endpoint, 500), { isBusy: true, sequence: 5 });
@@ -445,7 +452,7 @@
       fence_token: 41,
       expected: 5,
     });
-    server.answer = (request, socket) => void socket.write(genuine(request, '', '409 Conflict'));
+    server.answer = (request, socket) => void socket.write(validResponse(request, '', '409 Conflict'));
     t.equal(await client.order(order, 500), 'busy');
     server.answer = () => undefined;
     t.equal(await client.order(order, 50), 'unknown');
--- a/tests/protocol.spec.ts
+++ b/tests/protocol.spec.ts
@@ -1,5 +1,5 @@
 /**
- * The inner protocol: typed calls between hosts that proved the fleet key, and nothing else gets in.
+ * The peer protocol: typed calls between hosts that authenticate with the fleet key.
  */
 import net from 'node:net';
 import fc from 'fast-check';
@@ -27,7 +27,7 @@
   programVersion: '0',
 });
 const echo = defineCall('echo', z.strictObject({ text: z.string() }), z.strictObject({ text: z.string() }));
-const never = defineCall('never', z.strictObject({}), z.strictObject({}));
+const neverAnswered = defineCall('never', z.strictObject({}), z.strictObject({}));
 
 class Counters {
   readonly refusals: string[] = [];
@@ -35,14 +35,14 @@
     this.refusals.push(reason);
   }
   sent(): void {
-    // Bytes don't matter here.
+    // Not counted.
   }
   received(): void {
-    // Nor here.
+    // Not counted.
   }
 }
 
-async function pair(
+async function startPair(
   clientKey = KEY,
 ): Promise<{ server: PeerServer; link: PeerLink; counters: Counters; address: string }> {
   const counters = new Counters();
@@ -54,7 +54,7 @@
     counters,
   });
   server.handle(echo, ({ text }) => ({ text }));
-  server.handle(never, async () => new Promise(() => undefined));
+  server.handle(neverAnswered, async () => new Promise(() => undefined));
   const address = await server.listen();
   const link = new PeerLink({
     address,
@@ -67,7 +67,7 @@
 }
 
 await tap.test('should answer a call', async t => {
-  const { server, link } = await pair();
+  const { server, link } = await startPair();
   t.same(await link.call(echo, { text: 'x'.repeat(100_000) }, Deadline.after(clock, 5000)), {
     ok: true,
     value: { text: 'x'.repeat(100_000) },
@@ -76,16 +76,19 @@
   await server.close();
 });
 
-await tap.test('should tell what is proved when a call fails', async t => {
-  const { server, link } = await pair();
-  t.match(await link.call(never, {}, Deadline.after(clock, 50)), { ok: false, error: { kind: 'timed-out' } });
+await tap.test('should classify failed calls', async t => {
+  const { server, link } = await startPair();
+  t.match(await link.call(neverAnswered, {}, Deadline.after(clock, 50)), {
+    ok: false,
+    error: { kind: 'timed-out' },
+  });
   t.match(await link.call(calls.slotMapPull, {}, Deadline.after(clock, 1000)), {
     ok: false,
     error: { kind: 'refused' },
   });
   const bad = { text: 5 } as unknown as { text: string };
   t.match(await link.call(echo, bad, Deadline.after(clock, 1000)), { ok: false, error: { kind: 'refused' } });
-  const pending = link.call(never, {}, Deadline.after(clock, 5000));
+  const pending = link.call(neverAnswered, {}, Deadline.after(clock, 5000));
   await link.call(echo, { text: 'order' }, Deadline.after(clock, 1000));
   await server.close();
   t.match(await pending, { ok: false, error: { kind: 'broken' } });
@@ -96,8 +99,8 @@
   link.close();
 });
 
-await tap.test('should not talk to a peer without the fleet key', async t => {
-  const { server, link, counters } = await pair('another-fleet-key');
+await tap.test('should reject a peer without the fleet key', async t => {
+  const { server, link, counters } = await startPair('another-fleet-key');
   t.match(await link.call(echo, { text: 'x' }, Deadline.after(clock, 2000)), {
     ok: false,
     error: { kind: 'not-sent' },
@@ -118,21 +121,24 @@
   });
 }
 
-await tap.test('should close strangers that send too much or nonsense, and serve the others', async t => {
-  const { server, link, counters, address } = await pair();
-  const huge = Buffer.alloc(8);
-  huge.writeUInt32BE(0x7fffffff, 0);
-  await sendRaw(address, huge);
-  await sendRaw(address, encodeFrame({ hello: 1 }));
-  await sendRaw(address, Buffer.from([0, 0, 0, 2, 0xff, 0xff]));
-  t.same(counters.refusals, ['frame-too-large', 'bad-hello', 'malformed-frame']);
-  t.match(await link.call(echo, { text: 'still here' }, Deadline.after(clock, 5000)), { ok: true });
-  link.close();
-  await server.close();
-});
+await tap.test(
+  'should close connections with oversized or malformed frames and serve the others',
+  async t => {
+    const { server, link, counters, address } = await startPair();
+    const huge = Buffer.alloc(8);
+    huge.writeUInt32BE(0x7fffffff, 0);
+    await sendRaw(address, huge);
+    await sendRaw(address, encodeFrame({ hello: 1 }));
+    await sendRaw(address, Buffer.from([0, 0, 0, 2, 0xff, 0xff]));
+    t.same(counters.refusals, ['frame-too-large', 'bad-hello', 'malformed-frame']);
+    t.match(await link.call(echo, { text: 'still here' }, Deadline.after(clock, 5000)), { ok: true });
+    link.close();
+    await server.close();
+  },
+);
 
-await tap.test('should survive any bytes of a stranger', { timeout: 0 }, async t => {
-  const { server, link, address } = await pair();
+await tap.test('should survive arbitrary bytes from unauthenticated clients', { timeout: 0 }, async t => {
+  const { server, link, address } = await startPair();
   const sockets = new Set<net.Socket>();
   const [ip = '', port = '0'] = address.split(':');
   await fc.assert(
@@ -150,7 +156,7 @@
   await server.close();
 });
 
-await tap.test('should put frames together whatever pieces they come in', t => {
+await tap.test('should reassemble frames from chunks of any size', t => {
   const value = fc.record({
     text: fc.string(),
     list: fc.array(fc.integer()),
@@ -195,50 +201,49 @@
 });
 
 await tap.test('should use no worker thread and no io_uring', async t => {
-  // The hosts forbid both; libraries that write logs or traces like to start threads.
+  // Neither is available on the hosts; logging and tracing libraries often start worker threads.
   const resources = process.getActiveResourcesInfo();
   t.notOk(resources.includes('Worker'));
   t.equal(process.env.UV_USE_IO_URING ?? '0', '0');
   await eventually('nothing', () => true);
 });
 
-await tap.test('should leave a connection that fell silent for a fresh one', async t => {
-  // Symptom: calls to one host time out for ever, while others reach it. Sequence: the connection falls silent
-  // without a reset; new connections work. Cause: a time-out that ends the call and keeps the connection.
-  const { server, address, counters } = await pair();
-  let isSilent = false;
+await tap.test('should replace an unresponsive connection by a new one', async t => {
+  // Guards against reusing a connection that became unresponsive without a reset: every later call would time out.
+  const { server, address, counters } = await startPair();
+  let isUnresponsive = false;
   const sockets: net.Socket[] = [];
   const proxy = net.createServer(socket => {
     const [ip = '', port = ''] = address.split(':');
-    const onward = net.connect({ host: ip, port: Number(port) });
-    const isDead = (): boolean => isSilent && sockets.indexOf(socket) === 0;
+    const upstream = net.connect({ host: ip, port: Number(port) });
+    const isBlackholed = (): boolean => isUnresponsive && sockets.indexOf(socket) === 0;
     sockets.push(socket);
-    socket.on('data', chunk => isDead() || onward.write(chunk));
-    onward.on('data', chunk => isDead() || socket.write(chunk));
+    socket.on('data', chunk => isBlackholed() || upstream.write(chunk));
+    upstream.on('data', chunk => isBlackholed() || socket.write(chunk));
     socket.on('error', () => socket.destroy());
-    socket.on('close', () => onward.destroy());
-    onward.on('error', () => onward.destroy());
+    socket.on('close', () => upstream.destroy());
+    upstream.on('error', () => upstream.destroy());
   });
   await new Promise<void>(resolve => proxy.listen(0, '127.0.0.1', resolve));
   const bound = proxy.address();
   const port = typeof bound === 'object' && bound ? bound.port : 0;
-  const through = new PeerLink({
+  const proxiedLink = new PeerLink({
     address: `127.0.0.1:${port}`,
     fleetKey: KEY,
     identity: identity('b'),
     clock,
     counters,
   });
-  t.ok((await through.call(echo, { text: 'one' }, Deadline.after(clock, 2000))).ok);
-  isSilent = true;
-  const lost = await through.call(echo, { text: 'two' }, Deadline.after(clock, 100));
+  t.ok((await proxiedLink.call(echo, { text: 'one' }, Deadline.after(clock, 2000))).ok);
+  isUnresponsive = true;
+  const lost = await proxiedLink.call(echo, { text: 'two' }, Deadline.after(clock, 100));
   t.ok(!lost.ok && lost.error.kind === 'timed-out');
-  await eventually('a fresh connection answers', async () => {
-    const reply = await through.call(echo, { text: 'three' }, Deadline.after(clock, 500));
+  await eventually('a new connection answers', async () => {
+    const reply = await proxiedLink.call(echo, { text: 'three' }, Deadline.after(clock, 500));
     return reply.ok;
   });
   t.equal(sockets.length, 2);
-  through.close();
+  proxiedLink.close();
   proxy.close();
   await server.close();
 });
--- a/tests/sockets.spec.ts
+++ b/tests/sockets.spec.ts
@@ -1,5 +1,5 @@
 /**
- * What only real sockets show: resets of kept connections, slow readers, shutdown under load, bad input.
+ * Behaviour that needs real sockets: resets of reused connections, slow readers, bad input, shutdown under load.
  */
 import net from 'node:net';
 import tap from 'tap';
@@ -8,7 +8,7 @@
 
 tap.setTimeout(0);
 
-/** A raw HTTP server: `answer` gets each request's number and socket, and counts as its run. */
+/** A raw HTTP server. `answer` is called with the number of each request and its socket. */
 async function rawServer(
   answer: (run: number, socket: net.Socket) => void,
 ): Promise<{ url: string; runs: () => number; close: () => void }> {
@@ -36,10 +36,10 @@
 const OK_ANSWER = 'HTTP/1.1 200 OK\r\ncontent-length: 2\r\nconnection: keep-alive\r\n\r\nok';
 
 await tap.test(
-  'should not resend a request when a kept connection is reset after it was written',
+  'should not resend a request when a reused connection is reset after it was written',
   async t => {
-    // Symptom: a hold runs twice behind the product's back. Sequence: a connection is kept, the next request is
-    // written on it, the server runs it and the connection is reset. Cause: a library retries on its own.
+    // Guards against implicit retries in the HTTP library: the server ran the request before the reset, so a resend would
+    // run it twice.
     const server = await rawServer((run, socket) => {
       if (run === 1) socket.write(OK_ANSWER);
       else socket.resetAndDestroy();
@@ -49,12 +49,12 @@
     const signal = new AbortController().signal;
     t.match(await client.call(call, () => undefined, signal), { kind: 'answered', status: 200 });
     t.same(await client.call(call, () => undefined, signal), { kind: 'broken' });
-    t.equal(server.runs(), 2, 'one for each call, none resent');
+    t.equal(server.runs(), 2, 'one run per call');
     server.close();
   },
 );
 
-await tap.test('should prove not run only for what was never written', async t => {
+await tap.test('should report not-run only for requests that were never sent', async t => {
   const server = await rawServer(() => undefined);
   const client = new HttpServiceClient(endpointAgent());
   const call = { url: server.url, method: 'POST', path: '/holds', headers: {}, body: undefined };
@@ -68,9 +68,8 @@
   t.notOk(isNotSentError({ code: 'UND_ERR_SOCKET' }));
 });
 
-await tap.test('should not buffer a stream that its reader does not take', async t => {
-  // Symptom: a host's memory grows with a slow caller's answer. Sequence: the engine is fast, the caller reads one
-  // token and pauses. Cause: the host reads on regardless. The engine is held back by TCP instead.
+await tap.test('should apply backpressure to a stream with a slow reader', async t => {
+  // Guards against unbounded buffering: when the caller pauses, TCP flow control must hold the engine back.
   const event = `data: ${JSON.stringify({ choices: [{ text: 'x'.repeat(2000) }], weight_version: 1 })}\n\n`;
   let writtenBytes = 0;
   const server = await rawServer((_run, socket) => {
@@ -107,12 +106,12 @@
     },
     stop.signal,
   );
-  let last = -1;
+  let lastWrittenBytes = -1;
   await eventually('the engine is held back', async () => {
-    const isStill = last === writtenBytes && chunks === 1;
-    last = writtenBytes;
+    const isBlocked = lastWrittenBytes === writtenBytes && chunks === 1;
+    lastWrittenBytes = writtenBytes;
     await new Promise<void>(resolve => setTimeout(resolve, 100));
-    return isStill;
+    return isBlocked;
   });
   t.ok(writtenBytes < 16 << 20, `${writtenBytes} bytes left the engine`);
   stop.abort();
@@ -129,7 +128,7 @@
 });
 tap.teardown(() => fleet.stop());
 
-await tap.test('should refuse bad input with its reason and no effect', async t => {
+await tap.test('should refuse invalid input with a reason', async t => {
   const complete = (body: unknown, headers = {}): Promise<{ status: number; text: string }> =>
     fleet.call('tekapo-0', 'callers', '/v1/completions', { body, headers });
   t.match(await complete({ prompt: 'x' }), { status: 400, text: /model/ });
@@ -152,7 +151,7 @@
   t.match(await fleet.call('tekapo-0', 'trainers', '/v1/steps/take', { body: [] }), { status: 400 });
 });
 
-await tap.test('should let nobody edit rules without the token', async t => {
+await tap.test('should refuse rule edits without the operator token', async t => {
   const wrong = { authorization: 'Bearer wrong' };
   t.match(await fleet.call('tekapo-0', 'operators', '/v1/rules', { headers: wrong }), { status: 401 });
   t.match(await fleet.call('tekapo-0', 'operators', '/readyz', { headers: wrong }), { status: 200 });
@@ -160,9 +159,9 @@
   t.match(metrics.text, /fuchsiahitch_bad_input_total\{listener="callers"\} \d/);
 });
 
-await tap.test('should cut no stream at a shutdown, and hand over what it remembers', async t => {
-  // Symptom: streams end early and holds run again at each rollout of the program. Sequence: SIGTERM while a long
-  // stream runs; the balancer still sends for a while; the keys' owner goes away. Cause: the process just ended.
+await tap.test('should finish streams and hand over idempotency keys at shutdown', async t => {
+  // Guards against truncated streams and repeated runs in a rolling restart, while the load balancer still sends
+  // requests to the leaving hosts.
   const hold = { 'idempotency-key': 'before-shutdown' };
   await fleet.call('tekapo-1', 'callers', '/svc/skybook/holds', { body: {}, headers: hold });
   const streaming = fleet.call('tekapo-0', 'callers', '/v1/completions', {
@@ -171,14 +170,14 @@
   await eventually('the stream began', () => fleet.engines.some(engine => engine.completions > 0));
   const leaving = ['tekapo-0', 'tekapo-1'].map(id => fleet.host(id));
   const ends = leaving.map(host => host.shutDown());
-  t.equal(leaving[0]?.isReady(), false, 'not ready first');
+  t.equal(leaving[0]?.isReady(), false, 'not ready as soon as the shutdown starts');
   const late = await fleet.call('tekapo-0', 'callers', '/v1/completions', {
     body: { model: 'gen-pool', prompt: 'late', max_tokens: 2 },
   });
-  t.equal(late.status, 200, 'a late arrival of the balancer is served');
-  const whole = await streaming;
-  t.equal(whole.status, 200);
-  t.equal(whole.headers['fuchsiahitch-outcome'], 'completed');
+  t.equal(late.status, 200, 'a request that arrives during the shutdown is served');
+  const completed = await streaming;
+  t.equal(completed.status, 200);
+  t.equal(completed.headers['fuchsiahitch-outcome'], 'completed');
   await Promise.all(ends);
   fleet.hosts.delete('tekapo-0');
   fleet.hosts.delete('tekapo-1');
