--- a/packages/clients/src/httpEngineClient.ts
+++ b/packages/clients/src/httpEngineClient.ts
@@ -1,5 +1,5 @@
 /**
- * Engines that speak the completions interface with server-sent events.
+ * Client for engines with a completions API and server-sent events.
  */
 import type { Deadline } from '@fuchsiahitch/base';
 import { createParser } from 'eventsource-parser';
@@ -9,11 +9,17 @@
   EngineClient,
   EngineReport,
   GenerationChunk,
-  GenerationEnd,
+  GenerationResult,
   GenerationRequest,
   OrderAnswer,
 } from './engine.js';
-import { headerOf, isUnwritten, LEAVING_HEADER, NOT_RUN_HEADER, retryAfterMsOf } from './httpTools.js';
+import {
+  firstHeaderValue,
+  isNotSentError,
+  LEAVING_HEADER,
+  NOT_RUN_HEADER,
+  retryAfterMsOf,
+} from './httpTools.js';
 
 const OK_STATUS = 200;
 const CONFLICT = 409;
@@ -48,12 +54,12 @@
     generation: GenerationRequest,
     onChunks: (chunks: readonly GenerationChunk[]) => Promise<void> | void,
     signal: AbortSignal,
-  ): Promise<GenerationEnd> {
+  ): Promise<GenerationResult> {
     let response: Dispatcher.ResponseData;
     try {
       response = await this._send(generation, signal);
     } catch (thrown) {
-      if (isUnwritten(thrown))
+      if (isNotSentError(thrown))
         return { kind: 'not-run', isUnreachable: true, isLeaving: false, retryAfterMs: 0 };
       return signal.aborted ? { kind: 'cancelled' } : { kind: 'broken' };
     }
@@ -91,7 +97,7 @@
       if (response.statusCode < SERVER_ERROR && response.statusCode !== CONFLICT) return 'accepted';
       return response.statusCode === CONFLICT ? 'fenced' : 'failed';
     } catch (thrown) {
-      return isUnwritten(thrown) ? 'failed' : 'unknown';
+      return isNotSentError(thrown) ? 'failed' : 'unknown';
     }
   }
 
@@ -115,23 +121,23 @@
   }
 }
 
-async function refusalOf(response: Dispatcher.ResponseData): Promise<GenerationEnd> {
-  const isProven = headerOf(response.headers, NOT_RUN_HEADER) !== '';
-  const isLeaving = headerOf(response.headers, LEAVING_HEADER) !== '';
+async function refusalOf(response: Dispatcher.ResponseData): Promise<GenerationResult> {
+  const isProven = firstHeaderValue(response.headers, NOT_RUN_HEADER) !== '';
+  const isLeaving = firstHeaderValue(response.headers, LEAVING_HEADER) !== '';
   const retryAfterMs = retryAfterMsOf(response.headers);
   await response.body.dump();
   if (isProven) return { kind: 'not-run', isUnreachable: false, isLeaving, retryAfterMs };
   return { kind: 'failed', status: response.statusCode };
 }
 
-/** Reads the whole stream. A stream that ends without its last event is broken, however much it brought. */
+/** Reads the stream to its end. A stream that ends without the final event is `broken`. */
 async function readStream(
   body: AsyncIterable<Buffer>,
   onChunks: (chunks: readonly GenerationChunk[]) => Promise<void> | void,
   signal: AbortSignal,
-): Promise<GenerationEnd> {
-  const waiting: string[] = [];
-  const parser = createParser({ onEvent: event => waiting.push(event.data) });
+): Promise<GenerationResult> {
+  const pendingEvents: string[] = [];
+  const parser = createParser({ onEvent: event => pendingEvents.push(event.data) });
   const decoder = new TextDecoder();
   let tokens = 0;
   let finishReason = '';
@@ -140,7 +146,7 @@
     parser.feed(decoder.decode(bytes, { stream: true }));
     const chunks: GenerationChunk[] = [];
     let isDone = false;
-    for (const data of waiting.splice(0)) {
+    for (const data of pendingEvents.splice(0)) {
       if (data === DONE) {
         isDone = true;
         break;
@@ -153,7 +159,7 @@
         chunks.push({ text: choice.text, tokens: event.tokens, version: event.weight_version });
       }
     }
-    // One call and one write for all that a read brought, instead of one for each token.
+    // Batches all chunks of one read, so that the caller is not invoked per token.
     if (chunks.length > 0) await onChunks(chunks);
     if (isDone) return { kind: 'done', tokens, finishReason };
   }
--- a/packages/clients/src/index.ts
+++ b/packages/clients/src/index.ts
@@ -1,4 +1,4 @@
-/** Adapters to the platform, the endpoints and the scorers. */
+/** Clients for the platform's services, endpoints and scorers. */
 export * from './connectionProbe.js';
 export * from './engine.js';
 export * from './endpointPools.js';
@@ -8,9 +8,9 @@
 export * from './httpTools.js';
 export * from './keyValueStore.js';
 export * from './memberList.js';
-export * from './resetGuard.js';
+export * from './resetInterceptor.js';
 export * from './scorer.js';
 export * from './serviceClient.js';
 export * from './singleCall.js';
-export * from './timeoutAfterReading.js';
+export * from './timeoutAfterPendingIo.js';
 export * from './watchByChanges.js';
--- a/packages/clients/src/serviceClient.ts
+++ b/packages/clients/src/serviceClient.ts
@@ -1,8 +1,14 @@
 /**
- * Plain services beside the engines. Some of their calls may not be repeated.
+ * Client for HTTP services other than engines. Some of their calls are not idempotent.
  */
 import { request, type Dispatcher } from 'undici';
-import { headerOf, isUnwritten, LEAVING_HEADER, NOT_RUN_HEADER, retryAfterMsOf } from './httpTools.js';
+import {
+  firstHeaderValue,
+  isNotSentError,
+  LEAVING_HEADER,
+  NOT_RUN_HEADER,
+  retryAfterMsOf,
+} from './httpTools.js';
 
 export interface ServiceRequest {
   readonly url: string;
@@ -12,8 +18,8 @@
   readonly body: Buffer | undefined;
 }
 
-/** A whole answer, or how little is known. `not-run` is proved; `broken` proves nothing. */
-export type ServiceEnd =
+/** `answered`: a complete response. `not-run`: certainly not run. `broken`: may have run. */
+export type ServiceResult =
   | {
       readonly kind: 'answered';
       readonly status: number;
@@ -23,7 +29,7 @@
     }
   | {
       readonly kind: 'not-run';
-      /** No connection was made. */
+      /** No connection was established. */
       readonly isUnreachable: boolean;
       readonly isLeaving: boolean;
       readonly retryAfterMs: number;
@@ -32,8 +38,8 @@
   | { readonly kind: 'cancelled' };
 
 export interface ServiceClient {
-  /** `onHead` is called when the answer begins. */
-  call(service: ServiceRequest, onHead: () => void, signal: AbortSignal): Promise<ServiceEnd>;
+  /** `onHead` is called when the response headers arrive. */
+  call(service: ServiceRequest, onHead: () => void, signal: AbortSignal): Promise<ServiceResult>;
 }
 
 export class HttpServiceClient implements ServiceClient {
@@ -43,7 +49,7 @@
     this._agent = agent;
   }
 
-  async call(service: ServiceRequest, onHead: () => void, signal: AbortSignal): Promise<ServiceEnd> {
+  async call(service: ServiceRequest, onHead: () => void, signal: AbortSignal): Promise<ServiceResult> {
     try {
       const response = await request(`${service.url}${service.path}`, {
         method: service.method,
@@ -52,8 +58,8 @@
         dispatcher: this._agent,
         signal,
       });
-      const isLeaving = headerOf(response.headers, LEAVING_HEADER) !== '';
-      if (headerOf(response.headers, NOT_RUN_HEADER) !== '') {
+      const isLeaving = firstHeaderValue(response.headers, LEAVING_HEADER) !== '';
+      if (firstHeaderValue(response.headers, NOT_RUN_HEADER) !== '') {
         await response.body.dump();
         return {
           kind: 'not-run',
@@ -64,10 +70,10 @@
       }
       onHead();
       const body = Buffer.from(await response.body.arrayBuffer());
-      const contentType = headerOf(response.headers, 'content-type');
+      const contentType = firstHeaderValue(response.headers, 'content-type');
       return { kind: 'answered', status: response.statusCode, contentType, body, isLeaving };
     } catch (thrown) {
-      if (isUnwritten(thrown))
+      if (isNotSentError(thrown))
         return { kind: 'not-run', isUnreachable: true, isLeaving: false, retryAfterMs: 0 };
       return signal.aborted ? { kind: 'cancelled' } : { kind: 'broken' };
     }
--- a/packages/clients/src/singleCall.ts
+++ b/packages/clients/src/singleCall.ts
@@ -1,11 +1,11 @@
 /**
- * One call on a connection of its own.
+ * A single HTTP call on a new connection.
  *
- * On a kept connection that has fallen silent a call arrives when the link heals, after those of whoever took over meanwhile; one
- * that finds no connection in time is never sent.
+ * A call on a reused, unresponsive connection can be delivered when the link recovers, after the calls of a new duty
+ * holder. A call on a new connection is never sent if the connection isn't established in time.
  */
 import { Client } from 'undici';
-import { isUnwritten } from './httpTools.js';
+import { isNotSentError } from './httpTools.js';
 
 export interface SingleCall {
   readonly origin: string;
@@ -14,19 +14,22 @@
   readonly json: unknown;
 }
 
-/** `connectMs`: without a connection by then nothing is sent. `answerMs` counts from the same moment. */
+/** `connectMs`: nothing is sent if no connection is established by then. `answerMs` counts from the same start. */
 export interface SingleCallTimeouts {
   readonly connectMs: number;
   readonly answerMs: number;
 }
 
-/** `unreached`: certainly not sent. `unknown`: it may have been carried out, or will be. */
-export type SingleCallEnd =
+/** `unreached`: certainly not sent. `unknown`: it may have been executed, or may still be. */
+export type SingleCallResult =
   | { readonly kind: 'answered'; readonly status: number }
   | { readonly kind: 'unreached' }
   | { readonly kind: 'unknown' };
 
-export async function postOnce(call: SingleCall, timeouts: SingleCallTimeouts): Promise<SingleCallEnd> {
+export async function postOnNewConnection(
+  call: SingleCall,
+  timeouts: SingleCallTimeouts,
+): Promise<SingleCallResult> {
   const client = new Client(call.origin, { connect: { timeout: timeouts.connectMs }, pipelining: 1 });
   try {
     const answer = await client.request({
@@ -39,7 +42,7 @@
     await answer.body.dump();
     return { kind: 'answered', status: answer.statusCode };
   } catch (thrown) {
-    return { kind: isUnwritten(thrown) ? 'unreached' : 'unknown' };
+    return { kind: isNotSentError(thrown) ? 'unreached' : 'unknown' };
   } finally {
     await client.destroy();
   }
--- a/packages/gateway/src/httpExchange.ts
+++ b/packages/gateway/src/httpExchange.ts
@@ -2,7 +2,7 @@
  * An HTTP request and its answer, independent of any platform protocol.
  */
 import type http from 'node:http';
-import { toPairs, valueOf } from '@fuchsiahitch/clients';
+import { toHeaderPairs, headerValue } from '@fuchsiahitch/clients';
 import type { HeaderPair } from './ports.js';
 
 const LAST_SUCCESS_STATUS = 299;
@@ -24,7 +24,7 @@
     this._request = request;
     this.response = response;
     this._isLeaving = isLeaving;
-    this.headerPairs = toPairs(request.rawHeaders);
+    this.headerPairs = toHeaderPairs(request.rawHeaders);
   }
 
   method(): string {
@@ -47,7 +47,7 @@
   }
 
   header(name: string): string | undefined {
-    return valueOf(this.headerPairs, name);
+    return headerValue(this.headerPairs, name);
   }
 
   /** All values of a header in the order received. `name` must be lower case. */
--- a/packages/protocol/src/peerLink.ts
+++ b/packages/protocol/src/peerLink.ts
@@ -1,5 +1,5 @@
 /**
- * The calling side of the inner protocol: one connection to one peer, made at the first call.
+ * Client of the peer protocol: one connection to one peer, established on the first call.
  */
 import net from 'node:net';
 import {
@@ -16,14 +16,14 @@
 import { challengeSchema, envelopeSchema, welcomeSchema } from './envelope.js';
 import { encodeFrame, FrameReader, MAX_FRAME_BYTES, MAX_HELLO_BYTES } from './frameCodec.js';
 import type { ProtocolCounters } from './peerServer.js';
-import { isSameProof, newNonce, proofOf } from './proof.js';
+import { isSameProof, newNonce, computeProof } from './proof.js';
 
-/** After a failed connect, calls fail at once for this long: a dead peer must not hold up every request. */
+/** After a failed connect, calls fail immediately for this long, so that an unreachable peer does not delay every request. */
 const RECONNECT_PAUSE_MS = 300;
 const CONNECT_TIMEOUT_MS = 1500;
-/** A connection that brings nothing for so long while a call waits is given up; a busy peer answers sooner. */
-const SILENT_MS = 1000;
-/** Calls written and not yet answered on one link; more are refused as not sent. */
+/** A connection without received data for this long is dropped when a call on it times out. */
+const UNRESPONSIVE_MS = 1000;
+/** Limit on pending calls per link; further calls fail as `not-sent`. */
 const MAX_PENDING_CALLS = 20_000;
 
 export interface PeerLinkOptions {
@@ -44,15 +44,15 @@
   readonly peer: PeerIdentity;
 }
 
-/** Calls to one peer. Every call ends with a reply or a tagged error, never by throwing. */
+/** Calls to one peer. Errors are returned, never thrown. */
 export class PeerLink {
   private readonly _options: PeerLinkOptions;
   private readonly _pending = new Map<number, PendingCall>();
   private _connection: Promise<Connection | undefined> | undefined;
   private _socket: net.Socket | undefined;
   private _nextId = 1;
-  private _pausedUntilMs = 0;
-  private _readMs = -Infinity;
+  private _reconnectAfterMs = 0;
+  private _lastReadMs = -Infinity;
   private _isClosed = false;
 
   constructor(options: PeerLinkOptions) {
@@ -68,16 +68,16 @@
   ): Promise<Result<A, CallError>> {
     const connection = await this._connected();
     if (!connection) return err({ kind: 'not-sent', text: `no connection to ${this._options.address}` });
-    // The connection may have come up late, as a late loop reads once more: what is over is not written.
-    if (deadline.isOver()) return err({ kind: 'not-sent', text: 'no time left' });
+    // The connect timeout expires only after pending I/O was read, so the connection may come up after the deadline.
+    if (deadline.isOver()) return err({ kind: 'not-sent', text: 'deadline passed before the call was sent' });
     if (this._pending.size >= MAX_PENDING_CALLS)
-      return err({ kind: 'not-sent', text: 'too many calls wait' });
+      return err({ kind: 'not-sent', text: 'too many pending calls' });
     const reply = await this._exchange(connection.socket, call.name, request, deadline, trace);
     if (!reply.ok) return reply;
     const parsed = call.reply.safeParse(reply.value);
     if (parsed.success) return ok(parsed.data);
     this._options.counters.refused('bad-reply');
-    return err({ kind: 'broken', text: `reply of '${call.name}' does not fit its schema` });
+    return err({ kind: 'broken', text: `reply to '${call.name}' does not match its schema` });
   }
 
   close(): void {
@@ -98,7 +98,7 @@
       const sentMs = this._options.clock.nowMs();
       const cancelTimer = afterPendingIo(this._options.clock, deadline.remainingMs(), () => {
         this._settle(id, err({ kind: 'timed-out' }));
-        this._dropIfSilent(socket, sentMs);
+        this._dropIfUnresponsive(socket, sentMs);
       });
       this._pending.set(id, { settle: resolve, cancelTimer });
       this._options.counters.sent(frame.length);
@@ -107,14 +107,14 @@
   }
 
   /**
-   * Ends a connection on which nothing has come since a call that got no reply. A connection can fall silent for good
-   * without a reset while new ones work; every later call on it would wait out its deadline too.
+   * Drops a connection that received nothing since a timed-out call was sent. A connection can become unresponsive without a
+   * reset while new ones work; every later call on it would time out too.
    */
-  private _dropIfSilent(socket: net.Socket, sentMs: number): void {
-    const silentMs = this._options.clock.nowMs() - this._readMs;
-    if (this._readMs >= sentMs || silentMs < SILENT_MS || socket !== this._socket) return;
+  private _dropIfUnresponsive(socket: net.Socket, sentMs: number): void {
+    const idleMs = this._options.clock.nowMs() - this._lastReadMs;
+    if (this._lastReadMs >= sentMs || idleMs < UNRESPONSIVE_MS || socket !== this._socket) return;
     this._drop(socket, 'silent');
-    this._lost(socket);
+    this._onDisconnected(socket);
   }
 
   private _settle(id: number, result: Result<unknown, CallError>): void {
@@ -126,12 +126,12 @@
   }
 
   private async _connected(): Promise<Connection | undefined> {
-    if (this._isClosed || this._options.clock.nowMs() < this._pausedUntilMs) return undefined;
+    if (this._isClosed || this._options.clock.nowMs() < this._reconnectAfterMs) return undefined;
     this._connection ??= this._connect();
     const connection = await this._connection;
     if (!connection) {
       this._connection = undefined;
-      this._pausedUntilMs = this._options.clock.nowMs() + RECONNECT_PAUSE_MS;
+      this._reconnectAfterMs = this._options.clock.nowMs() + RECONNECT_PAUSE_MS;
     }
     return connection;
   }
@@ -153,14 +153,14 @@
       socket.on('close', () => {
         cancel();
         resolve(undefined);
-        this._lost(socket);
+        this._onDisconnected(socket);
       });
     });
   }
 
   private _read(socket: net.Socket, reader: FrameReader, handshake: ClientHandshake, chunk: Buffer): void {
     this._options.counters.received(chunk.length);
-    this._readMs = this._options.clock.nowMs();
+    this._lastReadMs = this._options.clock.nowMs();
     reader.push(chunk);
     for (;;) {
       if (socket.destroyed) return;
@@ -186,7 +186,7 @@
     socket.destroy();
   }
 
-  private _lost(socket: net.Socket): void {
+  private _onDisconnected(socket: net.Socket): void {
     if (this._socket !== socket) return;
     this._connection = undefined;
     for (const id of [...this._pending.keys()])
@@ -194,46 +194,46 @@
   }
 }
 
-/** The client's part of the handshake. */
+/** Client side of the handshake. */
 class ClientHandshake {
   private readonly _options: PeerLinkOptions;
   private readonly _socket: net.Socket;
-  private readonly _done: (peer: PeerIdentity) => void;
+  private readonly _onDone: (peer: PeerIdentity) => void;
   private readonly _nonce = newNonce();
   private _state: 'challenge' | 'welcome' | 'done' = 'challenge';
 
   constructor(options: PeerLinkOptions, socket: net.Socket, done: (peer: PeerIdentity) => void) {
     this._options = options;
     this._socket = socket;
-    this._done = done;
+    this._onDone = done;
   }
 
   isDone(): boolean {
     return this._state === 'done';
   }
 
-  /** False when the server does not follow the handshake or lacks the key. */
+  /** Handles one handshake frame. False if it is malformed or the server's proof is invalid. */
   read(value: unknown): boolean {
-    return this._state === 'challenge' ? this._answer(value) : this._verify(value);
+    return this._state === 'challenge' ? this._answerChallenge(value) : this._verifyWelcome(value);
   }
 
-  private _answer(value: unknown): boolean {
+  private _answerChallenge(value: unknown): boolean {
     const challenge = challengeSchema.safeParse(value);
     if (!challenge.success) return false;
     const own = this._options.identity;
-    const proof = proofOf(this._options.fleetKey, 'client', challenge.data.nonce, own);
+    const proof = computeProof(this._options.fleetKey, 'client', challenge.data.nonce, own);
     this._socket.write(encodeFrame({ ...own, nonce: this._nonce, proof }));
     this._state = 'welcome';
     return true;
   }
 
-  private _verify(value: unknown): boolean {
+  private _verifyWelcome(value: unknown): boolean {
     const welcome = welcomeSchema.safeParse(value);
     if (!welcome.success) return false;
     const { proof, ...peer } = welcome.data;
-    if (!isSameProof(proof, proofOf(this._options.fleetKey, 'server', this._nonce, peer))) return false;
+    if (!isSameProof(proof, computeProof(this._options.fleetKey, 'server', this._nonce, peer))) return false;
     this._state = 'done';
-    this._done(peer);
+    this._onDone(peer);
     return true;
   }
 }
--- a/packages/protocol/src/peerServer.ts
+++ b/packages/protocol/src/peerServer.ts
@@ -1,18 +1,17 @@
 /**
- * The listening side of the inner protocol.
+ * Server of the peer protocol.
  */
 import net from 'node:net';
 import { messageOf, listenAt, type Clock } from '@fuchsiahitch/base';
 import type { CallDefinition, Envelope, PeerIdentity } from './channel.js';
 import { challengeSchema, envelopeSchema, helloSchema } from './envelope.js';
 import { encodeFrame, FrameReader, MAX_FRAME_BYTES, MAX_HELLO_BYTES } from './frameCodec.js';
-import { isSameProof, newNonce, proofOf } from './proof.js';
+import { isSameProof, newNonce, computeProof } from './proof.js';
 
 const HANDSHAKE_TIMEOUT_MS = 3000;
-/** Replies waiting for a peer that does not read: beyond this its connection ends. */
+/** Limit on buffered replies to a peer that does not read; beyond it the connection is closed. */
 const MAX_UNREAD_BYTES = 4 * MAX_FRAME_BYTES;
 
-/** What a handler is told beside the request. */
 export interface CallContext {
   readonly peer: PeerIdentity;
   readonly trace: string | undefined;
@@ -20,7 +19,7 @@
 
 type Handler = (body: unknown, context: CallContext) => Promise<unknown>;
 
-/** Counts what the inner protocol refuses. */
+/** Metrics of the peer protocol: refusals by reason, and bytes. */
 export interface ProtocolCounters {
   refused(reason: string): void;
   sent(sizeBytes: number): void;
@@ -35,7 +34,7 @@
   readonly counters: ProtocolCounters;
 }
 
-/** Accepts peers that prove the fleet key and answers their calls. */
+/** Accepts peers that prove knowledge of the fleet key and answers their calls. */
 export class PeerServer {
   private readonly _options: PeerServerOptions;
   private readonly _handlers = new Map<string, Handler>();
@@ -47,7 +46,7 @@
     this._server = net.createServer(socket => this._accept(socket));
   }
 
-  /** Sets the handler of a call. A request that does not fit the schema is refused before it runs. */
+  /** Registers the handler of a call. A request that does not match the schema is refused before the handler runs. */
   handle<Q, A>(
     call: CallDefinition<Q, A>,
     handler: (request: Q, context: CallContext) => Promise<A> | A,
@@ -60,7 +59,7 @@
     });
   }
 
-  /** Starts to listen; resolves with the address, which tells the port when 0 was asked. */
+  /** Starts listening. Resolves with the bound address, including the port when port 0 was requested. */
   async listen(): Promise<string> {
     return listenAt(this._server, this._options.address);
   }
@@ -78,7 +77,7 @@
     const nonce = newNonce();
     const reader = new FrameReader(MAX_HELLO_BYTES);
     const connection = new ServerConnection(socket, nonce, reader, this._options, this._handlers);
-    const cancel = this._options.clock.after(HANDSHAKE_TIMEOUT_MS, () => connection.endUnproved());
+    const cancel = this._options.clock.after(HANDSHAKE_TIMEOUT_MS, () => connection.closeUnauthenticated());
     socket.on('data', chunk => connection.read(chunk));
     socket.on('error', () => socket.destroy());
     socket.on('close', () => {
@@ -89,7 +88,7 @@
   }
 }
 
-/** One accepted connection: first the proof, then calls. */
+/** An accepted connection: the handshake, then calls. */
 class ServerConnection {
   private readonly _socket: net.Socket;
   private readonly _nonce: string;
@@ -112,8 +111,8 @@
     this._handlers = handlers;
   }
 
-  endUnproved(): void {
-    if (!this._peer) this._end('handshake-timeout');
+  closeUnauthenticated(): void {
+    if (!this._peer) this._close('handshake-timeout');
   }
 
   read(chunk: Buffer): void {
@@ -122,7 +121,7 @@
     for (;;) {
       if (this._socket.destroyed) return;
       const frame = this._reader.next();
-      if (!frame.ok) return this._end(frame.error.kind);
+      if (!frame.ok) return this._close(frame.error.kind);
       if (!frame.value) return;
       if (this._peer) this._readCall(frame.value.value, this._peer);
       else this._readHello(frame.value.value);
@@ -131,19 +130,19 @@
 
   private _readHello(value: unknown): void {
     const hello = helloSchema.safeParse(value);
-    if (!hello.success) return this._end('bad-hello');
+    if (!hello.success) return this._close('bad-hello');
     const { nonce, proof, ...identity } = hello.data;
-    const expected = proofOf(this._options.fleetKey, 'client', this._nonce, identity);
-    if (!isSameProof(proof, expected)) return this._end('wrong-key');
+    const expected = computeProof(this._options.fleetKey, 'client', this._nonce, identity);
+    if (!isSameProof(proof, expected)) return this._close('wrong-key');
     this._peer = identity;
     this._reader.setLimit(MAX_FRAME_BYTES);
     const own = this._options.identity;
-    this._send({ ...own, proof: proofOf(this._options.fleetKey, 'server', nonce, own) });
+    this._send({ ...own, proof: computeProof(this._options.fleetKey, 'server', nonce, own) });
   }
 
   private _readCall(value: unknown, peer: PeerIdentity): void {
     const envelope = envelopeSchema.safeParse(value);
-    if (!envelope.success || envelope.data.t !== 'call') return this._end('bad-envelope');
+    if (!envelope.success || envelope.data.t !== 'call') return this._close('bad-envelope');
     const { id, name, body, trace } = envelope.data;
     const handler = this._handlers.get(name);
     if (!handler) return this._reply({ t: 'refusal', id, text: `no call '${name}' in this version` });
@@ -162,14 +161,14 @@
 
   private _send(value: unknown): void {
     if (this._socket.destroyed) return;
-    // A peer that sends calls and never reads replies would make this host buffer without bound.
-    if (this._socket.writableLength > MAX_UNREAD_BYTES) return this._end('slow-reader');
+    // Bounds the buffer for a peer that sends calls but does not read the replies.
+    if (this._socket.writableLength > MAX_UNREAD_BYTES) return this._close('slow-reader');
     const frame = encodeFrame(value);
     this._options.counters.sent(frame.length);
     this._socket.write(frame);
   }
 
-  private _end(reason: string): void {
+  private _close(reason: string): void {
     this._options.counters.refused(reason);
     this._socket.destroy();
   }
--- a/packages/protocol/src/proof.ts
+++ b/packages/protocol/src/proof.ts
@@ -1,5 +1,5 @@
 /**
- * Proof that a peer holds the fleet key, without sending the key.
+ * HMAC proof that a peer holds the fleet key.
  */
 import { createHmac, randomBytes, timingSafeEqual } from 'node:crypto';
 import type { PeerIdentity } from './channel.js';
@@ -10,14 +10,14 @@
   return randomBytes(NONCE_BYTES).toString('hex');
 }
 
-/** The proof binds the role, the other side's number and all that the sender says of itself. */
-export function proofOf(
+/** The proof covers the role, the other side's nonce and the sender's identity. */
+export function computeProof(
   fleetKey: string,
   role: 'client' | 'server',
   nonce: string,
   identity: PeerIdentity,
 ): string {
-  const parts = [
+  const fields = [
     role,
     nonce,
     identity.hostId,
@@ -25,7 +25,7 @@
     identity.domain,
     identity.programVersion,
   ];
-  return createHmac('sha256', fleetKey).update(parts.join('\n')).digest('hex');
+  return createHmac('sha256', fleetKey).update(fields.join('\n')).digest('hex');
 }
 
 export function isSameProof(left: string, right: string): boolean {
--- a/tests/endpointStarts.spec.ts
+++ b/tests/endpointStarts.spec.ts
@@ -6,7 +6,7 @@
 import { Deadline, VirtualClock } from '@fuchsiahitch/base';
 import { EndpointDirectory, serveVersions, type CallRegistry, type Endpoint } from '@fuchsiahitch/gateway';
 import { SwapPlanner } from '@fuchsiahitch/orders';
-import { PlatformRecords } from '@fuchsiahitch/platform';
+import { PlatformRecordDecoder } from '@fuchsiahitch/platform';
 import { calls } from '@fuchsiahitch/protocol';
 import { FakeStore } from './fakeStore.js';
 import { fuzzRuns } from './fuzzRuns.js';
@@ -204,7 +204,7 @@
 
 await tap.test('should reject invalid endpoint records', t => {
   // Guards against filling in missing fields, and against one invalid record affecting all endpoints.
-  const records = new PlatformRecords();
+  const records = new PlatformRecordDecoder();
   t.ok(records.endpoint('i', JSON.stringify(VALID_RECORD)));
   t.ok(records.endpoint('i', JSON.stringify({ ...VALID_RECORD, other: [1] })), 'an unknown field');
   for (const field of ['service', 'address', 'zone', 'version', 'slots', 'state', 'cold_left_ms', 'seq'])
@@ -225,7 +225,7 @@
 });
 
 await tap.test('should parse any record without throwing', t => {
-  const records = new PlatformRecords();
+  const records = new PlatformRecordDecoder();
   const field = fc.constantFrom(...Object.keys(VALID_RECORD));
   fc.assert(
     fc.property(fc.dictionary(field, fc.jsonValue()), fc.string(), (fields, text) => {
--- a/tests/eventLoopLag.spec.ts
+++ b/tests/eventLoopLag.spec.ts
@@ -4,10 +4,10 @@
 import tap from 'tap';
 import { Deadline, SystemClock } from '@fuchsiahitch/base';
 import type { EndpointInfo, ItemCall, ItemEnd, ItemProgressListener } from '@fuchsiahitch/gateway';
-import { PlatformEndpoints, StoreClient } from '@fuchsiahitch/platform';
+import { PlatformEndpointClient, StoreClient } from '@fuchsiahitch/platform';
 import { GatewayWorld, type GatewayHost } from './gatewayHosts.js';
 import { batch, endpointRecord, item, keys } from './gatewayWorld.js';
-import { genuine, WireServer } from './platformStandIns.js';
+import { validResponse, WireServer } from './platformStandIns.js';
 
 const EVENT_MS = 45;
 
@@ -197,7 +197,7 @@
   server.answer = (request, socket) => {
     const isReport = request.target === '/v1/report';
     const answer = isReport ? { models: [], busy: false, seq: 4 } : { key: 'k', value: 'djE=', revision: 3 };
-    socket.write(genuine(request, JSON.stringify(answer)));
+    socket.write(validResponse(request, JSON.stringify(answer)));
     blockLoop(BLOCKED_MS);
   };
   const store = new StoreClient(address, () => undefined);
@@ -213,7 +213,7 @@
     isLeaving: false,
     versions: new Map(),
   };
-  const report = await new PlatformEndpoints().report(endpoint, ANSWER_MS);
+  const report = await new PlatformEndpointClient().report(endpoint, ANSWER_MS);
   t.match(report, { sequence: 4 });
   await server.close();
 });
