--- a/packages/ctl/src/accountCommands.ts
+++ b/packages/ctl/src/accountCommands.ts
@@ -3,8 +3,8 @@
  */
 import * as z from 'zod';
 import type { OperatorClient } from './operatorClient.js';
-import { exitCodes, table, type CommandResult } from './output.js';
-import { refused, unreachable } from './ruleCommands.js';
+import { exitCodes, formatTable, type CommandResult } from './output.js';
+import { refusedResult, unreachableResult } from './ruleCommands.js';
 
 const accountsSchema = z.array(
   z.object({ name: z.string(), rank: z.number().optional(), keyDigests: z.array(z.string()) }),
@@ -14,19 +14,23 @@
 /** The accounts of the first host that answers. */
 export async function showAccounts(client: OperatorClient): Promise<CommandResult> {
   const reply = await client.call('GET', '/v1/accounts');
-  if (!reply.ok) return unreachable(reply.error);
+  if (!reply.ok) return unreachableResult(reply.error);
   const parsed = accountsSchema.safeParse(reply.value.body);
-  if (!parsed.success) return refused(reply.value.body);
+  if (!parsed.success) return refusedResult(reply.value.body);
   const rows = parsed.data.map(({ name, rank, keyDigests }) => [name, rank ?? '-', keyDigests.join(' ')]);
-  return { text: table(['ACCOUNT', 'RANK', 'KEYS'], rows), data: parsed.data, exitCode: exitCodes.done };
+  return {
+    text: formatTable(['ACCOUNT', 'RANK', 'KEYS'], rows),
+    data: parsed.data,
+    exitCode: exitCodes.done,
+  };
 }
 
 /** What a host decides on a request with the key. */
 export async function explainKey(client: OperatorClient, key: string): Promise<CommandResult> {
   const reply = await client.call('POST', '/v1/accounts/explain', { key });
-  if (!reply.ok) return unreachable(reply.error);
+  if (!reply.ok) return unreachableResult(reply.error);
   const parsed = accessSchema.safeParse(reply.value.body);
-  if (!parsed.success) return refused(reply.value.body);
+  if (!parsed.success) return refusedResult(reply.value.body);
   const text = Object.entries(parsed.data).map(([name, value]) => `${name}: ${String(value)}`);
   return { text: text.join('\n'), data: parsed.data, exitCode: exitCodes.done };
 }
--- a/packages/ctl/src/main.ts
+++ b/packages/ctl/src/main.ts
@@ -6,7 +6,15 @@
 import { explainKey, showAccounts } from './accountCommands.js';
 import { OperatorClient } from './operatorClient.js';
 import type { CommandResult } from './output.js';
-import { applyFile, checkFile, editRule, explain, getRules, simulateFile, usage } from './ruleCommands.js';
+import {
+  applyFile,
+  checkFile,
+  editRule,
+  explain,
+  getRules,
+  simulateFile,
+  usageError,
+} from './ruleCommands.js';
 import { showHosts, showList, showOrders, showRulesStatus } from './statusCommands.js';
 
 const PROGRAM = 'fuchsiahitchctl';
@@ -98,7 +106,7 @@
     case 'status':
       return showRulesStatus(client, values['wait-ms'], values.revision);
     default:
-      return usage(COMMANDS);
+      return usageError(COMMANDS);
   }
 }
 
@@ -117,7 +125,7 @@
     case 'orders':
       return showOrders(client);
     default:
-      return usage(COMMANDS);
+      return usageError(COMMANDS);
   }
 }
 
--- a/packages/ctl/src/output.ts
+++ b/packages/ctl/src/output.ts
@@ -14,7 +14,7 @@
 }
 
 /** A table with aligned columns. */
-export function table(head: readonly string[], rows: readonly (readonly unknown[])[]): string {
+export function formatTable(head: readonly string[], rows: readonly (readonly unknown[])[]): string {
   const cells = [head, ...rows.map(row => row.map(cell => String(cell)))];
   const widths = head.map((_, column) => Math.max(...cells.map(row => row[column]?.length ?? 0)));
   const line = (row: readonly string[]): string =>
--- a/packages/ctl/src/ruleCommands.ts
+++ b/packages/ctl/src/ruleCommands.ts
@@ -16,7 +16,7 @@
 } from '@fuchsiahitch/rules';
 import * as z from 'zod';
 import type { OperatorClient, Unreachable } from './operatorClient.js';
-import { exitCodes, table, type CommandResult } from './output.js';
+import { exitCodes, formatTable, type CommandResult } from './output.js';
 
 const UNKNOWN_TRIES = 5;
 const RETRY_MS = 500;
@@ -28,7 +28,7 @@
 /** The rules in force, as YAML. */
 export async function getRules(client: OperatorClient): Promise<CommandResult> {
   const document = await readDocument(client);
-  if (!document.ok) return unreachable(document.error);
+  if (!document.ok) return unreachableResult(document.error);
   const text = `# revision ${document.value.revision}\n${formatRuleFile(document.value.rules)}`;
   return { text, data: document.value, exitCode: exitCodes.done };
 }
@@ -54,7 +54,7 @@
   const rules = readFile(file);
   if (!rules.ok) return rules.error;
   const document = await readDocument(client);
-  if (!document.ok) return unreachable(document.error);
+  if (!document.ok) return unreachableResult(document.error);
   const operations = planEdits(document.value.rules, rules.value);
   let last: CommandResult = { text: 'nothing to change', data: { edits: 0 }, exitCode: exitCodes.done };
   for (const [i, operation] of operations.entries()) {
@@ -79,13 +79,13 @@
 /** Which rule decides a request, and why the earlier ones did not. */
 export async function explain(client: OperatorClient, query: string): Promise<CommandResult> {
   const reply = await client.call('GET', `/v1/rules/explain?${query}`);
-  if (!reply.ok) return unreachable(reply.error);
+  if (!reply.ok) return unreachableResult(reply.error);
   const schema = z.object({
     decision: z.object({ revision: z.number(), ruleId: z.string().optional(), action: z.unknown() }),
     rules: z.array(z.object({ ruleId: z.string(), matched: z.boolean(), failed: z.array(z.string()) })),
   });
   const parsed = schema.safeParse(reply.value.body);
-  if (!parsed.success) return refused(reply.value.body);
+  if (!parsed.success) return refusedResult(reply.value.body);
   const rows = parsed.data.rules.map(line => [
     line.ruleId,
     line.matched ? 'decides' : `not: ${line.failed.join(', ')}`,
@@ -93,7 +93,7 @@
   const { ruleId, revision, action } = parsed.data.decision;
   const verdict = `revision ${revision}: ${ruleId ?? 'no rule, defaults'} ${JSON.stringify(action)}`;
   return {
-    text: `${table(['RULE', 'RESULT'], rows)}\n${verdict}`,
+    text: `${formatTable(['RULE', 'RESULT'], rows)}\n${verdict}`,
     data: parsed.data,
     exitCode: exitCodes.done,
   };
@@ -109,8 +109,8 @@
   if (!rules.ok) return rules.error;
   const requests = JSON.parse(fs.readFileSync(requestsFile, 'utf8')) as unknown;
   const reply = await client.call('POST', '/v1/rules/simulate', { rules: rules.value, requests });
-  if (!reply.ok) return unreachable(reply.error);
-  if (reply.value.status !== OK_STATUS) return refused(reply.value.body);
+  if (!reply.ok) return unreachableResult(reply.error);
+  if (reply.value.status !== OK_STATUS) return refusedResult(reply.value.body);
   return {
     text: JSON.stringify(reply.value.body, null, 2),
     data: reply.value.body,
@@ -130,12 +130,13 @@
     const place = options.before ? { before: options.before } : options.after ? { after: options.after } : {};
     return ok({ op: 'add', rule: rule.value, place });
   }
-  if (verb !== 'replace' && verb !== 'remove') return err(usage('expected: rules edit add|replace|remove'));
+  if (verb !== 'replace' && verb !== 'remove')
+    return err(usageError('expected: rules edit add|replace|remove'));
   const wanted = verb === 'replace' ? readOneRule(subject) : undefined;
   if (wanted && !wanted.ok) return wanted;
   const ruleId = wanted?.value.id ?? subject;
   const document = await readDocument(client);
-  if (!document.ok) return err(unreachable(document.error));
+  if (!document.ok) return err(unreachableResult(document.error));
   const current = document.value.rules.find(rule => rule.id === ruleId);
   if (!current)
     return err({
@@ -156,15 +157,15 @@
   for (let i = 0; i < UNKNOWN_TRIES; i++) {
     const reply = await client.call('POST', '/v1/rules/edits', edit);
     if (!reply.ok) {
-      if (!reply.error.isSent && !isUnknown) return unreachable(reply.error);
+      if (!reply.error.isSent && !isUnknown) return unreachableResult(reply.error);
       isUnknown = true;
     } else {
       const body = editReplySchema.parse(reply.value.body);
       if (body.kind === 'accepted') {
         return { text: `accepted, revision ${body.revision ?? 0}`, data: body, exitCode: exitCodes.done };
       }
-      if (reply.value.status === CONFLICT) return refused(reply.value.body);
-      if (body.kind !== 'unknown' && !isUnknown) return refused(reply.value.body);
+      if (reply.value.status === CONFLICT) return refusedResult(reply.value.body);
+      if (body.kind !== 'unknown' && !isUnknown) return refusedResult(reply.value.body);
       isUnknown = true;
     }
     await new Promise<void>(resolve => setTimeout(resolve, RETRY_MS));
@@ -183,7 +184,7 @@
   try {
     text = fs.readFileSync(file, 'utf8');
   } catch {
-    return err(usage(`cannot read the file '${file}'`));
+    return err(usageError(`cannot read the file '${file}'`));
   }
   const rules = parseRuleFile(text);
   if (rules.ok) return rules;
@@ -195,18 +196,18 @@
   const rules = readFile(file);
   if (!rules.ok) return rules;
   const [rule, ...others] = rules.value;
-  return rule && others.length === 0 ? ok(rule) : err(usage(`expected one rule in '${file}'`));
+  return rule && others.length === 0 ? ok(rule) : err(usageError(`expected one rule in '${file}'`));
 }
 
-export function refused(body: unknown): CommandResult {
+export function refusedResult(body: unknown): CommandResult {
   return { text: `not accepted: ${JSON.stringify(body, null, 2)}`, data: body, exitCode: exitCodes.refused };
 }
 
-export function usage(text: string): CommandResult {
+export function usageError(text: string): CommandResult {
   return { text, data: { error: text }, exitCode: exitCodes.usage };
 }
 
-export function unreachable(error: Unreachable): CommandResult {
+export function unreachableResult(error: Unreachable): CommandResult {
   return {
     text: `no host answered: ${error.problems.join('; ')}`,
     data: error,
--- a/packages/ctl/src/statusCommands.ts
+++ b/packages/ctl/src/statusCommands.ts
@@ -3,8 +3,8 @@
  */
 import * as z from 'zod';
 import type { OperatorClient } from './operatorClient.js';
-import { exitCodes, table, type CommandResult } from './output.js';
-import { unreachable } from './ruleCommands.js';
+import { exitCodes, formatTable, type CommandResult } from './output.js';
+import { unreachableResult } from './ruleCommands.js';
 
 const POLL_MS = 250;
 
@@ -37,7 +37,7 @@
 export async function showHosts(client: OperatorClient): Promise<CommandResult> {
   return show(client, state => ({
     data: state.hosts,
-    text: table(
+    text: formatTable(
       ['HOST', 'DOMAIN', 'READY', 'RULES', 'SLOTS', 'KEYS', 'STEPS', 'IN FLIGHT', 'STORE', 'VERSION'],
       state.hosts.map(({ hostId, domain, status }) =>
         status
@@ -66,7 +66,7 @@
     const text =
       rows.length === 0
         ? `no ${what} at this host`
-        : table(
+        : formatTable(
             head,
             rows.map(row => head.map(name => row[name])),
           );
@@ -108,7 +108,7 @@
       : 'cannot be told',
   }));
   const isEverywhere = rows.every(row => row.state === 'in force');
-  const text = table(
+  const text = formatTable(
     ['HOST', 'DOMAIN', `REVISION ${revision}`],
     rows.map(row => [row.hostId, row.domain, row.state]),
   );
@@ -124,6 +124,6 @@
   render: (state: FleetState) => Pick<CommandResult, 'text' | 'data'> & Partial<CommandResult>,
 ): Promise<CommandResult> {
   const reply = await client.call('GET', '/v1/status');
-  if (!reply.ok) return unreachable(reply.error);
+  if (!reply.ok) return unreachableResult(reply.error);
   return { exitCode: exitCodes.done, ...render(statusSchema.parse(reply.value.body)) };
 }
--- a/packages/entry/src/callerInput.ts
+++ b/packages/entry/src/callerInput.ts
@@ -48,11 +48,11 @@
   } catch {
     return err('the body is not JSON');
   }
-  return check(value, schema);
+  return validate(value, schema);
 }
 
 /** Checks a value against a schema. */
-export function check<T>(value: unknown, schema: z.ZodType<T>): Result<T, string> {
+export function validate<T>(value: unknown, schema: z.ZodType<T>): Result<T, string> {
   const parsed = schema.safeParse(value);
   if (parsed.success) return ok(parsed.data);
   return err(
--- a/packages/entry/src/callersController.ts
+++ b/packages/entry/src/callersController.ts
@@ -6,7 +6,13 @@
 import type { Access } from '@fuchsiahitch/accounts';
 import { OUTCOME_HEADER, REASON_HEADER, statusOf } from '@fuchsiahitch/requests';
 import { CallerAccounts, credentialOf } from './callerAccounts.js';
-import { callerHeadersSchema, check, completionSchema, readJson, type CallerHeaders } from './callerInput.js';
+import {
+  callerHeadersSchema,
+  validate,
+  completionSchema,
+  readJson,
+  type CallerHeaders,
+} from './callerInput.js';
 import { Metrics } from './metrics.js';
 import { reasonOf, RequestService, type CallerAnswer, type CallerRequest } from './requestService.js';
 
@@ -36,7 +42,7 @@
 
   @Post('/v1/completions')
   async complete(@Req() request: FastifyRequest, @Res() reply: FastifyReply): Promise<void> {
-    const headers = check(request.headers, callerHeadersSchema);
+    const headers = validate(request.headers, callerHeadersSchema);
     const body = readJson(request.body, completionSchema);
     if (!headers.ok) {
       this._bad(reply, headers.error);
@@ -61,7 +67,7 @@
 
   @All('/svc/*')
   async serve(@Req() request: FastifyRequest, @Res() reply: FastifyReply): Promise<void> {
-    const headers = check(request.headers, callerHeadersSchema);
+    const headers = validate(request.headers, callerHeadersSchema);
     if (!headers.ok) {
       this._bad(reply, headers.error);
       return;
--- a/packages/entry/src/dispatcher.ts
+++ b/packages/entry/src/dispatcher.ts
@@ -18,36 +18,36 @@
 const SERVE_PERIOD_MS = 200;
 
 /** What a request waits for. */
-export interface TurnRequest extends PickRequest {
-  readonly waitClass: QueuePriority;
+export interface DispatchRequest extends PickRequest {
+  readonly queuePriority: QueuePriority;
   readonly deadline: Deadline;
 }
 
 /** A turn at an endpoint, or why there is none. */
-export type Turn =
+export type DispatchResult =
   | { readonly kind: 'turn'; readonly endpoint: CallableEndpoint }
   | { readonly kind: 'queue-full' | 'too-late' | 'no-endpoint' | 'left' };
 
 /** A rollout that can be told to give up its place. */
-export type Yielder = () => void;
+export type PreemptCallback = () => void;
 
 export class Dispatcher {
   private readonly _context: HostContext;
   private readonly _endpoints: EndpointService;
   private readonly _picker: EndpointPicker;
   private readonly _queues = new Map<string, RequestQueue>();
-  private readonly _yielders = new Map<string, Set<Yielder>>();
+  private readonly _yielders = new Map<string, Set<PreemptCallback>>();
 
   constructor(context: HostContext, endpoints: EndpointService) {
     this._context = context;
     this._endpoints = endpoints;
     this._picker = new EndpointPicker(context.random);
-    endpoints.onRoom(() => this.serve());
+    endpoints.onCapacityChange(() => this.dispatchAll());
   }
 
   /** A breaker that closes by time alone gives no sign, so that the queues are looked at regularly. */
   start(): void {
-    every(this._context.clock, SERVE_PERIOD_MS, this._context.stopped, () => this.serve());
+    every(this._context.clock, SERVE_PERIOD_MS, this._context.stopped, () => this.dispatchAll());
   }
 
   queueSize(pool: string): number {
@@ -61,7 +61,7 @@
   }
 
   /** Free places for rollouts in a pool under the customers' reserve. */
-  rolloutRoom(pool: string, reserve: number): number {
+  freeRolloutSlots(pool: string, reserve: number): number {
     let room = 0;
     for (const endpoint of this._endpoints.pool(pool)) {
       if (endpoint.isLeaving || !endpoint.stats.isUsable()) continue;
@@ -75,7 +75,11 @@
    * Waits for a turn. The endpoint's place is taken when the turn is given: `begin` counts it, and says false
    * when the request ended meanwhile. `onLeave` receives a function that leaves the queue.
    */
-  async turn(request: TurnRequest, begin: () => boolean, signal: AbortSignal): Promise<Turn> {
+  async acquire(
+    request: DispatchRequest,
+    begin: () => boolean,
+    signal: AbortSignal,
+  ): Promise<DispatchResult> {
     if (this._endpoints.pool(request.pool).length === 0) return { kind: 'no-endpoint' };
     return new Promise(resolve => {
       const offer = (): boolean => {
@@ -93,7 +97,7 @@
       const queue = this._queue(request.pool);
       if (queue.size() === 0 && offer()) return;
       if (!request.isRollout) this._makeRoom(request);
-      const leave = queue.enqueue(request.waitClass, request.deadline, offer, reason =>
+      const leave = queue.enqueue(request.queuePriority, request.deadline, offer, reason =>
         resolve({ kind: reason }),
       );
       signal.addEventListener('abort', () => {
@@ -115,13 +119,13 @@
     this._serveQueue(this._queue(endpoint.pool));
   }
 
-  serve(): void {
+  dispatchAll(): void {
     for (const queue of this._queues.values()) this._serveQueue(queue);
   }
 
   /** Registers a rollout that runs at an endpoint; returns its removal. */
-  addYielder(endpointId: string, yielder: Yielder): () => void {
-    const yielders = this._yielders.get(endpointId) ?? new Set<Yielder>();
+  addPreemptible(endpointId: string, yielder: PreemptCallback): () => void {
+    const yielders = this._yielders.get(endpointId) ?? new Set<PreemptCallback>();
     this._yielders.set(endpointId, yielders);
     yielders.add(yielder);
     return () => yielders.delete(yielder);
@@ -158,6 +162,6 @@
 }
 
 /** The reserve in force: what a rule sets, never below the floor. */
-export function reserveOf(wanted: number | undefined): number {
+export function effectiveReserve(wanted: number | undefined): number {
   return Math.max(CUSTOMER_RESERVE_FLOOR, wanted ?? CUSTOMER_RESERVE_FLOOR);
 }
--- a/packages/entry/src/endpointService.ts
+++ b/packages/entry/src/endpointService.ts
@@ -46,7 +46,7 @@
     this._context = context;
     this._membership = membership;
     this._engines = engines;
-    membership.onDocuments(() => this._rebuild());
+    membership.onDocumentsChange(() => this._rebuild());
     this._rebuild();
   }
 
@@ -55,7 +55,7 @@
   }
 
   /** Called when a limit or the set of endpoints changed, so that waiting requests may go. */
-  onRoom(listener: () => void): void {
+  onCapacityChange(listener: () => void): void {
     this._onRoom = listener;
   }
 
@@ -80,20 +80,20 @@
   }
 
   /** Takes in a report, by a poll or with an answer. */
-  reported(endpointId: string, report: EngineReport): void {
+  applyReport(endpointId: string, report: EngineReport): void {
     const endpoint = this._endpoints.get(endpointId);
     if (!endpoint) return;
     this._membership.leaving.observeStart(endpointId, report.startId);
-    if (report.isLeaving) this._membership.noteLeaving({ endpointId, startId: report.startId });
+    if (report.isLeaving) this._membership.announceLeaving({ endpointId, startId: report.startId });
     endpoint.limit.onLoadReport(report.queued, report.inFlight);
     endpoint.stats.onLoadReport({ ...report, version: String(report.version) });
     this._onRoom();
   }
 
   /** An endpoint's own answer said that it leaves. */
-  saysLeaving(endpointId: string): void {
+  markLeaving(endpointId: string): void {
     const startId = this._endpoints.get(endpointId)?.stats.report()?.startId ?? '';
-    this._membership.noteLeaving({ endpointId, startId });
+    this._membership.announceLeaving({ endpointId, startId });
   }
 
   /** The value of a signal that rules can read. */
@@ -177,7 +177,7 @@
     const { endpoint } = due.reduce((oldest, one) => (one.askedMs < oldest.askedMs ? one : oldest));
     this._askedMs.set(endpoint.id, nowMs);
     const report = await this._engines.report(endpoint.url, Deadline.after(clock, REPORT_TIMEOUT_MS));
-    if (report) this.reported(endpoint.id, report);
+    if (report) this.applyReport(endpoint.id, report);
   }
 }
 
--- a/packages/entry/src/entryServices.ts
+++ b/packages/entry/src/entryServices.ts
@@ -17,8 +17,8 @@
 import { RolloutService } from './rolloutService.js';
 import { RulesService } from './rulesService.js';
 import { StepService } from './stepService.js';
-import { StoredRuleDocument } from './storedRules.js';
-import { StoredSteps } from './storedSteps.js';
+import { KeyValueRuleStore } from './keyValueRuleStore.js';
+import { KeyValueStepStore } from './keyValueStepStore.js';
 
 const STORE_BURST = 40;
 const STORE_BASE_PAUSE_MS = 50;
@@ -57,7 +57,7 @@
   const rules = new RulesService(
     context,
     store,
-    new StoredRuleDocument(store, clock),
+    new KeyValueRuleStore(store, clock),
     membership,
     peers,
     signals,
@@ -73,7 +73,7 @@
     engines,
     scorer,
   });
-  const steps = new StepService(context, membership, peers, new StoredSteps(store, clock), rollouts);
+  const steps = new StepService(context, membership, peers, new KeyValueStepStore(store, clock), rollouts);
   const orders = new OrdersService(context, { store, membership, endpoints, engines, rules });
   const parts = { membership, rules, keys, steps, requests, rollouts, endpoints, orders, store };
   const status = new FleetStatus(context, { peers, ...parts });
@@ -105,12 +105,12 @@
     services.keys.holder.recordCount(),
   );
   metrics.gauge('fuchsiahitch_samples_kept', 'Samples kept until their step is over', () =>
-    services.rollouts.shelf.count(),
+    services.rollouts.sampleBuffer.count(),
   );
   metrics.gauge(
     'fuchsiahitch_in_flight',
     'Requests and rollouts in flight',
-    () => services.status.own().inFlight,
+    () => services.status.ownStatus().inFlight,
   );
 }
 
@@ -118,7 +118,7 @@
 async function shareBudget(context: HostContext, services: EntryServices): Promise<void> {
   while (!context.stopped.aborted) {
     const hosts = context.domains.reduce(
-      (sum, domain) => sum + services.membership.hostsOf(domain).length,
+      (sum, domain) => sum + services.membership.liveHostsOf(domain).length,
       0,
     );
     services.budget.setHosts(hosts);
@@ -161,13 +161,13 @@
     return this._services?.keys.revision() ?? 0;
   }
 
-  sawRevisions(
+  onPeerRevisions(
     address: string,
     ping: { readonly rulesRevision: number; readonly slotMapRevision: number },
   ): void {
     const services = this._services;
     if (!services) return;
-    void services.rules.sawRevision(address, ping.rulesRevision);
+    void services.rules.onPeerRevision(address, ping.rulesRevision);
     if (ping.slotMapRevision > services.keys.revision()) void services.keys.pullFrom(address);
   }
 }
--- a/packages/entry/src/shelfReader.ts
+++ b/packages/entry/src/fetchSamples.ts
@@ -12,7 +12,7 @@
  * Reads page after page and returns where it ended. `askedMs` is when a page was asked for: ages count from
  * there, since the reply may lie in this process while it is paused.
  */
-export async function readShelf(
+export async function fetchSamples(
   context: HostContext,
   peers: PeerCaller,
   source: { readonly address: string; readonly key: string; readonly from: number },
--- a/packages/entry/src/fleetStatus.ts
+++ b/packages/entry/src/fleetStatus.ts
@@ -33,7 +33,7 @@
 }
 
 /** One host of the list, in reach or not. */
-export interface HostLine {
+export interface HostStatusEntry {
   readonly hostId: string;
   readonly domain: string;
   readonly status: HostStatus | undefined;
@@ -50,7 +50,7 @@
   }
 
   register(server: CallRegistry): void {
-    server.handle(calls.hostStatus, () => this.own());
+    server.handle(calls.hostStatus, () => this.ownStatus());
   }
 
   /** From now on the balancer is told to send elsewhere. */
@@ -60,10 +60,10 @@
 
   /** Ready for callers: the rules are known, and the host stays. */
   isReady(): boolean {
-    return this._sources.rules.isKnown() && !this._isDraining;
+    return this._sources.rules.hasRules() && !this._isDraining;
   }
 
-  own(): HostStatus {
+  ownStatus(): HostStatus {
     const { rules, keys, steps, requests, rollouts, store } = this._sources;
     const { hostId, domain, incarnation } = this._context;
     const slots = keys.holder.map()?.slots ?? [];
@@ -104,12 +104,12 @@
     };
   }
 
-  private async _hosts(): Promise<readonly HostLine[]> {
+  private async _hosts(): Promise<readonly HostStatusEntry[]> {
     const { membership, peers } = this._sources;
-    const entries = this._context.domains.flatMap(domain => membership.hostsOf(domain));
+    const entries = this._context.domains.flatMap(domain => membership.liveHostsOf(domain));
     return Promise.all(
-      entries.map(async ({ id, domain, peerAddress }): Promise<HostLine> => {
-        if (id === this._context.hostId) return { hostId: id, domain, status: this.own() };
+      entries.map(async ({ id, domain, peerAddress }): Promise<HostStatusEntry> => {
+        if (id === this._context.hostId) return { hostId: id, domain, status: this.ownStatus() };
         const reply = await peers.call(peerAddress, calls.hostStatus, {}, STATUS_TIMEOUT_MS);
         return { hostId: id, domain, status: reply.ok ? reply.value : undefined };
       }),
--- a/packages/entry/src/keyService.ts
+++ b/packages/entry/src/keyService.ts
@@ -132,14 +132,14 @@
 
   async claim(domain: string, claim: Claim, deadline: Deadline): Promise<ClaimReply | undefined> {
     if (domain === this._context.domain) return this._claimHere(claim, deadline.remainingMs());
-    const relay = this._membership.someAddressOf(domain);
+    const relay = this._membership.randomAddressOf(domain);
     const reply = await this._peers.call(relay, calls.claimKey, claim, deadline.remainingMs());
     return reply.ok ? reply.value : undefined;
   }
 
   async finish(domain: string, finish: Finish): Promise<boolean> {
     if (domain === this._context.domain) return this._finishHere(finish);
-    const relay = this._membership.someAddressOf(domain);
+    const relay = this._membership.randomAddressOf(domain);
     const reply = await this._peers.call(relay, calls.finishKey, finish, FINISH_TIMEOUT_MS);
     return reply.ok && reply.value.accepted;
   }
--- a/packages/entry/src/storedRules.ts
+++ b/packages/entry/src/keyValueRuleStore.ts
@@ -27,7 +27,7 @@
 const CALL_TIMEOUT_MS = 3000;
 const REVISION_DIGITS = 12;
 
-export class StoredRuleDocument implements RuleStore {
+export class KeyValueRuleStore implements RuleStore {
   private readonly _store: KeyValueStore;
   private readonly _clock: Clock;
 
@@ -84,7 +84,7 @@
   let document = snapshot ? documentSchema.parse(JSON.parse(snapshot.value)) : EMPTY_DOCUMENT;
   const edits: NumberedEdit[] = [];
   for (const value of values) {
-    const numbered = readEdit(value.key, value.value);
+    const numbered = parseEdit(value.key, value.value);
     if (!numbered) continue;
     edits.push(numbered);
     const applied =
@@ -95,7 +95,7 @@
 }
 
 /** The edit under a key, or undefined for other keys. */
-export function readEdit(key: string, value: string): NumberedEdit | undefined {
+export function parseEdit(key: string, value: string): NumberedEdit | undefined {
   if (!key.startsWith(EDITS_PREFIX)) return undefined;
   const parsed = editSchema.safeParse(JSON.parse(value));
   return parsed.success ? { revision: Number(key.slice(EDITS_PREFIX.length)), edit: parsed.data } : undefined;
--- a/packages/entry/src/storedSteps.ts
+++ b/packages/entry/src/keyValueStepStore.ts
@@ -23,7 +23,7 @@
 const specKey = (key: string): string => `${prefixOf(key)}spec`;
 const chunkPrefix = (key: string): string => `${prefixOf(key)}chunk/`;
 
-export class StoredSteps implements StepStore {
+export class KeyValueStepStore implements StepStore {
   private readonly _store: KeyValueStore;
   private readonly _clock: Clock;
 
--- a/packages/entry/src/membershipService.ts
+++ b/packages/entry/src/membershipService.ts
@@ -28,11 +28,11 @@
 const INDIRECT_PEERS = 2;
 
 /** What a ping says beyond membership, and who fetches when a peer is ahead. */
-export interface PingTopics {
+export interface RevisionTracker {
   rulesRevision(): number;
   slotMapRevision(): number;
   /** A peer's message showed its revisions. */
-  sawRevisions(address: string, ping: Ping): void;
+  onPeerRevisions(address: string, ping: Ping): void;
 }
 
 export class MembershipService {
@@ -43,7 +43,7 @@
   private readonly _list: MemberList;
   private readonly _documents = new Map<string, MemberDocument>();
   private readonly _listeners: (() => void)[] = [];
-  private _topics: PingTopics | undefined;
+  private _topics: RevisionTracker | undefined;
   private _membersDigest = '';
   private _listRound = 0;
 
@@ -57,7 +57,7 @@
   }
 
   /** Called whenever a member document changed. */
-  onDocuments(listener: () => void): void {
+  onDocumentsChange(listener: () => void): void {
     this._listeners.push(listener);
   }
 
@@ -80,7 +80,7 @@
   }
 
   /** Learns of the others and begins to ping. */
-  async start(topics: PingTopics): Promise<void> {
+  async start(topics: RevisionTracker): Promise<void> {
     this._topics = topics;
     const { clock, stopped, settings } = this._context;
     await this._readList();
@@ -95,13 +95,13 @@
   }
 
   /** Hosts of another failure domain that the list shows as live. */
-  hostsOf(domain: string): readonly HostEntry[] {
+  liveHostsOf(domain: string): readonly HostEntry[] {
     return (this._documents.get(domain)?.hosts ?? []).filter(host => host.state === 'live');
   }
 
   /** The address of some live host of a failure domain, empty when none is known. */
-  someAddressOf(domain: string): string {
-    const hosts = this.hostsOf(domain);
+  randomAddressOf(domain: string): string {
+    const hosts = this.liveHostsOf(domain);
     const host = hosts[this._context.random.below(Math.max(1, hosts.length))];
     return host?.peerAddress ?? '';
   }
@@ -118,7 +118,7 @@
   }
 
   /** Notes that an endpoint leaves, and tells the peers at once when that is news. */
-  noteLeaving(notice: LeavingNotice): void {
+  announceLeaving(notice: LeavingNotice): void {
     if (!this.leaving.note(notice)) return;
     this._context.log.info('endpoint leaves', { endpoint: notice.endpointId });
     for (const peer of this.livePeers()) {
@@ -146,7 +146,7 @@
     for (const notice of ping.leaving) this.leaving.note(notice);
     const [sender] = ping.updates;
     if (!sender) return;
-    this._topics?.sawRevisions(sender.address, ping);
+    this._topics?.onPeerRevisions(sender.address, ping);
     const isSame = ping.membersDigest === this._membersDigest || ping.membersDigest === '';
     if (!isSame) void this._pullDocuments(sender.address);
   }
--- a/packages/entry/src/operatorsController.ts
+++ b/packages/entry/src/operatorsController.ts
@@ -7,7 +7,7 @@
 import { SystemClock } from '@fuchsiahitch/base';
 import * as z from 'zod';
 import { CallerAccounts } from './callerAccounts.js';
-import { check, readJson } from './callerInput.js';
+import { validate, readJson } from './callerInput.js';
 import { FleetStatus } from './fleetStatus.js';
 import { Metrics } from './metrics.js';
 import { RulesService } from './rulesService.js';
@@ -58,7 +58,7 @@
   /** The rules in force on this host. */
   @Get('/v1/rules')
   rules(@Res() reply: FastifyReply): void {
-    void reply.send(this._rules.book().document);
+    void reply.send(this._rules.evaluator().document);
   }
 
   @Post('/v1/rules/edits')
@@ -78,9 +78,9 @@
 
   @Get('/v1/rules/explain')
   explain(@Query() query: unknown, @Res() reply: FastifyReply): void {
-    const facts = check(query, factsSchema);
+    const facts = validate(query, factsSchema);
     if (!facts.ok) return this._bad(reply, facts.error);
-    const book = this._rules.book();
+    const book = this._rules.evaluator();
     void reply.send({ decision: book.decide(facts.value), rules: book.explain(facts.value) });
   }
 
@@ -89,7 +89,7 @@
   simulate(@Req() request: FastifyRequest, @Res() reply: FastifyReply): void {
     const input = readJson(request.body, simulateSchema);
     if (!input.ok) return this._bad(reply, input.error);
-    const { document } = this._rules.book();
+    const { document } = this._rules.evaluator();
     const proposed = { ...document, rules: input.value.rules };
     const requests: readonly RequestFacts[] = input.value.requests;
     const changes = simulate(requests, document, proposed, new SystemClock(), () => 0);
--- a/packages/entry/src/ordersService.ts
+++ b/packages/entry/src/ordersService.ts
@@ -274,7 +274,7 @@
     if (!report) return;
     if (this._held) this._surveyed.set(entry.id, this._held.token);
     this._planners.get(entry.pool)?.readBack(entry.id, report);
-    this._endpoints.reported(entry.id, report);
+    this._endpoints.applyReport(entry.id, report);
   }
 
   /** The endpoints of a pool in the order in which they are swapped, cut to the share that a rule stages. */
@@ -289,7 +289,7 @@
       priority: 'low',
       version: '',
     } as const;
-    const staged = this._rules.book().decide(facts).action.stagedShare ?? 1;
+    const staged = this._rules.evaluator().decide(facts).action.stagedShare ?? 1;
     const entries = this._endpoints
       .ownDomain()
       .filter(entry => entry.kind === 'engine' && entry.pool === pool && entry.state === 'live')
--- a/packages/entry/src/requestService.ts
+++ b/packages/entry/src/requestService.ts
@@ -19,7 +19,7 @@
   type QueuePriority,
 } from '@fuchsiahitch/requests';
 import type { Decision, RequestFacts, RequestKind } from '@fuchsiahitch/rules';
-import { reserveOf, type Dispatcher, type Turn } from './dispatcher.js';
+import { effectiveReserve, type Dispatcher, type DispatchResult } from './dispatcher.js';
 import type { CallableEndpoint, EndpointService } from './endpointService.js';
 import type { HostContext } from './hostContext.js';
 import type { KeyService } from './keyService.js';
@@ -137,7 +137,7 @@
   }
 
   private async _decideAndRun(request: CallerRequest): Promise<CallerAnswer> {
-    const decision = this._rules.book().decide(this._factsOf(request));
+    const decision = this._rules.evaluator().decide(this._factsOf(request));
     const { action, revision, ruleId } = decision;
     const pool = action.pool ?? request.pool;
     const run = new RequestRun(this._dispatcher.retryAfterMs(pool));
@@ -207,7 +207,7 @@
       attempt = work.run.send();
       return attempt !== undefined;
     };
-    const turn = await this._dispatcher.turn(this._turnRequest(work, pool), begin, work.signal);
+    const turn = await this._dispatcher.acquire(this._turnRequest(work, pool), begin, work.signal);
     if (turn.kind !== 'turn' || attempt === undefined) {
       this._noTurn(work, turn);
       return;
@@ -223,7 +223,7 @@
     await this._mayTryAgain(work, pool, end);
   }
 
-  private _noTurn(work: RunningRequest, turn: Turn): void {
+  private _noTurn(work: RunningRequest, turn: DispatchResult): void {
     switch (turn.kind) {
       case 'queue-full':
       case 'no-endpoint':
@@ -305,7 +305,7 @@
         this._context.metrics.tokens.inc({ kind: 'customer' }, end.tokens);
         return 'ended';
       case 'not-run':
-        if (end.isLeaving) this._endpoints.saysLeaving(endpoint.id);
+        if (end.isLeaving) this._endpoints.markLeaving(endpoint.id);
         run.provenNotRun(attempt);
         return 'again';
       case 'failed':
@@ -338,7 +338,7 @@
         this._serviceAnswered(work, endpoint, attempt, end);
         return 'ended';
       case 'not-run':
-        if (end.isLeaving) this._endpoints.saysLeaving(endpoint.id);
+        if (end.isLeaving) this._endpoints.markLeaving(endpoint.id);
         run.provenNotRun(attempt);
         return 'again';
       case 'broken':
@@ -354,7 +354,7 @@
     attempt: number,
     end: Extract<ServiceEnd, { kind: 'answered' }>,
   ): void {
-    if (end.isLeaving) this._endpoints.saysLeaving(endpoint.id);
+    if (end.isLeaving) this._endpoints.markLeaving(endpoint.id);
     if (!work.run.answered(attempt, end.status, end.status >= SERVER_ERROR)) return;
     work.answer = { status: end.status, contentType: end.contentType, body: end.body.toString('utf8') };
   }
@@ -371,7 +371,7 @@
     if (end.kind === 'not-run' && !end.isUnreachable) endpoint.limit.refused();
   }
 
-  private _turnRequest(work: RunningRequest, pool: string): Parameters<Dispatcher['turn']>[0] {
+  private _turnRequest(work: RunningRequest, pool: string): Parameters<Dispatcher['acquire']>[0] {
     const { action } = work.decision;
     const what = work.request.work;
     return {
@@ -379,11 +379,11 @@
       ownDomain: this._context.domain,
       domains: action.domains ?? [],
       isRollout: false,
-      reserve: reserveOf(action.reserve),
+      reserve: effectiveReserve(action.reserve),
       prefix: what.kind === 'completion' ? what.prompt.slice(0, PREFIX_LENGTH) : '',
       version: action.pinVersion ?? '',
       tried: work.tried,
-      waitClass: waitClassOf(action.priority ?? work.request.priority),
+      queuePriority: waitClassOf(action.priority ?? work.request.priority),
       deadline: work.deadline,
     };
   }
--- a/packages/entry/src/rolloutService.ts
+++ b/packages/entry/src/rolloutService.ts
@@ -19,14 +19,14 @@
   type Sample,
   type StepOffer,
 } from '@fuchsiahitch/steps';
-import { reserveOf, type Dispatcher } from './dispatcher.js';
+import { effectiveReserve, type Dispatcher } from './dispatcher.js';
 import type { CallableEndpoint, EndpointService } from './endpointService.js';
 import type { HostContext } from './hostContext.js';
 import type { CallRegistry, PeerCaller } from './hostPorts.js';
 import type { MembershipService } from './membershipService.js';
 import type { RulesService } from './rulesService.js';
-import { SampleShelf } from './sampleShelf.js';
-import { readShelf } from './shelfReader.js';
+import { SampleBuffer } from './sampleBuffer.js';
+import { fetchSamples } from './fetchSamples.js';
 
 const PULL_PERIOD_MS = 50;
 const PULL_TIMEOUT_MS = 2000;
@@ -54,7 +54,7 @@
   | { readonly kind: 'engine-ended'; readonly engine: string };
 
 export class RolloutService {
-  readonly shelf: SampleShelf;
+  readonly sampleBuffer: SampleBuffer;
   private readonly _context: HostContext;
   private readonly _peers: PeerCaller;
   private readonly _membership: MembershipService;
@@ -93,11 +93,11 @@
     this._dispatcher = parts.dispatcher;
     this._engines = parts.engines;
     this._scorer = parts.scorer;
-    this.shelf = new SampleShelf(context.clock);
+    this.sampleBuffer = new SampleBuffer(context.clock);
   }
 
   register(server: CallRegistry): void {
-    server.handle(calls.heldSamples, ({ key, from }) => this.shelf.page(key, from));
+    server.handle(calls.heldSamples, ({ key, from }) => this.sampleBuffer.page(key, from));
     server.handle(calls.shelfGrew, ({ key }, { peer }) => {
       void this._copyShelf(key, peer.hostId);
       return {};
@@ -107,7 +107,7 @@
   start(): void {
     const { clock, stopped } = this._context;
     every(clock, PULL_PERIOD_MS, stopped, () => this._pullWork());
-    every(clock, EXPIRE_PERIOD_MS, stopped, () => this.shelf.expire());
+    every(clock, EXPIRE_PERIOD_MS, stopped, () => this.sampleBuffer.removeExpired());
     every(clock, RENEW_PERIOD_MS, stopped, () => this._renewBatches());
   }
 
@@ -120,12 +120,12 @@
   }
 
   /** An owner says that a step has work, or is over. */
-  offered(offer: StepOffer): void {
+  onOffer(offer: StepOffer): void {
     const known = this._offers.get(offer.key);
     if (known && known.epoch > offer.epoch) return;
     if (offer.isOver) {
       this._offers.delete(offer.key);
-      this.shelf.forget(offer.key);
+      this.sampleBuffer.removeStep(offer.key);
       for (const position of this._copied.keys())
         if (position.startsWith(`${offer.key}@`)) this._copied.delete(position);
     } else {
@@ -159,7 +159,7 @@
   /** Places for rollouts that are free now and not already given to slots that wait. */
   private _roomFor(offer: StepOffer): number {
     const { pool, reserve, maxInFlight } = this._placeOf(offer);
-    const room = this._dispatcher.rolloutRoom(pool, reserve) - this._dispatcher.queueSize(pool);
+    const room = this._dispatcher.freeRolloutSlots(pool, reserve) - this._dispatcher.queueSize(pool);
     return Math.min(room, maxInFlight - this._running);
   }
 
@@ -171,11 +171,11 @@
     readonly domains: readonly string[];
     readonly version: string;
   } {
-    const { action } = this._rules.book().decide(this._factsOf(offer));
+    const { action } = this._rules.evaluator().decide(this._factsOf(offer));
     const isRefused = action.refuse !== undefined;
     return {
       pool: action.pool ?? offer.pool,
-      reserve: reserveOf(action.reserve),
+      reserve: effectiveReserve(action.reserve),
       share: action.share ?? offer.share,
       maxInFlight: isRefused ? 0 : (action.maxInFlight ?? Number.MAX_SAFE_INTEGER),
       domains: action.domains ?? [],
@@ -225,7 +225,7 @@
         await this._reportFailure(offer, assignment, made);
         return;
       }
-      this.shelf.keep(offer.key, made, bornMs);
+      this.sampleBuffer.store(offer.key, made, bornMs);
       this._context.metrics.samples.inc({ end: 'made' });
       this._askForCopy(offer);
       await this._reportDone(offer.key, assignment.sampleId);
@@ -305,7 +305,7 @@
   ): Promise<EndedStream | undefined> {
     const place = this._placeOf(offer);
     const stop = new AbortController();
-    const turn = await this._dispatcher.turn(
+    const turn = await this._dispatcher.acquire(
       {
         pool: place.pool,
         ownDomain: this._context.domain,
@@ -315,7 +315,7 @@
         prefix: assignment.prompt.slice(0, PREFIX_LENGTH),
         version: place.version,
         tried: new Set(),
-        waitClass: 'rollout',
+        queuePriority: 'rollout',
         deadline: soFar.deadline,
       },
       () => true,
@@ -323,7 +323,7 @@
     );
     if (turn.kind !== 'turn') return undefined;
     const { endpoint } = turn;
-    const removeYielder = this._dispatcher.addYielder(endpoint.id, () => stop.abort());
+    const removeYielder = this._dispatcher.addPreemptible(endpoint.id, () => stop.abort());
     const hop = this._context.tracing.startSpan('endpoint', undefined);
     const end = await this._engines.generate(
       {
@@ -350,7 +350,7 @@
       this._dispatcher.cancelled(endpoint, true);
       return;
     }
-    if (end.kind === 'not-run' && end.isLeaving) this._endpoints.saysLeaving(endpoint.id);
+    if (end.kind === 'not-run' && end.isLeaving) this._endpoints.markLeaving(endpoint.id);
     if (end.kind === 'not-run' && !end.isUnreachable) endpoint.limit.refused();
     const isFault =
       end.kind === 'broken' ||
@@ -411,8 +411,8 @@
       key,
       from: this._copied.get(position) ?? 0,
     };
-    const end = await readShelf(this._context, this._peers, source, ({ ageMs, ...sample }, askedMs) =>
-      this.shelf.keep(key, sample, askedMs - ageMs),
+    const end = await fetchSamples(this._context, this._peers, source, ({ ageMs, ...sample }, askedMs) =>
+      this.sampleBuffer.store(key, sample, askedMs - ageMs),
     );
     this._copied.set(position, end);
     this._copying.delete(position);
@@ -421,7 +421,7 @@
   private async _reportDone(key: string, sampleId: string): Promise<void> {
     for (let i = 0; i < REPORT_TRIES; i++) {
       const offer = this._offers.get(key);
-      const sample = this.shelf.aged(key, sampleId);
+      const sample = this.sampleBuffer.sampleWithAge(key, sampleId);
       if (!offer || !sample) return;
       const message = { key, worker: this._context.hostId, sample };
       const reply = await this._peers.call(offer.ownerAddress, calls.sampleDone, message, REPORT_TIMEOUT_MS);
--- a/packages/entry/src/rulesService.ts
+++ b/packages/entry/src/rulesService.ts
@@ -22,7 +22,7 @@
 import type { HostContext } from './hostContext.js';
 import type { MembershipService } from './membershipService.js';
 import type { CallRegistry, PeerCaller } from './hostPorts.js';
-import { readEdit, RULES_PREFIX } from './storedRules.js';
+import { parseEdit, RULES_PREFIX } from './keyValueRuleStore.js';
 
 /** A watch can fall silent without ending, so watchers also read the store this often. */
 const READ_PERIOD_MS = 5000;
@@ -81,7 +81,7 @@
   }
 
   /** The rules to decide by. */
-  book(): RuleEvaluator {
+  evaluator(): RuleEvaluator {
     return this._book;
   }
 
@@ -93,12 +93,12 @@
    * True once this host heard of the rules from the store or a peer. Until then it is not ready: a host that
    * restarts with no store in reach must not serve by empty rules.
    */
-  isKnown(): boolean {
+  hasRules(): boolean {
     return this._isKnown;
   }
 
   /** A peer is ahead, or has the same rules: both show that this host's are known. */
-  async sawRevision(address: string, revision: number): Promise<void> {
+  async onPeerRevision(address: string, revision: number): Promise<void> {
     if (revision > this.revision()) await this.pullFrom(address);
     else if (revision === this.revision() && revision > 0) this._isKnown = true;
   }
@@ -169,7 +169,7 @@
 
   private _sawEvents(events: readonly WatchEvent[]): void {
     for (const event of events) {
-      const numbered = event.value === undefined ? undefined : readEdit(event.key, event.value);
+      const numbered = event.value === undefined ? undefined : parseEdit(event.key, event.value);
       const isSnapshot = event.key === `${RULES_PREFIX}snapshot`;
       if (!numbered) {
         if (isSnapshot) void this.readStore();
--- a/packages/entry/src/sampleShelf.ts
+++ b/packages/entry/src/sampleBuffer.ts
@@ -17,7 +17,7 @@
 }
 
 /** Samples kept of a step, in the order in which they came. */
-export interface ShelfPage {
+export interface SamplePage {
   readonly samples: readonly Sample[];
   /** Where the next page begins. */
   readonly next: number;
@@ -29,7 +29,7 @@
 /** A step that nobody ended is forgotten after this time. */
 const KEEP_MS = 3_600_000;
 
-export class SampleShelf {
+export class SampleBuffer {
   private readonly _clock: Clock;
   private readonly _steps = new Map<string, KeptStep>();
 
@@ -37,7 +37,7 @@
     this._clock = clock;
   }
 
-  keep(key: string, sample: Omit<Sample, 'ageMs'>, bornMs: number): void {
+  store(key: string, sample: Omit<Sample, 'ageMs'>, bornMs: number): void {
     const step = this._steps.get(key) ?? { samples: [], byId: new Map<string, KeptSample>() };
     this._steps.set(key, step);
     if (step.byId.has(sample.sampleId)) return;
@@ -47,25 +47,25 @@
   }
 
   /** The sample as it is to be sent now: its age counts up to this moment. */
-  aged(key: string, sampleId: string): Sample | undefined {
+  sampleWithAge(key: string, sampleId: string): Sample | undefined {
     const kept = this._steps.get(key)?.byId.get(sampleId);
     return kept && this._toSample(kept);
   }
 
   /** The samples of a step from a position on. */
-  page(key: string, from: number): ShelfPage {
+  page(key: string, from: number): SamplePage {
     const samples = this._steps.get(key)?.samples ?? [];
     const page = samples.slice(from, from + PAGE);
     const next = from + page.length;
     return { samples: page.map(kept => this._toSample(kept)), next, hasMore: next < samples.length };
   }
 
-  forget(key: string): void {
+  removeStep(key: string): void {
     this._steps.delete(key);
   }
 
   /** Drops steps that nobody ended. */
-  expire(): void {
+  removeExpired(): void {
     const nowMs = this._clock.nowMs();
     for (const [key, step] of this._steps) {
       if (step.samples.every(kept => nowMs - kept.bornMs > KEEP_MS)) this._steps.delete(key);
--- a/packages/entry/src/stepService.ts
+++ b/packages/entry/src/stepService.ts
@@ -21,7 +21,7 @@
 import type { MembershipService } from './membershipService.js';
 import type { CallRegistry, PeerCaller } from './hostPorts.js';
 import type { RolloutService } from './rolloutService.js';
-import { readShelf } from './shelfReader.js';
+import { fetchSamples } from './fetchSamples.js';
 
 const CALL_TIMEOUT_MS = 10_000;
 const OFFER_TIMEOUT_MS = 2000;
@@ -216,7 +216,7 @@
   }
 
   private _elsewhere(domain: string): Place {
-    const address = this._membership.someAddressOf(domain);
+    const address = this._membership.randomAddressOf(domain);
     return address === '' ? { kind: 'moving' } : { kind: 'there', address };
   }
 
@@ -269,7 +269,9 @@
   /** Asks all workers in reach for the samples that they keep of a step. */
   private async _adoptAll(owner: StepOwner): Promise<void> {
     const others = this._context.domains.filter(domain => domain !== this._context.domain);
-    const remote = others.flatMap(domain => this._membership.hostsOf(domain).map(host => host.peerAddress));
+    const remote = others.flatMap(domain =>
+      this._membership.liveHostsOf(domain).map(host => host.peerAddress),
+    );
     const local = this._membership.livePeers().map(peer => peer.address);
     this._adoptOwn(owner);
     await Promise.all([...local, ...remote].map(address => this._adoptFrom(owner, address)));
@@ -278,7 +280,7 @@
   private _adoptOwn(owner: StepOwner): void {
     const askedMs = this._context.clock.nowMs();
     for (let from = 0, hasMore = true; hasMore;) {
-      const page = this._rollouts.shelf.page(owner.key, from);
+      const page = this._rollouts.sampleBuffer.page(owner.key, from);
       for (const sample of page.samples) owner.ledger.adopt(sample, askedMs);
       from = page.next;
       ({ hasMore } = page);
@@ -287,7 +289,7 @@
 
   private async _adoptFrom(owner: StepOwner, address: string): Promise<void> {
     const source = { address, key: owner.key, from: 0 };
-    await readShelf(this._context, this._peers, source, (sample, askedMs) =>
+    await fetchSamples(this._context, this._peers, source, (sample, askedMs) =>
       owner.ledger.adopt(sample, askedMs),
     );
   }
@@ -304,7 +306,7 @@
   private _workerAddress(worker: string): string {
     const local = this._membership.addressOf(worker);
     if (local !== '') return local;
-    const hosts = this._context.domains.flatMap(domain => this._membership.hostsOf(domain));
+    const hosts = this._context.domains.flatMap(domain => this._membership.liveHostsOf(domain));
     return hosts.find(host => host.id === worker)?.peerAddress ?? '';
   }
 
@@ -347,17 +349,17 @@
       deadlineInMs: Math.max(0, owner.deadlineInMs()),
       passOn: false,
     };
-    this._rollouts.offered(offer);
+    this._rollouts.onOffer(offer);
     for (const peer of this._membership.livePeers()) this._sendOffer(peer.address, offer);
     for (const domain of this._context.domains) {
       if (domain === this._context.domain) continue;
-      const address = this._membership.someAddressOf(domain);
+      const address = this._membership.randomAddressOf(domain);
       if (address !== '') this._sendOffer(address, { ...offer, passOn: true });
     }
   }
 
   private _offered(offer: StepOffer): Record<string, never> {
-    this._rollouts.offered(offer);
+    this._rollouts.onOffer(offer);
     const owned = this._owned.get(offer.key);
     if (owned && offer.epoch > owned.owner.epoch) this._giveUp(owned.owner);
     if (!offer.passOn) return {};
--- a/tests/rules.spec.ts
+++ b/tests/rules.spec.ts
@@ -300,7 +300,7 @@
   t.same(
     fleet
       .host('tekapo-0')
-      .ready.rules.book()
+      .ready.rules.evaluator()
       .document.rules.map(one => one.id)
       .sort(),
     ['race-0', 'race-1', 'race-2', 'race-3'],
@@ -367,7 +367,7 @@
   t.same(
     fleet
       .host('twizel-1')
-      .ready.rules.book()
+      .ready.rules.evaluator()
       .document.rules.map(one => one.id),
     ['first', 'second', 'third'],
   );
@@ -455,7 +455,7 @@
 
   private _remove(at: string): void {
     const host = this.fleet.host(at);
-    const target = host.services?.rules.book().document.rules[0];
+    const target = host.services?.rules.evaluator().document.rules[0];
     if (!target) return;
     this._count += 1;
     this.send(at, {
@@ -483,9 +483,11 @@
     () => new Set(revisions(fleet)).size === 1 && fleet.liveHosts().length === 4,
     30_000,
   );
-  const documents = fleet.liveHosts().map(host => JSON.stringify(host.ready.rules.book().document.rules));
+  const documents = fleet
+    .liveHosts()
+    .map(host => JSON.stringify(host.ready.rules.evaluator().document.rules));
   if (new Set(documents).size !== 1) throw new Error('hosts at one revision have different rules');
-  return fleet.host('tekapo-0').ready.rules.book().document.rules;
+  return fleet.host('tekapo-0').ready.rules.evaluator().document.rules;
 }
 
 function checkAccepted(run: RulesRun, rules: readonly Rule[]): void {
