--- a/packages/ctl/src/accountCommands.ts
+++ b/packages/ctl/src/accountCommands.ts
@@ -1,5 +1,5 @@
 /**
- * Commands about client accounts. Keys are never shown.
+ * Commands for client accounts. Keys are never shown.
  */
 import * as z from 'zod';
 import type { OperatorClient } from './operatorClient.js';
@@ -11,7 +11,6 @@
 );
 const accessSchema = z.looseObject({ kind: z.string() });
 
-/** The accounts of the first host that answers. */
 export async function showAccounts(client: OperatorClient): Promise<CommandResult> {
   const reply = await client.call('GET', '/v1/accounts');
   if (!reply.ok) return unreachableResult(reply.error);
@@ -25,7 +24,7 @@
   };
 }
 
-/** What a host decides on a request with the key. */
+/** Shows the access that a host grants to a key. */
 export async function explainKey(client: OperatorClient, key: string): Promise<CommandResult> {
   const reply = await client.call('POST', '/v1/accounts/explain', { key });
   if (!reply.ok) return unreachableResult(reply.error);
--- a/packages/ctl/src/operatorClient.ts
+++ b/packages/ctl/src/operatorClient.ts
@@ -1,25 +1,24 @@
 /**
- * The operators' interface of the entry hosts, tried at one host after the other.
+ * Client for the operators' HTTP interface of the entry hosts.
  */
 import { err, ok, type Result } from '@fuchsiahitch/base';
 import { request } from 'undici';
 
 const TIMEOUT_MS = 10_000;
 
-/** A host's answer. */
 export interface OperatorAnswer {
   readonly status: number;
   readonly body: unknown;
   readonly host: string;
 }
 
-/** Why no host answered. `isSent`: a host may have acted. */
+/** Why no host answered. `isSent`: a host may have executed the request. */
 export interface Unreachable {
   readonly isSent: boolean;
   readonly problems: readonly string[];
 }
 
-const UNSENT = new Set(['ECONNREFUSED', 'EHOSTUNREACH', 'ENETUNREACH', 'UND_ERR_CONNECT_TIMEOUT']);
+const NOT_SENT_CODES = new Set(['ECONNREFUSED', 'EHOSTUNREACH', 'ENETUNREACH', 'UND_ERR_CONNECT_TIMEOUT']);
 const UNAUTHORIZED = 401;
 
 export class OperatorClient {
@@ -31,7 +30,7 @@
     this._token = token;
   }
 
-  /** Calls the first host that answers. */
+  /** Tries the hosts in order until one answers. */
   async call(
     method: 'GET' | 'POST',
     path: string,
@@ -44,7 +43,7 @@
         return ok(await this._callOne(host, method, path, body));
       } catch (thrown) {
         const code = thrown instanceof Error && 'code' in thrown ? String(thrown.code) : '';
-        isSent ||= !UNSENT.has(code);
+        isSent ||= !NOT_SENT_CODES.has(code);
         problems.push(`${host}: ${code || String(thrown)}`);
       }
     }
@@ -64,7 +63,7 @@
       signal: AbortSignal.timeout(TIMEOUT_MS),
     });
     const text = await response.body.text();
-    if (response.statusCode === UNAUTHORIZED) throw new Error('the operator token is wrong');
+    if (response.statusCode === UNAUTHORIZED) throw new Error('the host rejected the operator token');
     return { status: response.statusCode, body: JSON.parse(text) as unknown, host };
   }
 }
--- a/packages/ctl/src/output.ts
+++ b/packages/ctl/src/output.ts
@@ -1,19 +1,18 @@
 /**
- * Tables for people, JSON for scripts.
+ * Command results: tables for people, JSON for scripts.
  */
 
-/** Exit codes of the command line. */
 export const exitCodes = { done: 0, refused: 1, usage: 2, unknown: 3, unreachable: 4 } as const;
 export type ExitCode = (typeof exitCodes)[keyof typeof exitCodes];
 
-/** What a command gives: text for people, the same as data, and how the program ends. */
+/** The result of a command, as text and as data, with the exit code. */
 export interface CommandResult {
   readonly text: string;
   readonly data: unknown;
   readonly exitCode: ExitCode;
 }
 
-/** A table with aligned columns. */
+/** Formats a table with aligned columns. */
 export function formatTable(head: readonly string[], rows: readonly (readonly unknown[])[]): string {
   const cells = [head, ...rows.map(row => row.map(cell => String(cell)))];
   const widths = head.map((_, column) => Math.max(...cells.map(row => row[column]?.length ?? 0)));
--- a/packages/ctl/src/ruleCommands.ts
+++ b/packages/ctl/src/ruleCommands.ts
@@ -1,5 +1,5 @@
 /**
- * Commands on rules.
+ * Commands for rules.
  */
 import fs from 'node:fs';
 import { err, ok, type Result } from '@fuchsiahitch/base';
@@ -18,14 +18,14 @@
 import type { OperatorClient, Unreachable } from './operatorClient.js';
 import { exitCodes, formatTable, type CommandResult } from './output.js';
 
-const UNKNOWN_TRIES = 5;
+const MAX_SUBMIT_TRIES = 5;
 const RETRY_MS = 500;
 const OK_STATUS = 200;
 const CONFLICT = 409;
 
 const editReplySchema = z.looseObject({ kind: z.string(), revision: z.number().optional() });
 
-/** The rules in force, as YAML. */
+/** Prints the rules in force as YAML. */
 export async function getRules(client: OperatorClient): Promise<CommandResult> {
   const document = await readDocument(client);
   if (!document.ok) return unreachableResult(document.error);
@@ -33,7 +33,7 @@
   return { text, data: document.value, exitCode: exitCodes.done };
 }
 
-/** Checks a file without a host: its form, and what its rules do together. */
+/** Validates a rule file offline, including conflicts between its rules. */
 export function checkFile(file: string): CommandResult {
   const rules = readFile(file);
   if (!rules.ok) return rules.error;
@@ -44,7 +44,7 @@
   return { text, data: { findings }, exitCode: hasErrors ? exitCodes.refused : exitCodes.done };
 }
 
-/** Brings the rules in force to those of a file, by one small edit for each difference. */
+/** Applies a rule file by submitting one edit per difference from the rules in force. */
 export async function applyFile(
   client: OperatorClient,
   file: string,
@@ -65,7 +65,7 @@
   return last;
 }
 
-/** One edit: `add FILE`, `replace FILE`, `remove ID`. Files hold one rule each. */
+/** Submits one edit: `add FILE`, `replace FILE` or `remove ID`. Each file contains one rule. */
 export async function editRule(
   client: OperatorClient,
   words: readonly string[],
@@ -76,7 +76,7 @@
   return submit(client, { id: options.id, team: options.team, operation: operation.value });
 }
 
-/** Which rule decides a request, and why the earlier ones did not. */
+/** Shows which rule decides a request, and why earlier ones did not match. */
 export async function explain(client: OperatorClient, query: string): Promise<CommandResult> {
   const reply = await client.call('GET', `/v1/rules/explain?${query}`);
   if (!reply.ok) return unreachableResult(reply.error);
@@ -99,7 +99,7 @@
   };
 }
 
-/** What a file would change for recorded requests. */
+/** Shows which decisions on recorded requests a rule file would change. */
 export async function simulateFile(
   client: OperatorClient,
   file: string,
@@ -148,13 +148,13 @@
   return ok(wanted ? { op: 'replace', rule: wanted.value, base } : { op: 'remove', id: ruleId, base });
 }
 
-/** Sends an edit, and sends the very same one again while its fate is unknown. */
+/** Submits an edit, and resends it under the same identifier while its outcome is unknown. */
 async function submit(
   client: OperatorClient,
   edit: { readonly id: string; readonly team: string; readonly operation: Operation },
 ): Promise<CommandResult> {
   let isUnknown = false;
-  for (let i = 0; i < UNKNOWN_TRIES; i++) {
+  for (let i = 0; i < MAX_SUBMIT_TRIES; i++) {
     const reply = await client.call('POST', '/v1/rules/edits', edit);
     if (!reply.ok) {
       if (!reply.error.isSent && !isUnknown) return unreachableResult(reply.error);
--- a/packages/ctl/src/statusCommands.ts
+++ b/packages/ctl/src/statusCommands.ts
@@ -35,7 +35,7 @@
 type FleetState = z.infer<typeof statusSchema>;
 
 export async function showHosts(client: OperatorClient): Promise<CommandResult> {
-  return show(client, state => ({
+  return showStatus(client, state => ({
     data: state.hosts,
     text: formatTable(
       ['HOST', 'DOMAIN', 'READY', 'RULES', 'SLOTS', 'KEYS', 'STEPS', 'IN FLIGHT', 'STORE', 'VERSION'],
@@ -60,7 +60,7 @@
 }
 
 export async function showList(client: OperatorClient, what: 'steps' | 'endpoints'): Promise<CommandResult> {
-  return show(client, state => {
+  return showStatus(client, state => {
     const rows: readonly Readonly<Record<string, unknown>>[] = state[what];
     const head = Object.keys(rows[0] ?? {});
     const text =
@@ -75,10 +75,10 @@
 }
 
 export async function showOrders(client: OperatorClient): Promise<CommandResult> {
-  return show(client, state => ({ data: state.orders, text: JSON.stringify(state.orders, null, 2) }));
+  return showStatus(client, state => ({ data: state.orders, text: JSON.stringify(state.orders, null, 2) }));
 }
 
-/** Which hosts have a revision in force, which do not, and which cannot be told. */
+/** Shows on which hosts a revision is in force, and which hosts did not answer. */
 export async function showRulesStatus(
   client: OperatorClient,
   waitMs: number,
@@ -86,7 +86,7 @@
 ): Promise<CommandResult> {
   const endMs = performance.now() + waitMs;
   for (;;) {
-    const result = await show(client, state => rulesStatus(state, wanted));
+    const result = await showStatus(client, state => rulesStatus(state, wanted));
     if (result.exitCode === exitCodes.done || performance.now() >= endMs) return result;
     await new Promise<void>(resolve => setTimeout(resolve, POLL_MS));
   }
@@ -119,7 +119,7 @@
   };
 }
 
-async function show(
+async function showStatus(
   client: OperatorClient,
   render: (state: FleetState) => Pick<CommandResult, 'text' | 'data'> & Partial<CommandResult>,
 ): Promise<CommandResult> {
--- a/packages/entry/src/budgetedStore.ts
+++ b/packages/entry/src/budgetedStore.ts
@@ -1,5 +1,5 @@
 /**
- * The key-value service within this host's share of the fleet's calls.
+ * Rate-limits calls to the key-value service to this host's share of the fleet's budget.
  */
 import { err, sleep, type Clock, type Deadline, type Result } from '@fuchsiahitch/base';
 import type { CallBudget } from '@fuchsiahitch/membership';
@@ -15,7 +15,6 @@
 } from '@fuchsiahitch/clients';
 import type { Metrics } from './metrics.js';
 
-/** Waits for this host's share before each call, and counts calls. */
 export class BudgetedStore implements KeyValueStore {
   private readonly _inner: KeyValueStore;
   private readonly _budget: CallBudget;
@@ -30,17 +29,17 @@
     this._metrics = metrics;
   }
 
-  /** How the last call went. */
+  /** Returns whether the last call succeeded. */
   isReachable(): boolean {
     return this._isReachable;
   }
 
   async get(key: string, deadline: Deadline): Promise<Result<StoredValue | undefined, StoreError>> {
-    return this._within(deadline, () => this._inner.get(key, deadline));
+    return this._withinBudget(deadline, () => this._inner.get(key, deadline));
   }
 
   async list(prefix: string, deadline: Deadline): Promise<Result<readonly StoredValue[], StoreError>> {
-    return this._within(deadline, () => this._inner.list(prefix, deadline));
+    return this._withinBudget(deadline, () => this._inner.list(prefix, deadline));
   }
 
   async transact(
@@ -48,15 +47,15 @@
     writes: readonly Write[],
     deadline: Deadline,
   ): Promise<Result<TransactionResult, StoreError>> {
-    return this._within(deadline, () => this._inner.transact(compares, writes, deadline));
+    return this._withinBudget(deadline, () => this._inner.transact(compares, writes, deadline));
   }
 
   async grantLease(ttlMs: number, deadline: Deadline): Promise<Result<string, StoreError>> {
-    return this._within(deadline, () => this._inner.grantLease(ttlMs, deadline));
+    return this._withinBudget(deadline, () => this._inner.grantLease(ttlMs, deadline));
   }
 
   async keepLease(leaseId: string, deadline: Deadline): Promise<Result<boolean, StoreError>> {
-    return this._within(deadline, () => this._inner.keepLease(leaseId, deadline));
+    return this._withinBudget(deadline, () => this._inner.keepLease(leaseId, deadline));
   }
 
   async watch(
@@ -74,8 +73,8 @@
     return end;
   }
 
-  /** Waits for the share within the deadline, and lengthens the pause after failures. */
-  private async _within<T>(
+  /** Waits for budget within the deadline, and reports the result to the budget, which backs off after failures. */
+  private async _withinBudget<T>(
     deadline: Deadline,
     call: () => Promise<Result<T, StoreError>>,
   ): Promise<Result<T, StoreError>> {
--- a/packages/entry/src/callerAccounts.ts
+++ b/packages/entry/src/callerAccounts.ts
@@ -1,5 +1,5 @@
 /**
- * The client accounts that a daemon knows, from a file that operators write.
+ * Client accounts, loaded from a file that operators maintain.
  */
 import fs from 'node:fs/promises';
 import {
@@ -13,7 +13,7 @@
 import { messageOf, strongDigest } from '@fuchsiahitch/base';
 import type { Logger } from '@fuchsiahitch/telemetry';
 
-/** An account as operators are shown it: keys by a short digest, which proves nothing to anybody else. */
+/** An account as shown to operators. Keys appear only as short digests, which do not authenticate. */
 export interface AccountSummary {
   readonly name: string;
   readonly rank: number | undefined;
@@ -23,7 +23,7 @@
 const DIGEST_LENGTH = 8;
 const BEARER = /^bearer +(\S+)$/i;
 
-/** What a caller's header says; a header that stands twice arrives joined, and is no key. */
+/** Parses the authorization header. A repeated header arrives joined and is unreadable. */
 export function credentialOf(header: string | undefined): Credential {
   if (header === undefined) return { kind: 'none' };
   const key = BEARER.exec(header.trim())?.[1];
@@ -36,18 +36,21 @@
   private _accounts: readonly Account[] = [];
   private _index: AccountIndex | undefined;
 
-  /** `path`: the file; empty where callers need no keys. */
+  /** An empty `path` disables accounts: callers need no keys. */
   constructor(path: string, log: Logger) {
     this._path = path;
     this._log = log;
   }
 
-  /** Reads the file. A wrong one leaves what is in force, and is told whole. */
+  /** Loads the file. An invalid file leaves the current accounts in force; all problems are returned. */
   async load(): Promise<readonly string[]> {
     if (this._path === '') return [];
     const problems = await this._read();
-    if (problems.length === 0) this._log.info('accounts', { accounts: this._accounts.length });
-    else this._log.error('accounts stay as they are', { problems: problems.join('; ') });
+    if (problems.length === 0) this._log.info('accounts loaded', { accounts: this._accounts.length });
+    else
+      this._log.error('accounts file rejected; previous accounts stay in force', {
+        problems: problems.join('; '),
+      });
     return problems;
   }
 
--- a/packages/entry/src/callersController.ts
+++ b/packages/entry/src/callersController.ts
@@ -1,5 +1,5 @@
 /**
- * The callers' listener: completions, and calls to plain services.
+ * HTTP controller for callers: completions and calls to plain services.
  */
 import { All, Controller, Inject, Post, Req, Res } from '@nestjs/common';
 import type { FastifyReply, FastifyRequest } from 'fastify';
@@ -16,14 +16,14 @@
 import { Metrics } from './metrics.js';
 import { reasonOf, RequestService, type CallerAnswer, type CallerRequest } from './requestService.js';
 
-/** The header that tells the revision of the rules that decided. */
+/** Carries the revision of the rules that decided the request. */
 const REVISION_HEADER = 'fuchsiahitch-rules-revision';
 const CALLER_HEADER = 'fuchsiahitch-caller';
-const DENIED = 401;
-const MS_A_SECOND = 1000;
+const UNAUTHORIZED = 401;
+const MS_PER_SECOND = 1000;
 const SERVICE_PREFIX = '/svc/';
-/** Headers that belong to one connection, or that this host sets itself. */
-const NOT_PASSED_ON = new Set([
+/** Headers that are specific to one connection, or that this host sets itself. */
+const NON_FORWARDED_HEADERS = new Set([
   'host',
   'connection',
   'content-length',
@@ -45,20 +45,20 @@
     const headers = validate(request.headers, callerHeadersSchema);
     const body = readJson(request.body, completionSchema);
     if (!headers.ok) {
-      this._bad(reply, headers.error);
+      this._rejectBadRequest(reply, headers.error);
       return;
     }
-    const access = this._access(reply, headers.value);
+    const access = this._checkAccess(reply, headers.value);
     if (!access) return;
     if (!body.ok) {
-      this._bad(reply, body.error);
+      this._rejectBadRequest(reply, body.error);
       return;
     }
     const { model, prompt, max_tokens: maxTokens, stream } = body.value;
-    const output = stream ? new StreamedCompletion(reply) : new WholeCompletion();
+    const output = stream ? new StreamedCompletion(reply) : new BufferedCompletion();
     const work = { kind: 'completion', prompt, maxTokens, onChunks: output.onChunks } as const;
     const answer = await this._requests.run({
-      ...toRequest(reply, model, headers.value, access),
+      ...toCallerRequest(reply, model, headers.value, access),
       kind: 'completion',
       work,
     });
@@ -69,42 +69,42 @@
   async serve(@Req() request: FastifyRequest, @Res() reply: FastifyReply): Promise<void> {
     const headers = validate(request.headers, callerHeadersSchema);
     if (!headers.ok) {
-      this._bad(reply, headers.error);
+      this._rejectBadRequest(reply, headers.error);
       return;
     }
-    const access = this._access(reply, headers.value);
+    const access = this._checkAccess(reply, headers.value);
     if (!access) return;
     const rest = request.url.slice(SERVICE_PREFIX.length);
     const slash = rest.indexOf('/');
     if (slash <= 0) {
-      this._bad(reply, 'expected /svc/POOL/PATH');
+      this._rejectBadRequest(reply, 'expected /svc/POOL/PATH');
       return;
     }
     const pool = rest.slice(0, slash);
     const body = Buffer.isBuffer(request.body) && request.body.length > 0 ? request.body : undefined;
-    const passedOn = Object.entries(request.headers).filter(([name]) => !NOT_PASSED_ON.has(name));
-    const own = callerHeaders(access);
+    const forwarded = Object.entries(request.headers).filter(([name]) => !NON_FORWARDED_HEADERS.has(name));
+    const accountHeaders = accountHeadersFor(access);
     const work = {
       kind: 'service',
       method: request.method,
       path: rest.slice(slash),
-      headers: { ...withoutCredential(passedOn, access), ...own },
+      headers: { ...withoutCredential(forwarded, access), ...accountHeaders },
       body,
     } as const;
     const answer = await this._requests.run({
-      ...toRequest(reply, pool, headers.value, access),
+      ...toCallerRequest(reply, pool, headers.value, access),
       kind: 'service',
       work,
     });
-    sendWhole(reply, answer);
+    sendComplete(reply, answer);
   }
 
-  /** What the caller may do; undefined once it has been told that it may not. */
-  private _access(reply: FastifyReply, headers: CallerHeaders): Access | undefined {
+  /** Returns the caller's access, or sends a 401 and returns undefined. */
+  private _checkAccess(reply: FastifyReply, headers: CallerHeaders): Access | undefined {
     const access = this._accounts.access(credentialOf(headers.authorization));
     if (access.kind !== 'denied') return access;
     void reply
-      .status(DENIED)
+      .status(UNAUTHORIZED)
       .header(OUTCOME_HEADER, 'not-run')
       .header(REASON_HEADER, access.reason)
       .header('www-authenticate', 'Bearer')
@@ -112,7 +112,7 @@
     return undefined;
   }
 
-  private _bad(reply: FastifyReply, text: string): void {
+  private _rejectBadRequest(reply: FastifyReply, text: string): void {
     this._metrics.badInput.inc({ listener: 'callers' });
     void reply
       .status(400)
@@ -122,21 +122,21 @@
   }
 }
 
-/** A plain service is told the account, by this host's word. */
-function callerHeaders(access: Access): Readonly<Record<string, string>> {
+/** The account name, set by this host, for a plain service. */
+function accountHeadersFor(access: Access): Readonly<Record<string, string>> {
   return access.kind === 'granted' ? { [CALLER_HEADER]: access.accountName } : {};
 }
 
-/** Where accounts are known, what proves a caller's stays here. */
+/** Removes the caller's credential before forwarding when accounts are managed. */
 function withoutCredential(
   headers: readonly (readonly [string, unknown])[],
   access: Access,
 ): Readonly<Record<string, string>> {
-  const kept = headers.filter(([name]) => access.kind === 'unmanaged' || name !== 'authorization');
-  return Object.fromEntries(kept.map(([name, value]) => [name, String(value)]));
+  const allowed = headers.filter(([name]) => access.kind === 'unmanaged' || name !== 'authorization');
+  return Object.fromEntries(allowed.map(([name, value]) => [name, String(value)]));
 }
 
-function toRequest(
+function toCallerRequest(
   reply: FastifyReply,
   pool: string,
   headers: CallerHeaders,
@@ -158,7 +158,6 @@
   };
 }
 
-/** The headers that say how a request ended. */
 function outcomeHeaders(answer: CallerAnswer): Record<string, string> {
   const { outcome } = answer;
   const headers: Record<string, string> = {
@@ -167,12 +166,12 @@
   };
   if (outcome.kind !== 'completed' && outcome.kind !== 'failed') {
     headers[REASON_HEADER] = reasonOf(outcome);
-    headers['retry-after'] = String(Math.ceil(outcome.retryAfterMs / MS_A_SECOND));
+    headers['retry-after'] = String(Math.ceil(outcome.retryAfterMs / MS_PER_SECOND));
   }
   return headers;
 }
 
-function sendWhole(reply: FastifyReply, answer: CallerAnswer): void {
+function sendComplete(reply: FastifyReply, answer: CallerAnswer): void {
   void reply.status(answer.answer?.status ?? statusOf(answer.outcome)).headers(outcomeHeaders(answer));
   if (answer.answer) void reply.header('content-type', answer.answer.contentType).send(answer.answer.body);
   else void reply.send({ outcome: answer.outcome.kind, reason: answer.ruleText ?? reasonOf(answer.outcome) });
@@ -184,8 +183,8 @@
   readonly version: number | undefined;
 }
 
-/** Collects a completion and answers it whole. */
-class WholeCompletion {
+/** Buffers a completion and sends it as one response. */
+class BufferedCompletion {
   private _text = '';
   private _tokens = 0;
   private readonly _versions = new Set<number>();
@@ -200,7 +199,7 @@
 
   finish(reply: FastifyReply, answer: CallerAnswer): void {
     if (answer.outcome.kind !== 'completed') {
-      sendWhole(reply, answer);
+      sendComplete(reply, answer);
       return;
     }
     void reply
@@ -215,19 +214,19 @@
 }
 
 /**
- * Passes a completion on as it comes. A caller that reads slowly holds the engine's stream back: no more than
- * the socket's own buffer waits here.
+ * Streams a completion to the caller as server-sent events. Backpressure from a slow caller pauses the engine's
+ * stream, so that no more than the socket's buffer is held here.
  */
 class StreamedCompletion {
   private readonly _reply: FastifyReply;
-  private _isBegun = false;
+  private _hasStarted = false;
 
   constructor(reply: FastifyReply) {
     this._reply = reply;
   }
 
   readonly onChunks = async (chunks: readonly Chunk[]): Promise<void> => {
-    this._begin();
+    this._writeHead();
     let text = '';
     for (const chunk of chunks) {
       const event = {
@@ -246,11 +245,11 @@
   };
 
   finish(reply: FastifyReply, answer: CallerAnswer): void {
-    if (!this._isBegun && answer.outcome.kind !== 'completed') {
-      sendWhole(reply, answer);
+    if (!this._hasStarted && answer.outcome.kind !== 'completed') {
+      sendComplete(reply, answer);
       return;
     }
-    this._begin();
+    this._writeHead();
     const { outcome } = answer;
     const last = {
       choices: [],
@@ -260,14 +259,14 @@
     };
     const { raw } = this._reply;
     raw.write(`data: ${JSON.stringify(last)}\n\n`);
-    // Only a whole answer carries the last event that says so.
+    // Sent only after a complete answer, so that callers can detect truncation.
     if (outcome.kind === 'completed') raw.write('data: [DONE]\n\n');
     raw.end();
   }
 
-  private _begin(): void {
-    if (this._isBegun) return;
-    this._isBegun = true;
+  private _writeHead(): void {
+    if (this._hasStarted) return;
+    this._hasStarted = true;
     this._reply.hijack();
     this._reply.raw.writeHead(200, { 'content-type': 'text/event-stream', 'cache-control': 'no-store' });
   }
--- a/packages/entry/src/dispatcher.ts
+++ b/packages/entry/src/dispatcher.ts
@@ -1,5 +1,5 @@
 /**
- * Hands endpoints to requests: queues per pool, customers before rollouts, rollouts that yield.
+ * Assigns endpoints to requests: one queue per pool, customers before rollouts, preemption of rollouts.
  */
 import { every, type Deadline } from '@fuchsiahitch/base';
 import {
@@ -13,22 +13,21 @@
 import type { CallableEndpoint, EndpointService } from './endpointService.js';
 import type { HostContext } from './hostContext.js';
 
-/** Requests of one pool that may wait on this host. */
+/** Maximum queued requests per pool on this host. */
 const QUEUE_LIMIT = 2000;
-const SERVE_PERIOD_MS = 200;
+const DISPATCH_PERIOD_MS = 200;
 
-/** What a request waits for. */
 export interface DispatchRequest extends PickRequest {
   readonly queuePriority: QueuePriority;
   readonly deadline: Deadline;
 }
 
-/** A turn at an endpoint, or why there is none. */
+/** An acquired endpoint, or the reason why there is none. */
 export type DispatchResult =
-  | { readonly kind: 'turn'; readonly endpoint: CallableEndpoint }
+  | { readonly kind: 'acquired'; readonly endpoint: CallableEndpoint }
   | { readonly kind: 'queue-full' | 'too-late' | 'no-endpoint' | 'left' };
 
-/** A rollout that can be told to give up its place. */
+/** Stops a running rollout and frees its endpoint slot. */
 export type PreemptCallback = () => void;
 
 export class Dispatcher {
@@ -36,7 +35,7 @@
   private readonly _endpoints: EndpointService;
   private readonly _picker: EndpointPicker;
   private readonly _queues = new Map<string, RequestQueue>();
-  private readonly _yielders = new Map<string, Set<PreemptCallback>>();
+  private readonly _preemptible = new Map<string, Set<PreemptCallback>>();
 
   constructor(context: HostContext, endpoints: EndpointService) {
     this._context = context;
@@ -45,22 +44,22 @@
     endpoints.onCapacityChange(() => this.dispatchAll());
   }
 
-  /** A breaker that closes by time alone gives no sign, so that the queues are looked at regularly. */
+  /** Dispatches periodically as well, because a circuit breaker that closes by time emits no event. */
   start(): void {
-    every(this._context.clock, SERVE_PERIOD_MS, this._context.stopped, () => this.dispatchAll());
+    every(this._context.clock, DISPATCH_PERIOD_MS, this._context.stopped, () => this.dispatchAll());
   }
 
   queueSize(pool: string): number {
     return this._queues.get(pool)?.size() ?? 0;
   }
 
-  /** How long a customer who comes now should stay away before asking again. */
+  /** The retry delay for a customer request that is refused now. */
   retryAfterMs(pool: string): number {
     const expectedMs = this._queues.get(pool)?.expectedWaitMs('customer') ?? 0;
     return Math.max(1000, Math.ceil(expectedMs));
   }
 
-  /** Free places for rollouts in a pool under the customers' reserve. */
+  /** Free rollout slots in a pool, outside the customers' reserve. */
   freeRolloutSlots(pool: string, reserve: number): number {
     let room = 0;
     for (const endpoint of this._endpoints.pool(pool)) {
@@ -72,8 +71,8 @@
   }
 
   /**
-   * Waits for a turn. The endpoint's place is taken when the turn is given: `begin` counts it, and says false
-   * when the request ended meanwhile. `onLeave` receives a function that leaves the queue.
+   * Waits for an endpoint and occupies one of its slots. `begin` is called first and returns false if the request
+   * has ended meanwhile. Aborting `signal` leaves the queue.
    */
   async acquire(
     request: DispatchRequest,
@@ -83,7 +82,7 @@
     if (this._endpoints.pool(request.pool).length === 0) return { kind: 'no-endpoint' };
     return new Promise(resolve => {
       const offer = (): boolean => {
-        const endpoint = this._find(request);
+        const endpoint = this._pickEndpoint(request);
         if (!endpoint) return false;
         if (!begin()) {
           resolve({ kind: 'left' });
@@ -91,12 +90,12 @@
         }
         endpoint.stats.began(request.isRollout);
         endpoint.limit.recordUsage(endpoint.stats.inFlight());
-        resolve({ kind: 'turn', endpoint });
+        resolve({ kind: 'acquired', endpoint });
         return true;
       };
       const queue = this._queue(request.pool);
       if (queue.size() === 0 && offer()) return;
-      if (!request.isRollout) this._makeRoom(request);
+      if (!request.isRollout) this._preemptRollout(request);
       const leave = queue.enqueue(request.queuePriority, request.deadline, offer, reason =>
         resolve({ kind: reason }),
       );
@@ -104,46 +103,46 @@
         leave();
         resolve({ kind: 'left' });
       });
-      this._serveQueue(queue);
+      this._dispatchQueue(queue);
     });
   }
 
-  /** An attempt ended: its place is free. */
+  /** Frees the slot of a finished attempt. */
   ended(endpoint: CallableEndpoint, isRollout: boolean, isFailure: boolean): void {
     endpoint.stats.ended(isRollout, isFailure);
-    this._serveQueue(this._queue(endpoint.pool));
+    this._dispatchQueue(this._queue(endpoint.pool));
   }
 
   cancelled(endpoint: CallableEndpoint, isRollout: boolean): void {
     endpoint.stats.cancelled(isRollout);
-    this._serveQueue(this._queue(endpoint.pool));
+    this._dispatchQueue(this._queue(endpoint.pool));
   }
 
   dispatchAll(): void {
-    for (const queue of this._queues.values()) this._serveQueue(queue);
+    for (const queue of this._queues.values()) this._dispatchQueue(queue);
   }
 
-  /** Registers a rollout that runs at an endpoint; returns its removal. */
+  /** Registers a rollout that runs at an endpoint. Returns a function that unregisters it. */
   addPreemptible(endpointId: string, yielder: PreemptCallback): () => void {
-    const yielders = this._yielders.get(endpointId) ?? new Set<PreemptCallback>();
-    this._yielders.set(endpointId, yielders);
+    const yielders = this._preemptible.get(endpointId) ?? new Set<PreemptCallback>();
+    this._preemptible.set(endpointId, yielders);
     yielders.add(yielder);
     return () => yielders.delete(yielder);
   }
 
-  private _find(request: PickRequest): CallableEndpoint | undefined {
+  private _pickEndpoint(request: PickRequest): CallableEndpoint | undefined {
     const pool = this._endpoints.pool(request.pool);
     const picked = this._picker.pick(pool, request);
     return picked && pool.find(endpoint => endpoint.id === picked.id);
   }
 
-  /** Rollouts yield when a customer finds no room: the endpoint with most of them gives one up. */
-  private _makeRoom(request: PickRequest): void {
+  /** Preempts a rollout for a customer that finds no free slot, at the endpoint that the picker selects. */
+  private _preemptRollout(request: PickRequest): void {
     const pool = this._endpoints.pool(request.pool);
     const endpoint = this._picker.pickToPreempt(pool, request);
-    const [yielder] = this._yielders.get(endpoint?.id ?? '') ?? [];
+    const [yielder] = this._preemptible.get(endpoint?.id ?? '') ?? [];
     if (!endpoint || !yielder) return;
-    this._yielders.get(endpoint.id)?.delete(yielder);
+    this._preemptible.get(endpoint.id)?.delete(yielder);
     this._context.metrics.preempted.inc();
     yielder();
   }
@@ -156,12 +155,12 @@
     return queue;
   }
 
-  private _serveQueue(queue: RequestQueue): void {
+  private _dispatchQueue(queue: RequestQueue): void {
     if (queue.size() > 0) queue.dispatch();
   }
 }
 
-/** The reserve in force: what a rule sets, never below the floor. */
-export function effectiveReserve(wanted: number | undefined): number {
-  return Math.max(CUSTOMER_RESERVE_FLOOR, wanted ?? CUSTOMER_RESERVE_FLOOR);
+/** The reserve set by a rule, but at least the floor. */
+export function effectiveReserve(configured: number | undefined): number {
+  return Math.max(CUSTOMER_RESERVE_FLOOR, configured ?? CUSTOMER_RESERVE_FLOOR);
 }
--- a/packages/entry/src/endpointService.ts
+++ b/packages/entry/src/endpointService.ts
@@ -1,5 +1,5 @@
 /**
- * The endpoints that this host uses: its subset of each pool, their load reports and limits.
+ * The endpoints that this host uses: its subset of each pool, with load reports and concurrency limits.
  */
 import { Deadline, every } from '@fuchsiahitch/base';
 import type { EndpointEntry } from '@fuchsiahitch/membership';
@@ -9,15 +9,12 @@
 import type { HostContext } from './hostContext.js';
 import type { MembershipService } from './membershipService.js';
 
-/**
- * One endpoint is asked for its report at each of these moments, so that a host's bytes stay the same however
- * many endpoints it uses: 16 endpoints are read once in 6.4 s.
- */
-const REPORT_SPACING_MS = 400;
-/** With few endpoints each is asked no more often than this. */
-const REPORT_MIN_PERIOD_MS = 2000;
+/** Polls one endpoint per interval, so that a host's polling traffic does not grow with its endpoints. */
+const REPORT_INTERVAL_MS = 400;
+/** Minimum time between two polls of the same endpoint. */
+const MIN_REPORT_PERIOD_MS = 2000;
 const REPORT_TIMEOUT_MS = 1000;
-/** Hosts that send to one endpoint, when nothing better is known. */
+/** Assumed number of hosts that share an endpoint while membership is unknown. */
 const MIN_HOSTS = 1;
 
 interface Endpoint {
@@ -26,7 +23,7 @@
   readonly limit: ConcurrencyLimit;
 }
 
-/** A usable endpoint with what is needed to call it. */
+/** An endpoint with the data needed to call it. */
 export interface CallableEndpoint extends EndpointView {
   readonly url: string;
   readonly kind: EndpointEntry['kind'];
@@ -39,8 +36,8 @@
   private readonly _engines: EngineClient;
   private readonly _endpoints = new Map<string, Endpoint>();
   private readonly _views = new Map<string, readonly CallableEndpoint[]>();
-  private readonly _askedMs = new Map<string, number>();
-  private _onRoom: () => void = () => undefined;
+  private readonly _reportRequestedMs = new Map<string, number>();
+  private _notifyCapacityChange: () => void = () => undefined;
 
   constructor(context: HostContext, membership: MembershipService, engines: EngineClient) {
     this._context = context;
@@ -51,12 +48,12 @@
   }
 
   start(): void {
-    every(this._context.clock, REPORT_SPACING_MS, this._context.stopped, () => this._readNext());
+    every(this._context.clock, REPORT_INTERVAL_MS, this._context.stopped, () => this._pollNextReport());
   }
 
-  /** Called when a limit or the set of endpoints changed, so that waiting requests may go. */
+  /** Called when a limit or the set of endpoints changed, so that queued requests are dispatched. */
   onCapacityChange(listener: () => void): void {
-    this._onRoom = listener;
+    this._notifyCapacityChange = listener;
   }
 
   /** The endpoints of a pool that this host uses, in all failure domains. */
@@ -68,7 +65,7 @@
     return [...this._views.keys()];
   }
 
-  /** All endpoints of this host's own failure domain, whether it sends to them or not. */
+  /** All endpoints of this host's failure domain, including those outside its subset. */
   ownDomain(): readonly EndpointEntry[] {
     const own = this._membership.documents().find(document => document.domain === this._context.domain);
     return own?.endpoints ?? [];
@@ -79,7 +76,7 @@
     return [...this._views.values()].flat();
   }
 
-  /** Takes in a report, by a poll or with an answer. */
+  /** Applies a load report from a poll or an answer. */
   applyReport(endpointId: string, report: EngineReport): void {
     const endpoint = this._endpoints.get(endpointId);
     if (!endpoint) return;
@@ -87,23 +84,23 @@
     if (report.isLeaving) this._membership.announceLeaving({ endpointId, startId: report.startId });
     endpoint.limit.onLoadReport(report.queued, report.inFlight);
     endpoint.stats.onLoadReport({ ...report, version: String(report.version) });
-    this._onRoom();
+    this._notifyCapacityChange();
   }
 
-  /** An endpoint's own answer said that it leaves. */
+  /** Marks an endpoint as leaving after one of its answers said so. */
   markLeaving(endpointId: string): void {
     const startId = this._endpoints.get(endpointId)?.stats.report()?.startId ?? '';
     this._membership.announceLeaving({ endpointId, startId });
   }
 
-  /** The value of a signal that rules can read. */
+  /** The value of a signal for rule conditions. */
   signal(signal: Signal, pool: string, queueSize: number): number {
     const views = this.pool(pool);
     switch (signal) {
       case 'queue':
         return queueSize;
       case 'load':
-        return loadShare(views);
+        return relativeLoad(views);
       case 'swapping':
         return new Set(views.map(view => view.version)).size > 1 ? 1 : 0;
     }
@@ -126,7 +123,7 @@
         used.map(entry => this._view(entry)),
       );
     }
-    this._onRoom();
+    this._notifyCapacityChange();
   }
 
   private _subset(entries: readonly EndpointEntry[]): readonly EndpointEntry[] {
@@ -164,25 +161,25 @@
     return endpoint;
   }
 
-  /** Asks the engine that was asked the longest ago, of the own domain or with work of this host. */
-  private async _readNext(): Promise<void> {
+  /** Polls the least recently polled engine among those of the own domain and those with requests in flight. */
+  private async _pollNextReport(): Promise<void> {
     const { clock, domain } = this._context;
     const nowMs = clock.nowMs();
     const due = this.all()
       .filter(endpoint => endpoint.kind === 'engine')
       .filter(endpoint => endpoint.domain === domain || endpoint.stats.inFlight() > 0)
-      .map(endpoint => ({ endpoint, askedMs: this._askedMs.get(endpoint.id) ?? -Infinity }))
-      .filter(({ askedMs }) => nowMs - askedMs >= REPORT_MIN_PERIOD_MS);
+      .map(endpoint => ({ endpoint, requestedMs: this._reportRequestedMs.get(endpoint.id) ?? -Infinity }))
+      .filter(({ requestedMs: askedMs }) => nowMs - askedMs >= MIN_REPORT_PERIOD_MS);
     if (due.length === 0) return;
-    const { endpoint } = due.reduce((oldest, one) => (one.askedMs < oldest.askedMs ? one : oldest));
-    this._askedMs.set(endpoint.id, nowMs);
+    const { endpoint } = due.reduce((oldest, one) => (one.requestedMs < oldest.requestedMs ? one : oldest));
+    this._reportRequestedMs.set(endpoint.id, nowMs);
     const report = await this._engines.report(endpoint.url, Deadline.after(clock, REPORT_TIMEOUT_MS));
     if (report) this.applyReport(endpoint.id, report);
   }
 }
 
-/** Load of a pool as a share of what this host may have in flight there. */
-function loadShare(views: readonly CallableEndpoint[]): number {
+/** Estimated load relative to the slots of the given endpoints. */
+function relativeLoad(views: readonly CallableEndpoint[]): number {
   const limit = views.reduce((sum, view) => sum + view.slots, 0);
   const load = views.reduce((sum, view) => sum + view.stats.estimatedLoad(), 0);
   return limit === 0 ? 0 : load / limit;
--- a/packages/entry/src/entryHost.ts
+++ b/packages/entry/src/entryHost.ts
@@ -1,5 +1,5 @@
 /**
- * One entry host: builds the services, starts them in order, and ends them without cutting a request.
+ * An entry host: creates its services, starts them in order, and shuts down gracefully.
  */
 import { setMaxListeners } from 'node:events';
 import { Deadline, sleep, type Clock, type Random } from '@fuchsiahitch/base';
@@ -30,8 +30,8 @@
 import { StepService } from './stepService.js';
 import { TrainersController } from './trainersController.js';
 
-const HANDOVER_MS = 10_000;
-const IDLE_POLL_MS = 50;
+const HANDOVER_TIMEOUT_MS = 10_000;
+const IN_FLIGHT_POLL_MS = 50;
 
 /** The addresses that a host listens on. */
 export interface EntryAddresses {
@@ -71,13 +71,13 @@
     this.addresses = addresses;
   }
 
-  /** Starts a host and resolves once it listens; it is ready when it knows the rules. */
+  /** Starts a host and resolves once it listens. It becomes ready after it has received the rules. */
   static async start(settings: EntrySettings, clock: Clock, random: Random): Promise<EntryHost> {
     const stop = new AbortController();
-    // One listener for each loop of the services; there are more of them than the default warning allows.
+    // Each service loop adds a listener; their number exceeds the default warning limit.
     setMaxListeners(0, stop.signal);
     const tracing = await Tracing.open(settings['trace-file'], settings['host-id']);
-    const context = makeContext(settings, clock, random, tracing, stop.signal);
+    const context = createContext(settings, clock, random, tracing, stop.signal);
     const peers = new PeerDirectory(context);
     const server = new PeerServer({
       address: settings['peers-address'],
@@ -87,11 +87,11 @@
       counters: context.metrics,
     });
     const peersAddress = await server.listen();
-    const services = await startServices(context, realPorts(settings, peers, server), peersAddress);
+    const services = await startServices(context, createPorts(settings, peers, server), peersAddress);
     const accounts = new CallerAccounts(settings['accounts-file'], context.log);
     const problems = await accounts.load();
-    // A daemon that started without its accounts would serve everybody.
-    if (problems.length > 0) throw new Error(`accounts file: ${problems.join('; ')}`);
+    // Starting without accounts would admit every caller.
+    if (problems.length > 0) throw new Error(`cannot load the accounts file: ${problems.join('; ')}`);
     const listeners = await startListeners(settings, context, services, accounts);
     const [callers, trainers, operators] = listeners.map(listener => listener.address);
     const addresses = {
@@ -104,19 +104,19 @@
     return new EntryHost(context, stop, server, peers, services, listeners, addresses, accounts);
   }
 
-  /** True when the balancer may send here. */
+  /** True when the load balancer may send requests to this host. */
   isReady(): boolean {
     return this._services.status.isReady();
   }
 
-  /** Reads the accounts anew; a wrong file changes nothing. */
+  /** Reloads the accounts. An invalid file leaves the current ones in force. */
   async reload(): Promise<void> {
     await this._accounts.load();
   }
 
   /**
-   * Ends the host. Not ready first, while late arrivals of the balancer are still served; then what is in
-   * flight runs to its end, and what other hosts need is handed over.
+   * Shuts down gracefully: reports not ready while still serving requests from the load balancer, then waits for
+   * requests in flight and hands over idempotency keys.
    */
   async shutDown(): Promise<void> {
     const { settings, clock, log } = this._context;
@@ -128,26 +128,26 @@
     membership.view.leave();
     orders.stop();
     await sleep(clock, Math.min(settings['drain-ms'], limit.remainingMs()));
-    await this._finishInFlight(limit);
+    await this._waitForInFlight(limit);
     requests.refuseNew();
-    const isHandedOver = await keys.handOver(limit.atMost(HANDOVER_MS));
+    const isHandedOver = await keys.handOver(limit.atMost(HANDOVER_TIMEOUT_MS));
     await Promise.all(this._listeners.map(listener => listener.close()));
-    await this._finishInFlight(limit);
+    await this._waitForInFlight(limit);
     this._stop.abort();
     this._peers.close();
     await this._server.close();
-    log.info('ended', { isHandedOver, inFlight: requests.inFlight() + rollouts.running() });
+    log.info('shutdown complete', { isHandedOver, inFlight: requests.inFlight() + rollouts.running() });
   }
 
-  private async _finishInFlight(limit: Deadline): Promise<void> {
+  private async _waitForInFlight(limit: Deadline): Promise<void> {
     const { requests, rollouts } = this._services;
     while (!limit.isOver() && requests.inFlight() + rollouts.running() > 0) {
-      await sleep(this._context.clock, IDLE_POLL_MS);
+      await sleep(this._context.clock, IN_FLIGHT_POLL_MS);
     }
   }
 }
 
-function makeContext(
+function createContext(
   settings: EntrySettings,
   clock: Clock,
   random: Random,
@@ -171,8 +171,7 @@
   };
 }
 
-/** The adapters of the daemon. */
-function realPorts(settings: EntrySettings, peers: PeerDirectory, server: PeerServer): HostPorts {
+function createPorts(settings: EntrySettings, peers: PeerDirectory, server: PeerServer): HostPorts {
   const agent = endpointAgent();
   const scorerUrl = settings['scorer-url'];
   return {
--- a/packages/entry/src/entryServices.ts
+++ b/packages/entry/src/entryServices.ts
@@ -1,5 +1,5 @@
 /**
- * The services of one entry host, built over its ports and started in order.
+ * Creates the services of an entry host and starts them in order.
  */
 import { sleep } from '@fuchsiahitch/base';
 import { CallBudget } from '@fuchsiahitch/membership';
@@ -23,7 +23,7 @@
 const STORE_BURST = 40;
 const STORE_BASE_PAUSE_MS = 50;
 const STORE_MAX_PAUSE_MS = 5000;
-const SHARE_PERIOD_MS = 5000;
+const BUDGET_SHARE_PERIOD_MS = 5000;
 
 export interface EntryServices {
   readonly membership: MembershipService;
@@ -40,7 +40,11 @@
   readonly status: FleetStatus;
 }
 
-function makeServices(context: HostContext, ports: HostPorts, membership: MembershipService): EntryServices {
+function createServices(
+  context: HostContext,
+  ports: HostPorts,
+  membership: MembershipService,
+): EntryServices {
   const { settings, clock, random } = context;
   const { peers, engines, services, scorer } = ports;
   const budget = new CallBudget(clock, random, {
@@ -75,9 +79,9 @@
   });
   const steps = new StepService(context, membership, peers, new KeyValueStepStore(store, clock), rollouts);
   const orders = new OrdersService(context, { store, membership, endpoints, engines, rules });
-  const parts = { membership, rules, keys, steps, requests, rollouts, endpoints, orders, store };
-  const status = new FleetStatus(context, { peers, ...parts });
-  return { ...parts, budget, dispatcher, status };
+  const sources = { membership, rules, keys, steps, requests, rollouts, endpoints, orders, store };
+  const status = new FleetStatus(context, { peers, ...sources });
+  return { ...sources, budget, dispatcher, status };
 }
 
 function registerAll(server: CallRegistry, services: EntryServices): void {
@@ -96,7 +100,7 @@
   services.rollouts.start();
   services.steps.start();
   services.orders.start();
-  void shareBudget(context, services);
+  void updateBudgetShare(context, services);
   const { metrics } = context;
   metrics.gauge('fuchsiahitch_rules_revision', 'Revision of the rules in force', () =>
     services.rules.revision(),
@@ -114,19 +118,19 @@
   );
 }
 
-/** The fleet's calls to the store are shared by the hosts that the list shows. */
-async function shareBudget(context: HostContext, services: EntryServices): Promise<void> {
+/** Keeps this host's share of the fleet's store calls in step with the number of listed hosts. */
+async function updateBudgetShare(context: HostContext, services: EntryServices): Promise<void> {
   while (!context.stopped.aborted) {
     const hosts = context.domains.reduce(
       (sum, domain) => sum + services.membership.liveHostsOf(domain).length,
       0,
     );
     services.budget.setHosts(hosts);
-    await sleep(context.clock, SHARE_PERIOD_MS, context.stopped);
+    await sleep(context.clock, BUDGET_SHARE_PERIOD_MS, context.stopped);
   }
 }
 
-/** Joins the others, then builds and starts all services. */
+/** Joins the fleet, then creates and starts all services. */
 export async function startServices(
   context: HostContext,
   ports: HostPorts,
@@ -134,19 +138,19 @@
 ): Promise<EntryServices> {
   const membership = new MembershipService(context, ports.peers, ports.list, peersAddress);
   membership.register(ports.registry);
-  const topics = new LateTopics();
-  await membership.start(topics);
-  // Peers may know a later incarnation of this host than its wall clock gave: it is raised above that one.
+  const revisionTracker = new DeferredRevisionTracker();
+  await membership.start(revisionTracker);
+  // Joining raises the incarnation above any that peers have recorded, in case the wall clock went back.
   const joined = { ...context, incarnation: membership.view.self().incarnation };
-  const services = makeServices(joined, ports, membership);
-  topics.set(services);
+  const services = createServices(joined, ports, membership);
+  revisionTracker.set(services);
   registerAll(ports.registry, services);
   startAll(joined, services);
   return services;
 }
 
-/** Pings begin before the other services exist; until then they tell of nothing. */
-class LateTopics {
+/** Pings start before the other services exist; until then they carry revision 0. */
+class DeferredRevisionTracker {
   private _services: EntryServices | undefined;
 
   set(services: EntryServices): void {
--- a/packages/entry/src/entrySettings.ts
+++ b/packages/entry/src/entrySettings.ts
@@ -1,11 +1,11 @@
 /**
- * Settings of the entry daemon.
+ * Command-line settings of the entry daemon.
  */
 import { addressSchema, integerSchema, nameSchema, type SettingValues } from '@fuchsiahitch/base';
 import { logLevels } from '@fuchsiahitch/telemetry';
 import * as z from 'zod';
 
-const MIN_KEY = 16;
+const MIN_SECRET_LENGTH = 16;
 const url = z.string().regex(/^http:\/\/\d+\.\d+\.\d+\.\d+:\d+$/, 'not a URL http://IP:port');
 const optionalUrl = z.union([z.literal(''), url]);
 const nameList = z
@@ -45,11 +45,11 @@
     fallback: '',
   },
   'fleet-key': {
-    schema: z.string().min(MIN_KEY, `shorter than ${MIN_KEY} characters`),
+    schema: z.string().min(MIN_SECRET_LENGTH, `shorter than ${MIN_SECRET_LENGTH} characters`),
     help: 'the secret that all hosts share',
   },
   'operator-token': {
-    schema: z.string().min(MIN_KEY, `shorter than ${MIN_KEY} characters`),
+    schema: z.string().min(MIN_SECRET_LENGTH, `shorter than ${MIN_SECRET_LENGTH} characters`),
     help: 'the token that operators send as a bearer token',
   },
   'store-calls-per-second': {
--- a/packages/entry/src/fetchSamples.ts
+++ b/packages/entry/src/fetchSamples.ts
@@ -1,5 +1,5 @@
 /**
- * Fetches the samples that another host keeps of a step.
+ * Fetches the samples of a step that another host has buffered.
  */
 import { calls } from '@fuchsiahitch/protocol';
 import type { Sample } from '@fuchsiahitch/steps';
@@ -9,8 +9,8 @@
 const PAGE_TIMEOUT_MS = 5000;
 
 /**
- * Reads page after page and returns where it ended. `askedMs` is when a page was asked for: ages count from
- * there, since the reply may lie in this process while it is paused.
+ * Reads all pages and returns the end position. `askedMs` is the time of the request for a page. Ages count from it,
+ * because the process may be paused before it handles the reply.
  */
 export async function fetchSamples(
   context: HostContext,
--- a/packages/entry/src/fleetStatus.ts
+++ b/packages/entry/src/fleetStatus.ts
@@ -1,5 +1,5 @@
 /**
- * The state of this host and of every host in reach, for operators.
+ * Status of this host and of all reachable hosts, for operators.
  */
 import { PROGRAM_VERSION } from '@fuchsiahitch/base';
 import { calls, type HostStatus } from '@fuchsiahitch/protocol';
@@ -18,7 +18,6 @@
 
 const STATUS_TIMEOUT_MS = 1500;
 
-/** The services that the status is read from. */
 export interface StatusSources {
   readonly peers: PeerCaller;
   readonly membership: MembershipService;
@@ -32,7 +31,7 @@
   readonly store: BudgetedStore;
 }
 
-/** One host of the list, in reach or not. */
+/** A listed host. `status` is undefined if the host did not answer. */
 export interface HostStatusEntry {
   readonly hostId: string;
   readonly domain: string;
@@ -53,12 +52,12 @@
     server.handle(calls.hostStatus, () => this.ownStatus());
   }
 
-  /** From now on the balancer is told to send elsewhere. */
+  /** Makes the host report not ready, so that the load balancer stops sending. */
   drain(): void {
     this._isDraining = true;
   }
 
-  /** Ready for callers: the rules are known, and the host stays. */
+  /** True once the rules are loaded and while the host is not draining. */
   isReady(): boolean {
     return this._sources.rules.hasRules() && !this._isDraining;
   }
@@ -84,7 +83,7 @@
     };
   }
 
-  /** All hosts of the membership list, steps of this host, its endpoints and orders. */
+  /** The status of all listed hosts, and the steps, endpoints and orders of this one. */
   async read(): Promise<unknown> {
     const { steps, endpoints, orders } = this._sources;
     return {
--- a/packages/entry/src/hostContext.ts
+++ b/packages/entry/src/hostContext.ts
@@ -1,5 +1,5 @@
 /**
- * What every service of the entry daemon is given.
+ * Dependencies shared by all services of the entry daemon.
  */
 import type { Clock, Random } from '@fuchsiahitch/base';
 import type { EntrySettings } from './entrySettings.js';
@@ -17,6 +17,6 @@
   readonly log: Logger;
   readonly metrics: Metrics;
   readonly tracing: Tracing;
-  /** Aborted when the process ends; loops stop by it. */
+  /** Aborted at shutdown; stops all periodic loops. */
   readonly stopped: AbortSignal;
 }
--- a/packages/entry/src/hostPorts.ts
+++ b/packages/entry/src/hostPorts.ts
@@ -1,11 +1,11 @@
 /**
- * What connects a host to the outside, as interfaces: real sockets in the daemon, small fakes in tests.
+ * Interfaces between a host and the outside: implemented over sockets in the daemon, and by fakes in tests.
  */
 import type { Result } from '@fuchsiahitch/base';
 import type { EngineClient, KeyValueStore, MemberList, Scorer, ServiceClient } from '@fuchsiahitch/clients';
 import type { CallContext, CallDefinition, CallError } from '@fuchsiahitch/protocol';
 
-/** Calls other hosts. An empty address is a host that is not known. */
+/** Calls other hosts. An empty address stands for an unknown host. */
 export interface PeerCaller {
   call<Q, A>(
     address: string,
@@ -16,7 +16,7 @@
   ): Promise<Result<A, CallError>>;
 }
 
-/** Takes the handlers of calls that other hosts make. */
+/** Registers handlers for calls from other hosts. */
 export interface CallRegistry {
   handle<Q, A>(
     call: CallDefinition<Q, A>,
@@ -31,6 +31,6 @@
   readonly store: KeyValueStore;
   readonly engines: EngineClient;
   readonly services: ServiceClient;
-  /** Absent where samples are not scored. */
+  /** Undefined if samples are not scored. */
   readonly scorer: Scorer | undefined;
 }
--- a/packages/entry/src/index.ts
+++ b/packages/entry/src/index.ts
@@ -1,4 +1,4 @@
-/** The entry host, for the programs that run it in one process with others. */
+/** The entry host, for programs that run several hosts in one process. */
 export * from './entryHost.js';
 export * from './entryServices.js';
 export * from './hostContext.js';
--- a/packages/entry/src/keyService.ts
+++ b/packages/entry/src/keyService.ts
@@ -1,5 +1,6 @@
 /**
- * Idempotency keys on this host: the holder, its peers, the slot map in the store, and claims for requests.
+ * Idempotency keys: connects this host's key holder to its peers, maintains the slot map in the store, and routes
+ * claims to the owner of a key.
  */
 import { Deadline, digest, every, sleep } from '@fuchsiahitch/base';
 import type { KeyValueStore } from '@fuchsiahitch/clients';
@@ -29,7 +30,7 @@
 import type { CallRegistry, PeerCaller } from './hostPorts.js';
 
 const PLAN_PERIOD_MS = 1000;
-/** The first live host plans; the next ones only if it did not for this long each. */
+/** Delay per rank in the list of live hosts, so that one host usually plans alone. */
 const PLAN_STAGGER_MS = 2000;
 const COPY_TIMEOUT_MS = 1000;
 const SYNC_TIMEOUT_MS = 5000;
@@ -46,7 +47,7 @@
   private readonly _peers: PeerCaller;
   private readonly _store: KeyValueStore;
   private readonly _domainsDigest: string;
-  private _wantedSinceMs: number | undefined;
+  private _planDueSinceMs: number | undefined;
   private _pulling: Promise<void> | undefined;
 
   constructor(context: HostContext, membership: MembershipService, peers: PeerCaller, store: KeyValueStore) {
@@ -61,8 +62,8 @@
   }
 
   register(server: CallRegistry): void {
-    server.handle(calls.claimKey, claim => this._claimed(claim));
-    server.handle(calls.finishKey, finish => this._finished(finish));
+    server.handle(calls.claimKey, claim => this._onClaim(claim));
+    server.handle(calls.finishKey, finish => this._onFinish(finish));
     server.handle(calls.copyRecord, message => this.holder.copyRecord(message));
     server.handle(calls.syncSlot, message => this.holder.syncSlot(message));
     server.handle(calls.fenceSlot, message => this.holder.fenceSlot(message));
@@ -73,14 +74,14 @@
   }
 
   start(): void {
-    every(this._context.clock, PLAN_PERIOD_MS, this._context.stopped, () => this._plan());
+    every(this._context.clock, PLAN_PERIOD_MS, this._context.stopped, () => this._updateSlotMap());
   }
 
   revision(): number {
     return this.holder.map()?.revision ?? 0;
   }
 
-  /** Fetches the map from a peer that is ahead; one fetch at a time, since several peers show it at once. */
+  /** Fetches the map from a peer with a later revision. Concurrent calls share one fetch. */
   async pullFrom(address: string): Promise<void> {
     this._pulling ??= this._pull(address).finally(() => {
       this._pulling = undefined;
@@ -93,18 +94,18 @@
     if (reply.ok && reply.value.map) this.holder.updateMap(reply.value.map);
   }
 
-  /** Waits until what this host remembers of keys stands elsewhere, or the deadline. */
+  /** Waits until other hosts hold this host's key records. Returns false at the deadline or without live peers. */
   async handOver(deadline: Deadline): Promise<boolean> {
     while (!deadline.isOver()) {
       if (this.holder.hasHandedOver()) return true;
-      // The last hosts of a domain that leave together have nobody to hand over to.
+      // The last hosts of a domain have no peer to hand over to.
       if (this._membership.view.liveIds().length === 0) return false;
       await sleep(this._context.clock, HANDOVER_POLL_MS);
     }
     return false;
   }
 
-  // HolderPeers: how holders reach each other.
+  // HolderPeers
 
   async copyRecord(holder: string, message: CopyRecord): Promise<Accepted | undefined> {
     const reply = await this._peers.call(this._addressOf(holder), calls.copyRecord, message, COPY_TIMEOUT_MS);
@@ -124,21 +125,22 @@
   isProvenTerminated(holder: string): boolean {
     if (this.holder.map()?.gone.includes(holder)) return true;
     const { hostId, incarnation } = splitHolder(holder);
-    const known = hostId === this._context.hostId ? this._context.incarnation : this._incarnationOf(hostId);
-    return known > incarnation;
+    const currentIncarnation =
+      hostId === this._context.hostId ? this._context.incarnation : this._incarnationOf(hostId);
+    return currentIncarnation > incarnation;
   }
 
-  // KeyRoutes: how requests reach the owner.
+  // KeyRoutes
 
   async claim(domain: string, claim: Claim, deadline: Deadline): Promise<ClaimReply | undefined> {
-    if (domain === this._context.domain) return this._claimHere(claim, deadline.remainingMs());
+    if (domain === this._context.domain) return this._claimInDomain(claim, deadline.remainingMs());
     const relay = this._membership.randomAddressOf(domain);
     const reply = await this._peers.call(relay, calls.claimKey, claim, deadline.remainingMs());
     return reply.ok ? reply.value : undefined;
   }
 
   async finish(domain: string, finish: Finish): Promise<boolean> {
-    if (domain === this._context.domain) return this._finishHere(finish);
+    if (domain === this._context.domain) return this._finishInDomain(finish);
     const relay = this._membership.randomAddressOf(domain);
     const reply = await this._peers.call(relay, calls.finishKey, finish, FINISH_TIMEOUT_MS);
     return reply.ok && reply.value.accepted;
@@ -148,15 +150,18 @@
     await sleep(this._context.clock, Math.min(REFRESH_PAUSE_MS, deadline.remainingMs()));
   }
 
-  private async _claimed(claim: Claim): Promise<ClaimReply> {
+  private async _onClaim(claim: Claim): Promise<ClaimReply> {
     const answer = await this.holder.claim(claim);
     if (answer.kind !== 'wrong-owner' || claim.relayed) return answer;
-    const passedOn = await this._claimHere({ ...claim, relayed: true }, claim.waitMs + COPY_TIMEOUT_MS);
-    // No reply from the owner proves nothing, so the one who asks must not take this for a refusal.
-    return passedOn ?? { kind: 'unknown', reason: 'key-unsettled' };
+    const relayedReply = await this._claimInDomain(
+      { ...claim, relayed: true },
+      claim.waitMs + COPY_TIMEOUT_MS,
+    );
+    // Without a reply, the claim may have been granted; it must not be reported as refused.
+    return relayedReply ?? { kind: 'unknown', reason: 'key-unsettled' };
   }
 
-  private async _claimHere(claim: Claim, timeoutMs: number): Promise<ClaimReply | undefined> {
+  private async _claimInDomain(claim: Claim, timeoutMs: number): Promise<ClaimReply | undefined> {
     const owner = this._ownerOf(claim.key);
     if (owner === undefined) return { kind: 'unknown', reason: 'key-unsettled' };
     if (splitHolder(owner).hostId === this._context.hostId) return this.holder.claim(claim);
@@ -165,13 +170,13 @@
     return reply.ok ? reply.value : undefined;
   }
 
-  private async _finished(finish: Finish): Promise<Accepted> {
-    const taken = await this.holder.finish(finish);
-    if (taken.accepted || finish.relayed) return taken;
-    return { accepted: await this._finishHere(finish) };
+  private async _onFinish(finish: Finish): Promise<Accepted> {
+    const handled = await this.holder.finish(finish);
+    if (handled.accepted || finish.relayed) return handled;
+    return { accepted: await this._finishInDomain(finish) };
   }
 
-  private async _finishHere(finish: Finish): Promise<boolean> {
+  private async _finishInDomain(finish: Finish): Promise<boolean> {
     const owner = this._ownerOf(finish.key);
     if (owner === undefined) return false;
     if (splitHolder(owner).hostId === this._context.hostId)
@@ -193,16 +198,16 @@
     return this._membership.view.find(hostId)?.incarnation ?? 0;
   }
 
-  /** Writes a new map when hosts came or went. Several may try: the store lets one through. */
-  private async _plan(): Promise<void> {
+  /** Writes a new map when hosts joined or left. The store accepts one of several concurrent writers. */
+  private async _updateSlotMap(): Promise<void> {
     const { clock, hostId, domain } = this._context;
     if (!this._planFor(this.holder.map())) {
-      this._wantedSinceMs = undefined;
+      this._planDueSinceMs = undefined;
       return;
     }
-    this._wantedSinceMs ??= clock.nowMs();
+    this._planDueSinceMs ??= clock.nowMs();
     const rank = this._membership.view.liveIds().indexOf(hostId);
-    if (rank < 0 || clock.nowMs() - this._wantedSinceMs < rank * PLAN_STAGGER_MS) return;
+    if (rank < 0 || clock.nowMs() - this._planDueSinceMs < rank * PLAN_STAGGER_MS) return;
     const key = `slots/${domain}`;
     const stored = await this._store.get(key, Deadline.after(clock, STORE_TIMEOUT_MS));
     if (!stored.ok) return;
@@ -212,11 +217,11 @@
     const write = { kind: 'put', key, value: JSON.stringify(plan) } as const;
     const compare = { key, version: stored.value?.version ?? 0 };
     const written = await this._store.transact([compare], [write], Deadline.after(clock, STORE_TIMEOUT_MS));
-    // After a lost answer the next round reads the map back, whether it was written or not.
-    if (written.ok && written.value.succeeded) this._spread(plan);
+    // If the answer is lost, the next round reads the map from the store.
+    if (written.ok && written.value.succeeded) this._applyWrittenMap(plan);
   }
 
-  private _spread(map: SlotMap): void {
+  private _applyWrittenMap(map: SlotMap): void {
     this.holder.updateMap(map);
     this._context.log.info('slot map written', { revision: map.revision });
   }
@@ -235,7 +240,7 @@
     });
   }
 
-  /** The present process of a host; undefined until its incarnation is known. */
+  /** The holder identifier of a host's current process, undefined while its incarnation is unknown. */
   private _holderOf(hostId: string): string | undefined {
     if (hostId === this._context.hostId) return holderId(hostId, this._context.incarnation);
     const incarnation = this._incarnationOf(hostId);
--- a/packages/entry/src/keyValueRuleStore.ts
+++ b/packages/entry/src/keyValueRuleStore.ts
@@ -1,6 +1,6 @@
 /**
- * Rules in the key-value service: a head, a snapshot, and one small key for each edit since. A change is
- * written and watched as one edit, so that its cost does not grow with the number of rules.
+ * Stores rules in the key-value service as a head, a snapshot and one key per later edit, so that the cost of a
+ * change does not grow with the number of rules.
  */
 import { Deadline, err, ok, type Clock, type Result } from '@fuchsiahitch/base';
 import type { KeyValueStore, StoredValue, Write } from '@fuchsiahitch/clients';
@@ -21,7 +21,7 @@
 const HEAD_KEY = 'rules/head';
 const SNAPSHOT_KEY = 'rules/snapshot';
 const EDITS_PREFIX = 'rules/edits/';
-/** After so many edits the whole document is written, and the edits are removed. */
+/** Number of revisions between snapshots. A snapshot replaces the edits before it. */
 const SNAPSHOT_EVERY = 32;
 const MAX_VALUE_BYTES = 1_000_000;
 const CALL_TIMEOUT_MS = 3000;
@@ -77,7 +77,7 @@
   }
 }
 
-/** Builds the document from the snapshot and the edits after it. */
+/** Applies the edits to the snapshot. */
 function assemble(values: readonly StoredValue[]): StoredRules {
   const headVersion = values.find(value => value.key === HEAD_KEY)?.version ?? 0;
   const snapshot = values.find(value => value.key === SNAPSHOT_KEY);
@@ -94,7 +94,7 @@
   return { document, headVersion, edits };
 }
 
-/** The edit under a key, or undefined for other keys. */
+/** Parses the edit stored under a key. Returns undefined for other keys and invalid edits. */
 export function parseEdit(key: string, value: string): NumberedEdit | undefined {
   if (!key.startsWith(EDITS_PREFIX)) return undefined;
   const parsed = editSchema.safeParse(JSON.parse(value));
--- a/packages/entry/src/keyValueStepStore.ts
+++ b/packages/entry/src/keyValueStepStore.ts
@@ -1,5 +1,5 @@
 /**
- * Steps in the key-value service. Every write compares with the head's version, which changes with the owner.
+ * Stores steps in the key-value service. Each write compares the head's version, which fences former owners.
  */
 import { Deadline, err, ok, type Clock, type Result } from '@fuchsiahitch/base';
 import type { KeyValueStore, StoredValue, Write } from '@fuchsiahitch/clients';
--- a/packages/entry/src/metrics.ts
+++ b/packages/entry/src/metrics.ts
@@ -1,5 +1,5 @@
 /**
- * Metrics of the entry daemon, by Prometheus' naming conventions.
+ * Prometheus metrics of the entry daemon.
  */
 import type { ProtocolCounters } from '@fuchsiahitch/protocol';
 import { MetricsRegistry } from '@fuchsiahitch/telemetry';
--- a/packages/entry/src/operatorsController.ts
+++ b/packages/entry/src/operatorsController.ts
@@ -1,5 +1,5 @@
 /**
- * The operators' listener: rules, state of the fleet, metrics and probes.
+ * HTTP controller for operators: rules, accounts, fleet status, metrics and probes.
  */
 import { Controller, Get, Inject, Post, Query, Req, Res } from '@nestjs/common';
 import type { FastifyReply, FastifyRequest } from 'fastify';
@@ -55,7 +55,6 @@
     void reply.header('content-type', this._metrics.registry.contentType).send(text);
   }
 
-  /** The rules in force on this host. */
   @Get('/v1/rules')
   rules(@Res() reply: FastifyReply): void {
     void reply.send(this._rules.evaluator().document);
@@ -65,7 +64,7 @@
   async edit(@Req() request: FastifyRequest, @Res() reply: FastifyReply): Promise<void> {
     const edit = readJson(request.body, editSchema);
     if (!edit.ok) {
-      this._bad(reply, edit.error);
+      this._rejectBadRequest(reply, edit.error);
       return;
     }
     const outcome = await this._rules.submit(edit.value);
@@ -79,16 +78,16 @@
   @Get('/v1/rules/explain')
   explain(@Query() query: unknown, @Res() reply: FastifyReply): void {
     const facts = validate(query, factsSchema);
-    if (!facts.ok) return this._bad(reply, facts.error);
+    if (!facts.ok) return this._rejectBadRequest(reply, facts.error);
     const book = this._rules.evaluator();
     void reply.send({ decision: book.decide(facts.value), rules: book.explain(facts.value) });
   }
 
-  /** What a proposed list of rules would change for the given requests. */
+  /** Reports which decisions a proposed list of rules would change for the given requests. */
   @Post('/v1/rules/simulate')
   simulate(@Req() request: FastifyRequest, @Res() reply: FastifyReply): void {
     const input = readJson(request.body, simulateSchema);
-    if (!input.ok) return this._bad(reply, input.error);
+    if (!input.ok) return this._rejectBadRequest(reply, input.error);
     const { document } = this._rules.evaluator();
     const proposed = { ...document, rules: input.value.rules };
     const requests: readonly RequestFacts[] = input.value.requests;
@@ -96,17 +95,16 @@
     void reply.status(200).send({ requests: requests.length, changes });
   }
 
-  /** Accounts with their keys as short digests. */
   @Get('/v1/accounts')
   accounts(@Res() reply: FastifyReply): void {
     void reply.send(this._accounts.summaries());
   }
 
-  /** What this host decides on a request with a key. */
+  /** Reports the access that this host grants to a key. */
   @Post('/v1/accounts/explain')
   explainKey(@Req() request: FastifyRequest, @Res() reply: FastifyReply): void {
     const input = readJson(request.body, explainKeySchema);
-    if (!input.ok) return this._bad(reply, input.error);
+    if (!input.ok) return this._rejectBadRequest(reply, input.error);
     void reply.status(200).send(this._accounts.access({ kind: 'key', key: input.value.key }));
   }
 
@@ -115,7 +113,7 @@
     void reply.send(await this._status.read());
   }
 
-  private _bad(reply: FastifyReply, text: string): void {
+  private _rejectBadRequest(reply: FastifyReply, text: string): void {
     this._metrics.badInput.inc({ listener: 'operators' });
     void reply.status(BAD_REQUEST).send({ error: text });
   }
--- a/packages/entry/src/ordersService.ts
+++ b/packages/entry/src/ordersService.ts
@@ -1,5 +1,5 @@
 /**
- * Weight orders to the endpoints of this failure domain, by the one host that holds the domain's lease.
+ * Sends weight orders to the endpoints of this failure domain while this host holds the domain's orders lease.
  */
 import { Deadline, err, every, ok, rendezvous, type Result } from '@fuchsiahitch/base';
 import {
@@ -20,13 +20,12 @@
 const LEASE_MARGIN_MS = 3000;
 const RENEW_PERIOD_MS = 3000;
 const PLAN_PERIOD_MS = 100;
-/** The leader looks at one endpoint after the other, to find those that restarted with an old version. */
-const PATROL_PERIOD_MS = 1000;
-/** An endpoint that does not answer is asked again after this time. */
-const SURVEY_PERIOD_MS = 1000;
+/** The leader polls one endpoint per period, to find those that restarted with an old version. */
+const ENGINE_POLL_PERIOD_MS = 1000;
+const VERSION_READ_RETRY_MS = 1000;
 const READ_TARGETS_PERIOD_MS = 5000;
 const STORE_TIMEOUT_MS = 2000;
-/** An order that takes longer than the lease's margin must not arrive after it. */
+/** Shorter than the lease margin, so that no order arrives after the lease has expired. */
 const ORDER_TIMEOUT_MS = 2000;
 const WEIGHTS_PREFIX = 'weights/';
 const MAX_TRIES = 5;
@@ -50,17 +49,17 @@
   private readonly _rules: RulesService;
   private readonly _guard: LeaseGuard;
   private readonly _planners = new Map<string, SwapPlanner>();
-  private _held: HeldLease | undefined;
+  private _lease: HeldLease | undefined;
   private _watch: AbortController | undefined;
   private _lastReadMs = -Infinity;
-  /** For each endpoint, the lease under which its version was read. */
-  private readonly _surveyed = new Map<string, number>();
-  private readonly _surveyAskedMs = new Map<string, number>();
-  private _patrolled = 0;
+  /** For each endpoint, the fencing token under which its version was read. */
+  private readonly _versionReadUnder = new Map<string, number>();
+  private readonly _versionRequestedMs = new Map<string, number>();
+  private _pollIndex = 0;
 
   constructor(
     context: HostContext,
-    parts: {
+    services: {
       readonly store: KeyValueStore;
       readonly membership: MembershipService;
       readonly endpoints: EndpointService;
@@ -69,33 +68,33 @@
     },
   ) {
     this._context = context;
-    this._store = parts.store;
-    this._membership = parts.membership;
-    this._endpoints = parts.endpoints;
-    this._engines = parts.engines;
-    this._rules = parts.rules;
+    this._store = services.store;
+    this._membership = services.membership;
+    this._endpoints = services.endpoints;
+    this._engines = services.engines;
+    this._rules = services.rules;
     this._guard = new LeaseGuard(context.clock, { leaseMs: LEASE_MS, marginMs: LEASE_MARGIN_MS });
   }
 
   start(): void {
     const { clock, stopped } = this._context;
     every(clock, ELECT_PERIOD_MS, stopped, () => this._elect());
-    every(clock, PLAN_PERIOD_MS, stopped, () => this._order());
-    every(clock, PATROL_PERIOD_MS, stopped, () => this._patrol());
+    every(clock, PLAN_PERIOD_MS, stopped, () => this._sendDueOrders());
+    every(clock, ENGINE_POLL_PERIOD_MS, stopped, () => this._pollNextEngine());
     stopped.addEventListener('abort', () => this._watch?.abort());
   }
 
-  /** Hands the orders on when this host leaves. */
+  /** Releases the lease when this host shuts down. */
   stop(): void {
     this._resign();
   }
 
-  /** True while this host gives the orders of its domain. */
+  /** True while this host sends the orders of its domain. */
   isLeader(): boolean {
     return this._guard.token() !== undefined;
   }
 
-  /** What each pool of the domain is told to run, for operators; empty on hosts that don't lead. */
+  /** The target of each pool and its progress, for operators. */
   status(): readonly {
     readonly target: WeightTarget;
     readonly isDone: boolean;
@@ -105,19 +104,19 @@
     for (const [pool, planner] of this._planners) {
       const target = planner.target();
       if (!target) continue;
-      const isDone = planner.isDone(this._swappable(pool));
+      const isDone = planner.isDone(this._swapCandidates(pool));
       lines.push({ target, isDone, aside: planner.excludedEndpoints() });
     }
     return lines;
   }
 
-  /** Endpoints that run whatever order comes last: listed for the operator, since nothing fences them. */
+  /** Endpoints that do not check fencing tokens, and therefore obey late orders of a former leader. */
   unfenced(): readonly string[] {
     const engines = this._endpoints.ownDomain().filter(entry => entry.kind === 'engine');
     return engines.filter(entry => !entry.checksFencing).map(entry => entry.id);
   }
 
-  /** Makes a version the target of a pool. Idempotent: the target that stands already is not written again. */
+  /** Sets the target version of a pool. Idempotent: an equal or later target is not overwritten. */
   async setTarget(pool: string, version: number): Promise<Result<WeightTarget, TargetError>> {
     const key = WEIGHTS_PREFIX + pool;
     let mayBeWritten = false;
@@ -143,9 +142,9 @@
       this._resign();
       return;
     }
-    if (this._held) await this._renew(this._held);
+    if (this._lease) await this._renew(this._lease);
     else await this._acquire();
-    if (this.isLeader()) await this._learnTargets();
+    if (this.isLeader()) await this._refreshTargets();
   }
 
   private async _acquire(): Promise<void> {
@@ -156,9 +155,9 @@
     const write = { kind: 'put', key, value: this._context.hostId, leaseId: lease.value } as const;
     const created = await this._store.transact([{ key, version: 0 }], [write], this._deadline());
     if (!created.ok || !created.value.succeeded) return;
-    this._held = { leaseId: lease.value, token: created.value.version, renewedMs: sentMs };
+    this._lease = { leaseId: lease.value, token: created.value.version, renewedMs: sentMs };
     this._guard.renewed(created.value.version, sentMs);
-    this._context.log.info('orders are given by this host', { token: created.value.version });
+    this._context.log.info('orders lease acquired', { token: created.value.version });
   }
 
   private async _renew(held: HeldLease): Promise<void> {
@@ -174,11 +173,11 @@
     }
   }
 
-  /** Gives the lease back at once: a successor would otherwise wait until it ends by itself. */
+  /** Deletes the lease's key, so that a successor need not wait for the lease to expire. */
   private _resign(): void {
-    if (!this._held) return;
-    const { token } = this._held;
-    this._held = undefined;
+    if (!this._lease) return;
+    const { token } = this._lease;
+    this._lease = undefined;
     const key = `orders/${this._context.domain}`;
     void this._store.transact([{ key, version: token }], [{ kind: 'delete', key }], this._deadline());
     this._guard.lost();
@@ -186,65 +185,69 @@
     this._watch = undefined;
   }
 
-  private async _learnTargets(): Promise<void> {
+  private async _refreshTargets(): Promise<void> {
     this._startWatch();
     const nowMs = this._context.clock.nowMs();
     if (nowMs - this._lastReadMs < READ_TARGETS_PERIOD_MS) return;
     const listed = await this._store.list(WEIGHTS_PREFIX, this._deadline());
     if (!listed.ok) return;
     this._lastReadMs = nowMs;
-    for (const { value } of listed.value) this._learn(value);
+    for (const { value } of listed.value) this._applyTarget(value);
   }
 
   private _startWatch(): void {
     if (this._watch) return;
     const watch = new AbortController();
     this._watch = watch;
-    const sawEvents = (events: readonly WatchEvent[]): void => {
-      for (const { value } of events) if (value !== undefined) this._learn(value);
+    const onEvents = (events: readonly WatchEvent[]): void => {
+      for (const { value } of events) if (value !== undefined) this._applyTarget(value);
     };
-    void this._store.watch(WEIGHTS_PREFIX, sawEvents, watch.signal).then(() => {
+    void this._store.watch(WEIGHTS_PREFIX, onEvents, watch.signal).then(() => {
       if (this._watch === watch) this._watch = undefined;
       this._lastReadMs = -Infinity;
     });
   }
 
-  private _learn(text: string): void {
+  private _applyTarget(text: string): void {
     const target = weightTargetSchema.parse(JSON.parse(text));
     const planner = this._planners.get(target.pool) ?? new SwapPlanner(this._context.clock, SWAP_OPTIONS);
     this._planners.set(target.pool, planner);
     if (planner.setTarget(target))
-      this._context.log.info('weight target', { pool: target.pool, version: target.version });
+      this._context.log.info('weight target changed', { pool: target.pool, version: target.version });
   }
 
-  private _order(): void {
+  private _sendDueOrders(): void {
     const token = this._guard.token();
     if (token === undefined) return;
-    const pools = [...this._planners].filter(([pool, planner]) => !planner.isDone(this._swappable(pool)));
+    const pools = [...this._planners].filter(
+      ([pool, planner]) => !planner.isDone(this._swapCandidates(pool)),
+    );
     if (pools.length === 0) return;
     for (const [pool, planner] of pools) {
-      for (const endpointId of planner.dueForReadBack()) void this._readOne(endpointId);
-      const known = this._swappable(pool).filter(endpoint => this._isSurveyed(endpoint.id, token));
-      for (const order of planner.next(known, token)) void this._give(planner, order);
+      for (const endpointId of planner.dueForReadBack()) void this._readReport(endpointId);
+      const candidates = this._swapCandidates(pool).filter(endpoint =>
+        this._isVersionRead(endpoint.id, token),
+      );
+      for (const order of planner.next(candidates, token)) void this._sendOrder(planner, order);
     }
   }
 
   /**
-   * A host that begins to lead first reads what each endpoint runs. What it remembers from an earlier lease is old,
-   * and ordering all of them again would make each load weights that it has.
+   * A new leader reads the version of each endpoint before it sends orders. Versions read under an earlier lease may
+   * be stale, and a redundant order would make an endpoint reload the weights that it has.
    */
-  private _isSurveyed(endpointId: string, token: number): boolean {
-    if (this._surveyed.get(endpointId) === token) return true;
+  private _isVersionRead(endpointId: string, token: number): boolean {
+    if (this._versionReadUnder.get(endpointId) === token) return true;
     const nowMs = this._context.clock.nowMs();
-    if (nowMs - (this._surveyAskedMs.get(endpointId) ?? -Infinity) < SURVEY_PERIOD_MS) return false;
-    this._surveyAskedMs.set(endpointId, nowMs);
-    void this._readOne(endpointId);
+    if (nowMs - (this._versionRequestedMs.get(endpointId) ?? -Infinity) < VERSION_READ_RETRY_MS) return false;
+    this._versionRequestedMs.set(endpointId, nowMs);
+    void this._readReport(endpointId);
     return false;
   }
 
-  private async _give(planner: SwapPlanner, order: WeightOrder): Promise<void> {
+  private async _sendOrder(planner: SwapPlanner, order: WeightOrder): Promise<void> {
     const endpoint = this._endpoints.ownDomain().find(entry => entry.id === order.endpointId);
-    // Asked again right before it is sent: this process may have been paused since it was planned.
+    // Check the lease again right before sending: the process may have been paused since planning.
     if (!endpoint || this._guard.token() !== order.token) {
       planner.ended(order.endpointId, 'failed');
       return;
@@ -256,15 +259,15 @@
     planner.ended(order.endpointId, result);
   }
 
-  private async _patrol(): Promise<void> {
+  private async _pollNextEngine(): Promise<void> {
     if (!this.isLeader()) return;
     const engines = this._endpoints.ownDomain().filter(entry => this._planners.has(entry.pool));
-    this._patrolled = (this._patrolled + 1) % Math.max(1, engines.length);
-    const entry = engines[this._patrolled];
-    if (entry) await this._readOne(entry.id);
+    this._pollIndex = (this._pollIndex + 1) % Math.max(1, engines.length);
+    const entry = engines[this._pollIndex];
+    if (entry) await this._readReport(entry.id);
   }
 
-  private async _readOne(endpointId: string): Promise<void> {
+  private async _readReport(endpointId: string): Promise<void> {
     const entry = this._endpoints.ownDomain().find(one => one.id === endpointId);
     if (!entry) return;
     const report = await this._engines.report(
@@ -272,13 +275,13 @@
       Deadline.after(this._context.clock, ORDER_TIMEOUT_MS),
     );
     if (!report) return;
-    if (this._held) this._surveyed.set(entry.id, this._held.token);
+    if (this._lease) this._versionReadUnder.set(entry.id, this._lease.token);
     this._planners.get(entry.pool)?.readBack(entry.id, report);
     this._endpoints.applyReport(entry.id, report);
   }
 
-  /** The endpoints of a pool in the order in which they are swapped, cut to the share that a rule stages. */
-  private _swappable(pool: string): readonly { readonly id: string; readonly isUsable: boolean }[] {
+  /** The live engines of a pool in swap order, limited to the share that a rule stages. */
+  private _swapCandidates(pool: string): readonly { readonly id: string; readonly isUsable: boolean }[] {
     const { domain } = this._context;
     const facts = {
       kind: 'sample',
--- a/packages/entry/src/peerDirectory.ts
+++ b/packages/entry/src/peerDirectory.ts
@@ -1,5 +1,5 @@
 /**
- * Links to other hosts, by address. A link is made at its first use.
+ * Links to other hosts by address, created on first use.
  */
 import { Deadline, err, PROGRAM_VERSION, type Result } from '@fuchsiahitch/base';
 import { PeerLink, type CallDefinition, type CallError, type PeerIdentity } from '@fuchsiahitch/protocol';
@@ -19,7 +19,6 @@
     return { hostId, domain, incarnation: String(incarnation), programVersion: PROGRAM_VERSION };
   }
 
-  /** Calls the host at an address. An empty address is a host that is not known. */
   async call<Q, A>(
     address: string,
     call: CallDefinition<Q, A>,
--- a/packages/entry/src/requestService.ts
+++ b/packages/entry/src/requestService.ts
@@ -1,6 +1,6 @@
 /**
- * Customer-facing requests: decided once by the rules, run at most once where they must not be repeated, and
- * answered whole or with a stated outcome.
+ * Runs customer requests: evaluates the rules once, executes non-repeatable requests at most once, and returns a
+ * complete answer or an explicit outcome.
  */
 import { Deadline, digest, sleep } from '@fuchsiahitch/base';
 import type {
@@ -25,7 +25,6 @@
 import type { KeyService } from './keyService.js';
 import type { RulesService } from './rulesService.js';
 
-/** A request as it arrives from a caller. */
 export interface CallerRequest {
   readonly kind: RequestKind;
   readonly pool: string;
@@ -35,12 +34,12 @@
   readonly timeoutMs: number;
   readonly key: string | undefined;
   readonly trace: string | undefined;
-  /** Aborted when the caller goes away. */
+  /** Aborted when the caller disconnects. */
   readonly left: AbortSignal;
   readonly work: CallerWork;
 }
 
-/** What is to be run. */
+/** The work of a request, by kind. */
 export type CallerWork =
   | {
       readonly kind: 'completion';
@@ -56,12 +55,12 @@
       readonly body: Buffer | undefined;
     };
 
-/** The answer of a request, beside its outcome. */
+/** The outcome of a request with its answer, if there is one. */
 export interface CallerAnswer {
   readonly outcome: RequestOutcome;
   readonly revision: number;
   readonly ruleId: string | undefined;
-  /** A whole answer, of a service or kept for a resend. */
+  /** The complete answer of a service, or the one stored under the idempotency key. */
   readonly answer: StoredAnswer | undefined;
   readonly ruleText: string | undefined;
 }
@@ -76,7 +75,7 @@
 const SERVER_ERROR = 500;
 const REPEATABLE_METHODS = new Set(['GET', 'HEAD', 'OPTIONS']);
 
-/** How one attempt ended, as far as the request's state machine is concerned. */
+/** The end of one attempt. `again` and `again-after-pause` permit a retry. */
 type AttemptEnd = 'ended' | 'again' | 'again-after-pause';
 
 export class RequestService {
@@ -89,7 +88,7 @@
   private readonly _services: ServiceClient;
   private readonly _retries = new RetryBudget(RETRY_SHARE, RETRY_BURST);
   private _inFlight = 0;
-  private _isRefusing = false;
+  private _isRefusingNew = false;
 
   constructor(
     context: HostContext,
@@ -115,21 +114,21 @@
     return this._inFlight;
   }
 
-  /** From now on new requests are refused as not run: the last moments of a shutdown. */
+  /** Refuses new requests as not run. Called in the last phase of a shutdown. */
   refuseNew(): void {
-    this._isRefusing = true;
+    this._isRefusingNew = true;
   }
 
   async run(request: CallerRequest): Promise<CallerAnswer> {
     const startMs = this._context.clock.nowMs();
-    const hop = this._context.tracing.startSpan('caller', request.trace);
+    const callerSpan = this._context.tracing.startSpan('caller', request.trace);
     this._inFlight += 1;
     try {
-      const answer = await this._decideAndRun({ ...request, trace: hop.traceparent });
+      const answer = await this._decideAndRun({ ...request, trace: callerSpan.traceparent });
       this._context.metrics.requests.inc({ kind: request.kind, outcome: answer.outcome.kind });
       const seconds = (this._context.clock.nowMs() - startMs) / 1000;
       this._context.metrics.latency.observe({ kind: request.kind }, seconds);
-      hop.end({ outcome: answer.outcome.kind, revision: answer.revision });
+      callerSpan.end({ outcome: answer.outcome.kind, revision: answer.revision });
       return answer;
     } finally {
       this._inFlight -= 1;
@@ -145,7 +144,7 @@
     if (action.refuse !== undefined) {
       return { ...base, outcome: run.refuse('refused-by-rule'), ruleText: action.refuse };
     }
-    if (this._isRefusing) return { ...base, outcome: run.refuse('shutting-down') };
+    if (this._isRefusingNew) return { ...base, outcome: run.refuse('shutting-down') };
     const work = new RunningRequest(
       request,
       decision,
@@ -156,22 +155,25 @@
     return { ...base, ...(await this._runKeyed(work, pool, request.key)) };
   }
 
-  /** Runs a request that must not be repeated, with leave from the key's owner. */
+  /** Runs a request with an idempotency key after claiming the key from its owner. */
   private async _runKeyed(work: RunningRequest, pool: string, key: string): Promise<RunResult> {
     const { run, deadline, request } = work;
     const attemptId = this._context.random.id();
-    const hop = this._context.tracing.startSpan('peer', request.trace);
+    const claimSpan = this._context.tracing.startSpan('peer', request.trace);
     const claim = await this._keys.client.claim(key, fingerprintOf(request), attemptId, deadline);
-    hop.end({ claim: claim.kind });
+    claimSpan.end({ claim: claim.kind });
     switch (claim.kind) {
       case 'granted': {
         const result = await this._runAttempts(work, pool);
         const isReleased = result.outcome.kind === 'not-run';
         const answer = result.answer ? { answer: result.answer } : {};
         const finish = { key, attemptId, end: isReleased ? 'released' : 'finished', ...answer } as const;
-        const told = this._keys.client.finish(finish, Deadline.after(this._context.clock, FINISH_TIMEOUT_MS));
-        // A caller told `not run` may come again at once, so its key must be free by then.
-        if (isReleased) await told;
+        const notified = this._keys.client.finish(
+          finish,
+          Deadline.after(this._context.clock, FINISH_TIMEOUT_MS),
+        );
+        // A caller may resend immediately after `not run`, so release the key before answering.
+        if (isReleased) await notified;
         return result;
       }
       case 'answered':
@@ -189,57 +191,57 @@
   private async _runAttempts(work: RunningRequest, pool: string): Promise<RunResult> {
     this._retries.requestStarted();
     const { run, request, deadline } = work;
-    const leave = (): void => work.giveUp('caller-left');
-    request.left.addEventListener('abort', leave);
-    const cancelTimer = this._context.clock.after(deadline.remainingMs(), () => work.giveUp('deadline'));
+    const onCallerLeft = (): void => work.cancel('caller-left');
+    request.left.addEventListener('abort', onCallerLeft);
+    const cancelTimer = this._context.clock.after(deadline.remainingMs(), () => work.cancel('deadline'));
     try {
-      while (!run.outcome()) await this._oneAttempt(work, pool);
+      while (!run.outcome()) await this._runAttempt(work, pool);
     } finally {
       cancelTimer();
-      request.left.removeEventListener('abort', leave);
+      request.left.removeEventListener('abort', onCallerLeft);
     }
     return { outcome: run.outcome() ?? run.refuse('too-late'), answer: work.answer };
   }
 
-  private async _oneAttempt(work: RunningRequest, pool: string): Promise<void> {
+  private async _runAttempt(work: RunningRequest, pool: string): Promise<void> {
     let attempt: number | undefined;
     const begin = (): boolean => {
       attempt = work.run.send();
       return attempt !== undefined;
     };
-    const turn = await this._dispatcher.acquire(this._turnRequest(work, pool), begin, work.signal);
-    if (turn.kind !== 'turn' || attempt === undefined) {
-      this._noTurn(work, turn);
+    const dispatched = await this._dispatcher.acquire(this._dispatchRequest(work, pool), begin, work.signal);
+    if (dispatched.kind !== 'acquired' || attempt === undefined) {
+      this._handleNotDispatched(work, dispatched);
       return;
     }
-    const hop = this._context.tracing.startSpan('endpoint', work.request.trace);
-    const end = await this._send(work, turn.endpoint, attempt, hop.traceparent);
-    hop.end({ endpoint: turn.endpoint.id, attempt, end });
+    const endpointSpan = this._context.tracing.startSpan('endpoint', work.request.trace);
+    const end = await this._send(work, dispatched.endpoint, attempt, endpointSpan.traceparent);
+    endpointSpan.end({ endpoint: dispatched.endpoint.id, attempt, end });
     if (end === 'ended') return;
     work.attempts += 1;
-    work.tried.add(turn.endpoint.id);
-    // With every endpoint tried, an earlier one is better than none.
+    work.tried.add(dispatched.endpoint.id);
+    // Once every endpoint has been tried, allow all of them again.
     if (this._endpoints.pool(pool).every(endpoint => work.tried.has(endpoint.id))) work.tried.clear();
-    await this._mayTryAgain(work, pool, end);
+    await this._prepareRetry(work, pool, end);
   }
 
-  private _noTurn(work: RunningRequest, turn: DispatchResult): void {
-    switch (turn.kind) {
+  private _handleNotDispatched(work: RunningRequest, result: DispatchResult): void {
+    switch (result.kind) {
       case 'queue-full':
       case 'no-endpoint':
-        work.run.refuse(turn.kind);
+        work.run.refuse(result.kind);
         return;
       case 'too-late':
-        work.giveUp('deadline');
+        work.cancel('deadline');
         return;
       case 'left':
-      case 'turn':
-        work.giveUp('caller-left');
+      case 'acquired':
+        work.cancel('caller-left');
     }
   }
 
-  /** One layer retries, within the rule's number, the budget and the deadline. */
-  private async _mayTryAgain(work: RunningRequest, pool: string, end: AttemptEnd): Promise<void> {
+  /** Permits a retry within the rule's limit, the retry budget and the deadline; otherwise refuses the request. */
+  private async _prepareRetry(work: RunningRequest, pool: string, end: AttemptEnd): Promise<void> {
     const allowed = work.decision.action.retries ?? DEFAULT_RETRIES;
     const isAllowed = work.attempts <= allowed && this._retries.take();
     if (!isAllowed) {
@@ -297,7 +299,7 @@
       await what.onChunks(chunks);
     };
     const end = await this._engines.generate(generation, onChunks, work.signal);
-    this._freed(endpoint, end);
+    this._releaseEndpoint(endpoint, end);
     switch (end.kind) {
       case 'done':
         if (run.phase() === 'sent') run.answerStarted(attempt);
@@ -309,13 +311,13 @@
         run.provenNotRun(attempt);
         return 'again';
       case 'failed':
-        if (end.status >= SERVER_ERROR) return this._broken(work, attempt, true);
+        if (end.status >= SERVER_ERROR) return this._handleBroken(work, attempt, true);
         if (run.phase() === 'sent') run.answerStarted(attempt);
         run.answered(attempt, end.status, true);
         return 'ended';
       case 'broken':
-        // A generation has no lasting effect: it goes on elsewhere from the tokens that were passed on.
-        return this._broken(work, attempt, true);
+        // A generation has no side effects, so another endpoint resumes it after the tokens already sent.
+        return this._handleBroken(work, attempt, true);
       case 'cancelled':
         return 'ended';
     }
@@ -332,7 +334,7 @@
     const headers = { ...what.headers, ...(trace === undefined ? {} : { traceparent: trace }) };
     const call = { url: endpoint.url, method: what.method, path: what.path, headers, body: what.body };
     const end = await this._services.call(call, () => run.answerStarted(attempt), work.signal);
-    this._freed(endpoint, end);
+    this._releaseEndpoint(endpoint, end);
     switch (end.kind) {
       case 'answered':
         this._serviceAnswered(work, endpoint, attempt, end);
@@ -342,7 +344,7 @@
         run.provenNotRun(attempt);
         return 'again';
       case 'broken':
-        return this._broken(work, attempt, REPEATABLE_METHODS.has(what.method));
+        return this._handleBroken(work, attempt, REPEATABLE_METHODS.has(what.method));
       case 'cancelled':
         return 'ended';
     }
@@ -359,19 +361,19 @@
     work.answer = { status: end.status, contentType: end.contentType, body: end.body.toString('utf8') };
   }
 
-  private _broken(work: RunningRequest, attempt: number, isRepeatable: boolean): AttemptEnd {
+  private _handleBroken(work: RunningRequest, attempt: number, isRepeatable: boolean): AttemptEnd {
     if (isRepeatable && work.run.brokenRetryable(attempt)) return 'again-after-pause';
     work.run.broken(attempt);
     return 'ended';
   }
 
-  private _freed(endpoint: CallableEndpoint, end: GenerationEnd | ServiceEnd): void {
+  private _releaseEndpoint(endpoint: CallableEndpoint, end: GenerationEnd | ServiceEnd): void {
     if (end.kind === 'cancelled') this._dispatcher.cancelled(endpoint, false);
-    else this._dispatcher.ended(endpoint, false, isFault(end));
+    else this._dispatcher.ended(endpoint, false, isEndpointFault(end));
     if (end.kind === 'not-run' && !end.isUnreachable) endpoint.limit.refused();
   }
 
-  private _turnRequest(work: RunningRequest, pool: string): Parameters<Dispatcher['acquire']>[0] {
+  private _dispatchRequest(work: RunningRequest, pool: string): Parameters<Dispatcher['acquire']>[0] {
     const { action } = work.decision;
     const what = work.request.work;
     return {
@@ -383,7 +385,7 @@
       prefix: what.kind === 'completion' ? what.prompt.slice(0, PREFIX_LENGTH) : '',
       version: action.pinVersion ?? '',
       tried: work.tried,
-      queuePriority: waitClassOf(action.priority ?? work.request.priority),
+      queuePriority: queuePriorityOf(action.priority ?? work.request.priority),
       deadline: work.deadline,
     };
   }
@@ -399,7 +401,7 @@
   readonly answer: StoredAnswer | undefined;
 }
 
-/** A request with all that changes while it runs. */
+/** The mutable state of a request in progress. */
 class RunningRequest {
   readonly request: CallerRequest;
   readonly decision: Decision;
@@ -423,25 +425,25 @@
     return this._stop.signal;
   }
 
-  /** Ends the request in its state machine first, then stops whatever is under way for it. */
-  giveUp(cause: 'deadline' | 'caller-left'): void {
+  /** Ends the request in its state machine first, then aborts the work in progress. */
+  cancel(cause: 'deadline' | 'caller-left'): void {
     this.run.abandon(cause);
     this._stop.abort();
   }
 }
 
-function waitClassOf(priority: 'high' | 'normal' | 'low'): QueuePriority {
+function queuePriorityOf(priority: 'high' | 'normal' | 'low'): QueuePriority {
   if (priority === 'high') return 'customer-high';
   return priority === 'normal' ? 'customer' : 'customer-low';
 }
 
-/** True for an end that speaks against the endpoint: a refusal for lack of room does not. */
-function isFault(end: GenerationEnd | ServiceEnd): boolean {
+/** True if an end counts against the endpoint's health. A refusal for lack of capacity does not. */
+function isEndpointFault(end: GenerationEnd | ServiceEnd): boolean {
   if (end.kind === 'answered' || end.kind === 'failed') return end.status >= SERVER_ERROR;
   return end.kind === 'broken' || (end.kind === 'not-run' && end.isUnreachable);
 }
 
-/** Tells whether two arrivals of a key are the same request. */
+/** Identifies the content of a request, to detect the reuse of a key for a different request. */
 function fingerprintOf(request: CallerRequest): string {
   const { work } = request;
   const text =
@@ -451,7 +453,7 @@
   return digest(text);
 }
 
-/** The reason of an outcome, for the caller's header. */
+/** The value of the reason header, empty for outcomes without a reason. */
 export function reasonOf(outcome: RequestOutcome): string {
   return outcome.kind === 'not-run' || outcome.kind === 'unknown' ? outcome.reason : '';
 }
--- a/packages/entry/src/rolloutService.ts
+++ b/packages/entry/src/rolloutService.ts
@@ -1,5 +1,5 @@
 /**
- * The worker: takes slots of open steps, has them generated and scored, and brings the samples to the owner.
+ * The rollout worker: pulls slots of open steps, generates and scores their samples, and reports them to the owner.
  */
 import { Deadline, every, rendezvous, sleep } from '@fuchsiahitch/base';
 import type {
@@ -33,22 +33,21 @@
 const REPORT_TIMEOUT_MS = 5000;
 const REPORT_TRIES = 5;
 const REPORT_PAUSE_MS = 500;
-/** Slots taken in one call: enough to be cheap, few enough that others get theirs. */
-const MAX_PULL = 8;
-const MAX_BREAKS = 8;
-const BREAK_PAUSE_MS = 200;
+/** Limits the slots per call, so that work is spread over the hosts. */
+const MAX_SLOTS_PER_PULL = 8;
+const MAX_STREAM_BREAKS = 8;
+const RETRY_PAUSE_MS = 200;
 const SCORE_TIMEOUT_MS = 5000;
 const SCORE_TRIES = 4;
 const PREFIX_LENGTH = 64;
 const EXPIRE_PERIOD_MS = 60_000;
-/** Several renewals fit into the time after which an owner gives a batch to others. */
+/** Allows for several lost renewals before the owner reassigns a batch. */
 const RENEW_PERIOD_MS = 3000;
-const LOWEST_SHARE = 0.01;
+const MIN_SHARE = 0.01;
 
-/** Within a round trip or two, also to a busy engine. */
 const ENGINE_REPORT_TIMEOUT_MS = 500;
 
-/** Why a slot's generation gave no sample. `engine-ended`: the engine, named by its identifier, ended as it began. */
+/** Why no sample was produced. `engine-ended`: the engine terminated before it generated a token. */
 type SampleFailure =
   | { readonly kind: 'engine' | 'prompt' | 'unprovable' | 'unscored' | 'too-late' }
   | { readonly kind: 'engine-ended'; readonly engine: string };
@@ -65,17 +64,17 @@
   private readonly _scorer: Scorer | undefined;
   private readonly _offers = new Map<string, StepOffer>();
   private readonly _schedule = new FairSchedule();
-  /** For each step, the batches under way with the number of their slots that still run. */
+  /** For each step, the number of running slots of each batch. */
   private readonly _batches = new Map<string, Map<number, number>>();
-  /** How far another host's samples of a step were copied. */
-  private readonly _copied = new Map<string, number>();
+  /** The next position to copy from another host's samples of a step. */
+  private readonly _copiedUpTo = new Map<string, number>();
   private readonly _copying = new Set<string>();
   private _running = 0;
   private _isDraining = false;
 
   constructor(
     context: HostContext,
-    parts: {
+    services: {
       readonly peers: PeerCaller;
       readonly membership: MembershipService;
       readonly rules: RulesService;
@@ -86,20 +85,20 @@
     },
   ) {
     this._context = context;
-    this._peers = parts.peers;
-    this._membership = parts.membership;
-    this._rules = parts.rules;
-    this._endpoints = parts.endpoints;
-    this._dispatcher = parts.dispatcher;
-    this._engines = parts.engines;
-    this._scorer = parts.scorer;
+    this._peers = services.peers;
+    this._membership = services.membership;
+    this._rules = services.rules;
+    this._endpoints = services.endpoints;
+    this._dispatcher = services.dispatcher;
+    this._engines = services.engines;
+    this._scorer = services.scorer;
     this.sampleBuffer = new SampleBuffer(context.clock);
   }
 
   register(server: CallRegistry): void {
     server.handle(calls.heldSamples, ({ key, from }) => this.sampleBuffer.page(key, from));
     server.handle(calls.shelfGrew, ({ key }, { peer }) => {
-      void this._copyShelf(key, peer.hostId);
+      void this._copySamples(key, peer.hostId);
       return {};
     });
   }
@@ -119,21 +118,21 @@
     return [...this._offers.values()];
   }
 
-  /** An owner says that a step has work, or is over. */
+  /** Handles an owner's announcement that a step has work, or is over. */
   onOffer(offer: StepOffer): void {
     const known = this._offers.get(offer.key);
     if (known && known.epoch > offer.epoch) return;
     if (offer.isOver) {
       this._offers.delete(offer.key);
       this.sampleBuffer.removeStep(offer.key);
-      for (const position of this._copied.keys())
-        if (position.startsWith(`${offer.key}@`)) this._copied.delete(position);
+      for (const position of this._copiedUpTo.keys())
+        if (position.startsWith(`${offer.key}@`)) this._copiedUpTo.delete(position);
     } else {
       this._offers.set(offer.key, offer);
     }
   }
 
-  /** Takes no new work; what runs goes on. */
+  /** Stops pulling work. Running slots continue. */
   drain(): void {
     this._isDraining = true;
   }
@@ -141,10 +140,10 @@
   private async _pullWork(): Promise<void> {
     if (this._isDraining) return;
     const open = this.offers().filter(offer => offer.hasWork);
-    const servable = open.filter(offer => this._roomFor(offer) > 0);
+    const servable = open.filter(offer => this._freeSlotsFor(offer) > 0);
     const offer = this._schedule.next(servable);
     if (!offer) return;
-    const count = Math.min(MAX_PULL, this._roomFor(offer));
+    const count = Math.min(MAX_SLOTS_PER_PULL, this._freeSlotsFor(offer));
     const request = { key: offer.key, worker: this._context.hostId, count };
     const reply = await this._peers.call(offer.ownerAddress, calls.workPull, request, PULL_TIMEOUT_MS);
     if (!reply.ok || !reply.value.known || reply.value.assignments.length === 0) {
@@ -152,18 +151,18 @@
       return;
     }
     const { batch, assignments } = reply.value;
-    this._countSlots(offer.key, batch, assignments.length);
+    this._addRunningSlots(offer.key, batch, assignments.length);
     for (const assignment of assignments) void this._runSlot(offer, assignment, batch);
   }
 
-  /** Places for rollouts that are free now and not already given to slots that wait. */
-  private _roomFor(offer: StepOffer): number {
-    const { pool, reserve, maxInFlight } = this._placeOf(offer);
+  /** Free rollout slots, less those that queued requests will take. */
+  private _freeSlotsFor(offer: StepOffer): number {
+    const { pool, reserve, maxInFlight } = this._policyFor(offer);
     const room = this._dispatcher.freeRolloutSlots(pool, reserve) - this._dispatcher.queueSize(pool);
     return Math.min(room, maxInFlight - this._running);
   }
 
-  private _placeOf(offer: StepOffer): {
+  private _policyFor(offer: StepOffer): {
     readonly pool: string;
     readonly reserve: number;
     readonly share: number;
@@ -206,7 +205,7 @@
     }
   }
 
-  private _countSlots(key: string, batch: number, change: number): void {
+  private _addRunningSlots(key: string, batch: number, change: number): void {
     const batches = this._batches.get(key) ?? new Map<number, number>();
     const left = (batches.get(batch) ?? 0) + change;
     if (left > 0) batches.set(batch, left);
@@ -218,31 +217,31 @@
   private async _runSlot(offer: StepOffer, assignment: Assignment, batch: number): Promise<void> {
     this._running += 1;
     try {
-      const bornMs = this._context.clock.nowMs();
-      const made = await this._makeSample(offer, assignment);
+      const createdMs = this._context.clock.nowMs();
+      const made = await this._produceSample(offer, assignment);
       if ('kind' in made) {
         this._context.metrics.samples.inc({ end: made.kind });
         await this._reportFailure(offer, assignment, made);
         return;
       }
-      this.sampleBuffer.store(offer.key, made, bornMs);
+      this.sampleBuffer.keep(offer.key, made, createdMs);
       this._context.metrics.samples.inc({ end: 'made' });
-      this._askForCopy(offer);
+      this._requestCopy(offer);
       await this._reportDone(offer.key, assignment.sampleId);
     } finally {
       this._running -= 1;
-      this._countSlots(offer.key, batch, -1);
+      this._addRunningSlots(offer.key, batch, -1);
     }
   }
 
-  private async _makeSample(
+  private async _produceSample(
     offer: StepOffer,
     assignment: Assignment,
   ): Promise<Omit<Sample, 'ageMs'> | SampleFailure> {
     const generated = await this._generate(offer, assignment);
     if ('kind' in generated) return generated;
-    const { share } = this._placeOf(offer);
-    this._schedule.charge(offer.house, Math.max(LOWEST_SHARE, share), generated.recorder.tokens());
+    const { share } = this._policyFor(offer);
+    this._schedule.charge(offer.house, Math.max(MIN_SHARE, share), generated.recorder.tokens());
     this._context.metrics.tokens.inc({ kind: 'rollout' }, generated.recorder.tokens());
     const spans = generated.recorder.finish(generated.tokens);
     if (!spans.ok) return { kind: 'unprovable' };
@@ -252,7 +251,7 @@
     return { sampleId, slot, text: generated.text, spans: spans.value, score };
   }
 
-  /** Generates a sample, going on elsewhere from the tokens already made when a stream breaks or yields. */
+  /** Generates a sample. A broken or preempted stream is resumed from the tokens already generated. */
   private async _generate(offer: StepOffer, assignment: Assignment): Promise<Generated | SampleFailure> {
     const recorder = new SpanRecorder();
     const deadline = Deadline.after(this._context.clock, Math.max(0, offer.deadlineInMs));
@@ -264,9 +263,9 @@
         text += chunk.text;
       }
     };
-    while (!deadline.isOver() && breaks <= MAX_BREAKS) {
+    while (!deadline.isOver() && breaks <= MAX_STREAM_BREAKS) {
       const before = recorder.tokens();
-      const run = await this._oneStream(offer, assignment, {
+      const run = await this._runStream(offer, assignment, {
         text,
         tokens: recorder.tokens(),
         onChunks,
@@ -276,55 +275,55 @@
       const { end, endpoint } = run;
       if (end.kind === 'done') return { recorder, text, tokens: end.tokens };
       if (end.kind === 'failed' && end.status < 500) return { kind: 'prompt' };
-      // Going on elsewhere would end the next engine too, if the prompt is to blame: that is for the step's owner to say,
-      // who hears of all workers'. A run that has made tokens is not what ended its engine.
+      // If the prompt crashed the engine, a retry would crash the next one. The step's owner decides, because it
+      // receives the reports of all workers. A stream that generated tokens is not the cause.
       const isFruitless = end.kind === 'broken' && recorder.tokens() === before;
-      if (isFruitless && (await this._hasEnded(endpoint)))
+      if (isFruitless && (await this._hasTerminated(endpoint)))
         return { kind: 'engine-ended', engine: endpoint.id };
       if (end.kind !== 'cancelled') breaks += 1;
-      await sleep(this._context.clock, BREAK_PAUSE_MS);
+      await sleep(this._context.clock, RETRY_PAUSE_MS);
     }
     return { kind: 'engine' };
   }
 
-  /** True if an engine that just broke a stream off does not answer any more. */
-  private async _hasEnded(endpoint: CallableEndpoint): Promise<boolean> {
+  /** True if the engine of a broken stream no longer answers. */
+  private async _hasTerminated(endpoint: CallableEndpoint): Promise<boolean> {
     const deadline = Deadline.after(this._context.clock, ENGINE_REPORT_TIMEOUT_MS);
     return (await this._engines.report(endpoint.url, deadline)) === undefined;
   }
 
-  private async _oneStream(
+  private async _runStream(
     offer: StepOffer,
     assignment: Assignment,
-    soFar: {
+    progress: {
       readonly text: string;
       readonly tokens: number;
       readonly onChunks: (chunks: readonly GenerationChunk[]) => void;
       readonly deadline: Deadline;
     },
   ): Promise<EndedStream | undefined> {
-    const place = this._placeOf(offer);
+    const policy = this._policyFor(offer);
     const stop = new AbortController();
     const turn = await this._dispatcher.acquire(
       {
-        pool: place.pool,
+        pool: policy.pool,
         ownDomain: this._context.domain,
-        domains: place.domains,
+        domains: policy.domains,
         isRollout: true,
-        reserve: place.reserve,
+        reserve: policy.reserve,
         prefix: assignment.prompt.slice(0, PREFIX_LENGTH),
-        version: place.version,
+        version: policy.version,
         tried: new Set(),
         queuePriority: 'rollout',
-        deadline: soFar.deadline,
+        deadline: progress.deadline,
       },
       () => true,
       stop.signal,
     );
-    if (turn.kind !== 'turn') return undefined;
+    if (turn.kind !== 'acquired') return undefined;
     const { endpoint } = turn;
-    const removeYielder = this._dispatcher.addPreemptible(endpoint.id, () => stop.abort());
-    const hop = this._context.tracing.startSpan('endpoint', undefined);
+    const removePreemptible = this._dispatcher.addPreemptible(endpoint.id, () => stop.abort());
+    const endpointSpan = this._context.tracing.startSpan('endpoint', undefined);
     const end = await this._engines.generate(
       {
         url: endpoint.url,
@@ -332,20 +331,20 @@
         prompt: assignment.prompt,
         maxTokens: offer.maxTokens,
         priority: 'low',
-        resumeText: soFar.text,
-        resumeTokens: soFar.tokens,
-        trace: hop.traceparent,
+        resumeText: progress.text,
+        resumeTokens: progress.tokens,
+        trace: endpointSpan.traceparent,
       },
-      soFar.onChunks,
+      progress.onChunks,
       stop.signal,
     );
-    removeYielder();
-    hop.end({ endpoint: endpoint.id, sample: assignment.sampleId, end: end.kind });
-    this._freed(endpoint, end);
+    removePreemptible();
+    endpointSpan.end({ endpoint: endpoint.id, sample: assignment.sampleId, end: end.kind });
+    this._releaseEndpoint(endpoint, end);
     return { end, endpoint };
   }
 
-  private _freed(endpoint: CallableEndpoint, end: GenerationEnd): void {
+  private _releaseEndpoint(endpoint: CallableEndpoint, end: GenerationEnd): void {
     if (end.kind === 'cancelled') {
       this._dispatcher.cancelled(endpoint, true);
       return;
@@ -360,13 +359,13 @@
   }
 
   /**
-   * The score of a sample, asked for by its identifier. A lost answer is looked up before it is asked for
-   * again, so that no sample is scored twice; one that cannot be told is made anew under another identifier.
+   * Scores a sample by its identifier. After a lost answer it looks the score up first, so that no sample is scored
+   * twice. Returns undefined if the score remains unknown.
    */
   private async _score(assignment: Assignment, text: string): Promise<number | undefined> {
     if (!this._scorer) return 0;
     const { clock, tracing } = this._context;
-    const hop = tracing.startSpan('scoring', undefined);
+    const scoringSpan = tracing.startSpan('scoring', undefined);
     let mayBeScored = false;
     for (let i = 0; i < SCORE_TRIES; i++) {
       const deadline = Deadline.after(clock, SCORE_TIMEOUT_MS);
@@ -375,22 +374,21 @@
         ? await this._scorer.find(sample.sampleId, deadline)
         : await this._scorer.score(sample, deadline);
       if (result.kind === 'scored') {
-        hop.end({ sample: assignment.sampleId });
+        scoringSpan.end({ sample: assignment.sampleId });
         return result.score;
       }
       mayBeScored = result.kind === 'unknown';
-      await sleep(clock, BREAK_PAUSE_MS);
+      await sleep(clock, RETRY_PAUSE_MS);
     }
-    hop.end({ sample: assignment.sampleId, end: 'unknown' });
+    scoringSpan.end({ sample: assignment.sampleId, end: 'unknown' });
     return undefined;
   }
 
   /**
-   * Where the worker is the owner too, its copy and the owner's would die together; one would notice a step
-   * that generates again what it had. A peer fetches such samples, and asks for them itself, so that their
-   * ages can be trusted.
+   * If this worker is also the step's owner, both copies of a sample would be lost with the host, and the step would
+   * generate it again. A peer therefore fetches a copy; it pulls, because ages count from the time of its request.
    */
-  private _askForCopy(offer: StepOffer): void {
+  private _requestCopy(offer: StepOffer): void {
     if (splitHolder(offer.owner).hostId !== this._context.hostId) return;
     const others = this._membership.livePeers().map(peer => peer.hostId);
     const [copier] = rendezvous(offer.key, others);
@@ -399,22 +397,22 @@
     void this._peers.call(address, calls.shelfGrew, { key: offer.key }, REPORT_TIMEOUT_MS);
   }
 
-  private async _copyShelf(key: string, hostId: string): Promise<void> {
+  private async _copySamples(key: string, hostId: string): Promise<void> {
     const offer = this._offers.get(key);
     if (!offer) return;
-    // A later process of the host begins an empty shelf, under a later epoch of the step.
+    // A restarted host has an empty buffer; the later epoch of the step resets the position.
     const position = `${key}@${hostId}@${offer.epoch}`;
     if (this._copying.has(position)) return;
     this._copying.add(position);
     const source = {
       address: this._membership.addressOf(hostId),
       key,
-      from: this._copied.get(position) ?? 0,
+      from: this._copiedUpTo.get(position) ?? 0,
     };
     const end = await fetchSamples(this._context, this._peers, source, ({ ageMs, ...sample }, askedMs) =>
-      this.sampleBuffer.store(key, sample, askedMs - ageMs),
+      this.sampleBuffer.keep(key, sample, askedMs - ageMs),
     );
-    this._copied.set(position, end);
+    this._copiedUpTo.set(position, end);
     this._copying.delete(position);
   }
 
--- a/packages/entry/src/rulesService.ts
+++ b/packages/entry/src/rulesService.ts
@@ -1,6 +1,6 @@
 /**
- * Keeps the rules in force on this host: watches the store where it is a watcher, hears from peers where not,
- * and accepts operators' edits.
+ * Maintains the rules in force on this host. Watchers follow the store, other hosts receive edits from peers. Accepts
+ * edits from operators.
  */
 import { every, sleep, type Result } from '@fuchsiahitch/base';
 import { isWatcher } from '@fuchsiahitch/membership';
@@ -24,7 +24,7 @@
 import type { CallRegistry, PeerCaller } from './hostPorts.js';
 import { parseEdit, RULES_PREFIX } from './keyValueRuleStore.js';
 
-/** A watch can fall silent without ending, so watchers also read the store this often. */
+/** Watchers also poll the store, because a watch can stop delivering events without ending. */
 const READ_PERIOD_MS = 5000;
 const PULL_TIMEOUT_MS = 2000;
 const WATCH_PAUSE_MS = 500;
@@ -38,8 +38,8 @@
   private readonly _signals: SignalReader;
   private readonly _history = new RuleHistory();
   private readonly _editor: RuleEditor;
-  private _book: RuleEvaluator;
-  private _isKnown = false;
+  private _evaluator: RuleEvaluator;
+  private _hasRules = false;
   private _pulling: Promise<void> | undefined;
 
   constructor(
@@ -57,7 +57,7 @@
     this._peers = peers;
     this._signals = signals;
     this._editor = new RuleEditor(rules, () => this._history.document());
-    this._book = new RuleEvaluator(this._history.document(), context.clock, signals);
+    this._evaluator = new RuleEvaluator(this._history.document(), context.clock, signals);
   }
 
   register(server: CallRegistry): void {
@@ -69,7 +69,7 @@
     });
     server.handle(calls.rulesPush, (numbered, { peer }) => {
       const address = this._membership.addressOf(peer.hostId);
-      if (this._offer(numbered) === 'gap') void this.pullFrom(address);
+      if (this._applyEdit(numbered) === 'gap') void this.pullFrom(address);
       return { revision: this.revision() };
     });
   }
@@ -80,9 +80,8 @@
     every(clock, WATCH_PAUSE_MS, stopped, () => this._watchIfWatcher());
   }
 
-  /** The rules to decide by. */
   evaluator(): RuleEvaluator {
-    return this._book;
+    return this._evaluator;
   }
 
   revision(): number {
@@ -90,17 +89,17 @@
   }
 
   /**
-   * True once this host heard of the rules from the store or a peer. Until then it is not ready: a host that
-   * restarts with no store in reach must not serve by empty rules.
+   * True once the rules were received from the store or a peer. Until then the host is not ready, so that a restart
+   * without a reachable store does not serve requests under empty rules.
    */
   hasRules(): boolean {
-    return this._isKnown;
+    return this._hasRules;
   }
 
-  /** A peer is ahead, or has the same rules: both show that this host's are known. */
+  /** Pulls the rules from a peer with a later revision. An equal revision confirms that this host's rules are current. */
   async onPeerRevision(address: string, revision: number): Promise<void> {
     if (revision > this.revision()) await this.pullFrom(address);
-    else if (revision === this.revision() && revision > 0) this._isKnown = true;
+    else if (revision === this.revision() && revision > 0) this._hasRules = true;
   }
 
   async pullFrom(address: string): Promise<void> {
@@ -110,25 +109,24 @@
     await this._pulling;
   }
 
-  /** Reads the rules from the store: for the start, and for operators. */
   async readStore(): Promise<Result<StoredRules, RuleStoreError>> {
     const loaded = await this._editor.loadRepaired();
     if (loaded.ok) {
-      this._isKnown = true;
-      this._offerDocument(loaded.value.document);
+      this._hasRules = true;
+      this._applyDocument(loaded.value.document);
     }
     return loaded;
   }
 
-  /** Accepts an edit and puts it in force here; peers are told at once, and other domains by their watchers. */
+  /** Submits an edit. An accepted one is applied here and pushed to peers; other domains receive it through watchers. */
   async submit(edit: Edit): Promise<EditOutcome> {
     const outcome = await this._editor.submit(edit);
     if (outcome.kind === 'accepted') {
       const numbered = { revision: outcome.revision, edit };
-      if (this._offer(numbered) === 'gap') this._offerDocument(outcome.document);
-      this._push(numbered);
+      if (this._applyEdit(numbered) === 'gap') this._applyDocument(outcome.document);
+      this._pushToPeers(numbered);
     }
-    this._context.log.info('rule edit', { edit: edit.id, team: edit.team, outcome: outcome.kind });
+    this._context.log.info('rule edit submitted', { edit: edit.id, team: edit.team, outcome: outcome.kind });
     return outcome;
   }
 
@@ -140,13 +138,13 @@
       PULL_TIMEOUT_MS,
     );
     if (!reply.ok) return;
-    this._isKnown = true;
-    if (reply.value.kind === 'document') this._offerDocument(reply.value.document);
-    if (reply.value.kind === 'edits') for (const numbered of reply.value.edits) this._offer(numbered);
+    this._hasRules = true;
+    if (reply.value.kind === 'document') this._applyDocument(reply.value.document);
+    if (reply.value.kind === 'edits') for (const numbered of reply.value.edits) this._applyEdit(numbered);
   }
 
   private async _readIfWatcher(): Promise<void> {
-    if (this._isKnown && !this._isWatcher()) return;
+    if (this._hasRules && !this._isWatcher()) return;
     await this.readStore();
   }
 
@@ -156,18 +154,18 @@
     const ended = new AbortController();
     const stop = (): void => ended.abort();
     stopped.addEventListener('abort', stop);
-    // A host that is no watcher any more gives its watch back: each one waiting counts as a call.
+    // End the watch when this host is no longer a watcher: each open watch counts as a call to the store.
     every(clock, READ_PERIOD_MS, ended.signal, () => {
       if (!this._isWatcher()) stop();
     });
-    const end = await this._store.watch(RULES_PREFIX, events => this._sawEvents(events), ended.signal);
+    const end = await this._store.watch(RULES_PREFIX, events => this._onEvents(events), ended.signal);
     stop();
     stopped.removeEventListener('abort', stop);
     if (end === 'compacted') await this.readStore();
     await sleep(clock, this._context.random.below(WATCH_PAUSE_MS), stopped);
   }
 
-  private _sawEvents(events: readonly WatchEvent[]): void {
+  private _onEvents(events: readonly WatchEvent[]): void {
     for (const event of events) {
       const numbered = event.value === undefined ? undefined : parseEdit(event.key, event.value);
       const isSnapshot = event.key === `${RULES_PREFIX}snapshot`;
@@ -175,28 +173,28 @@
         if (isSnapshot) void this.readStore();
         continue;
       }
-      if (this._offer(numbered) === 'gap') void this.readStore();
-      this._push(numbered);
+      if (this._applyEdit(numbered) === 'gap') void this.readStore();
+      this._pushToPeers(numbered);
     }
   }
 
-  private _offer(numbered: NumberedEdit): 'taken' | 'old' | 'gap' {
+  private _applyEdit(numbered: NumberedEdit): 'taken' | 'old' | 'gap' {
     const result = this._history.offerEdit(numbered);
-    if (result === 'taken') this._rebuild();
+    if (result === 'taken') this._rebuildEvaluator();
     return result;
   }
 
-  private _offerDocument(document: RuleDocument): void {
-    if (this._history.offerDocument(document) === 'taken') this._rebuild();
+  private _applyDocument(document: RuleDocument): void {
+    if (this._history.offerDocument(document) === 'taken') this._rebuildEvaluator();
   }
 
-  private _rebuild(): void {
-    this._isKnown = true;
-    this._book = new RuleEvaluator(this._history.document(), this._context.clock, this._signals);
+  private _rebuildEvaluator(): void {
+    this._hasRules = true;
+    this._evaluator = new RuleEvaluator(this._history.document(), this._context.clock, this._signals);
     this._context.log.info('rules in force', { revision: this.revision() });
   }
 
-  private _push(numbered: NumberedEdit): void {
+  private _pushToPeers(numbered: NumberedEdit): void {
     for (const peer of this._membership.livePeers()) {
       void this._peers.call(peer.address, calls.rulesPush, numbered, PULL_TIMEOUT_MS);
     }
--- a/packages/entry/src/sampleBuffer.ts
+++ b/packages/entry/src/sampleBuffer.ts
@@ -1,61 +1,60 @@
 /**
- * Finished samples that a host keeps until their step is over, so that a new owner of the step finds them:
- * the worker's and the owner's are the two copies of a sample. Of a sample that the owner made itself, a peer
- * fetches a second copy.
+ * Retains finished samples until their step is over, so that a new owner of the step can recover them. Each sample
+ * has two copies: the worker's and the owner's. If the worker is the owner, a peer fetches the second copy.
  */
 import type { Clock } from '@fuchsiahitch/base';
 import type { Sample } from '@fuchsiahitch/steps';
 
-interface KeptSample {
+interface BufferedSample {
   readonly sample: Omit<Sample, 'ageMs'>;
-  readonly bornMs: number;
+  readonly createdMs: number;
 }
 
-interface KeptStep {
-  readonly samples: KeptSample[];
-  readonly byId: Map<string, KeptSample>;
+interface BufferedStep {
+  readonly samples: BufferedSample[];
+  readonly byId: Map<string, BufferedSample>;
 }
 
-/** Samples kept of a step, in the order in which they came. */
+/** Samples of a step in order of arrival. */
 export interface SamplePage {
   readonly samples: readonly Sample[];
-  /** Where the next page begins. */
+  /** The position of the next page. */
   readonly next: number;
   readonly hasMore: boolean;
 }
 
-/** Samples in one page; with their texts they fit well into a frame. */
-const PAGE = 64;
-/** A step that nobody ended is forgotten after this time. */
-const KEEP_MS = 3_600_000;
+/** Keeps a page with its texts below the maximum frame size. */
+const PAGE_SIZE = 64;
+/** Retention of a step that was never reported as over. */
+const RETENTION_MS = 3_600_000;
 
 export class SampleBuffer {
   private readonly _clock: Clock;
-  private readonly _steps = new Map<string, KeptStep>();
+  private readonly _steps = new Map<string, BufferedStep>();
 
   constructor(clock: Clock) {
     this._clock = clock;
   }
 
-  store(key: string, sample: Omit<Sample, 'ageMs'>, bornMs: number): void {
-    const step = this._steps.get(key) ?? { samples: [], byId: new Map<string, KeptSample>() };
+  keep(key: string, sample: Omit<Sample, 'ageMs'>, createdMs: number): void {
+    const step = this._steps.get(key) ?? { samples: [], byId: new Map<string, BufferedSample>() };
     this._steps.set(key, step);
     if (step.byId.has(sample.sampleId)) return;
-    const kept = { sample, bornMs };
+    const kept = { sample, createdMs };
     step.samples.push(kept);
     step.byId.set(sample.sampleId, kept);
   }
 
-  /** The sample as it is to be sent now: its age counts up to this moment. */
+  /** The sample with its current age. */
   sampleWithAge(key: string, sampleId: string): Sample | undefined {
     const kept = this._steps.get(key)?.byId.get(sampleId);
     return kept && this._toSample(kept);
   }
 
-  /** The samples of a step from a position on. */
+  /** One page of a step's samples, beginning at a position. */
   page(key: string, from: number): SamplePage {
     const samples = this._steps.get(key)?.samples ?? [];
-    const page = samples.slice(from, from + PAGE);
+    const page = samples.slice(from, from + PAGE_SIZE);
     const next = from + page.length;
     return { samples: page.map(kept => this._toSample(kept)), next, hasMore: next < samples.length };
   }
@@ -64,11 +63,11 @@
     this._steps.delete(key);
   }
 
-  /** Drops steps that nobody ended. */
+  /** Removes steps whose samples have all exceeded the retention period. */
   removeExpired(): void {
     const nowMs = this._clock.nowMs();
     for (const [key, step] of this._steps) {
-      if (step.samples.every(kept => nowMs - kept.bornMs > KEEP_MS)) this._steps.delete(key);
+      if (step.samples.every(kept => nowMs - kept.createdMs > RETENTION_MS)) this._steps.delete(key);
     }
   }
 
@@ -78,7 +77,7 @@
     return total;
   }
 
-  private _toSample(kept: KeptSample): Sample {
-    return { ...kept.sample, ageMs: this._clock.nowMs() - kept.bornMs };
+  private _toSample(kept: BufferedSample): Sample {
+    return { ...kept.sample, ageMs: this._clock.nowMs() - kept.createdMs };
   }
 }
--- a/packages/entry/src/stepService.ts
+++ b/packages/entry/src/stepService.ts
@@ -1,5 +1,5 @@
 /**
- * Steps: finds the owner of a step for a trainer's call, and is the owner of some.
+ * Routes trainers' calls to the owner of a step, and owns the steps assigned to this host.
  */
 import { every, rendezvous } from '@fuchsiahitch/base';
 import { calls, type CallDefinition } from '@fuchsiahitch/protocol';
@@ -26,14 +26,14 @@
 const CALL_TIMEOUT_MS = 10_000;
 const OFFER_TIMEOUT_MS = 2000;
 const OFFER_PERIOD_MS = 1000;
-/** Offers are repeated this often even if nothing changed: a host that joined must hear of them. */
-const OFFER_REPEAT = 5;
+/** Unchanged offers are repeated every n-th round, so that hosts that joined receive them. */
+const OFFER_REPEAT_ROUNDS = 5;
 const MAX_HOPS = 2;
 const RETRY_AFTER_MS = 500;
 const DEFAULT_HEDGE_SHARE = 0.05;
 const DEFAULT_SHARE = 0.5;
-/** A closed step is kept to answer late calls without the store. */
-const KEEP_CLOSED_MS = 60_000;
+/** Closed steps are retained to answer late calls without reading the store. */
+const CLOSED_RETENTION_MS = 60_000;
 
 const NO_PROGRESS = { open: 0, assigned: 0, ready: 0, sealed: 0, delivered: 0, failed: 0 };
 const OWNER_MOVING: TakeReply = {
@@ -42,7 +42,7 @@
   retryAfterMs: RETRY_AFTER_MS,
   progress: NO_PROGRESS,
 };
-const STORE_OUT: TakeReply = { ...OWNER_MOVING, reason: 'store-unavailable' };
+const STORE_UNAVAILABLE: TakeReply = { ...OWNER_MOVING, reason: 'store-unavailable' };
 
 interface OwnedStep {
   readonly owner: StepOwner;
@@ -50,8 +50,8 @@
   closedMs: number | undefined;
 }
 
-/** Where a call about a step belongs. */
-type Place =
+/** Where the owner of a step is. */
+type StepLocation =
   | { readonly kind: 'here'; readonly step: OwnedStep }
   | { readonly kind: 'there'; readonly address: string }
   | { readonly kind: 'none' }
@@ -65,7 +65,7 @@
   private readonly _store: StepStore;
   private readonly _rollouts: RolloutService;
   private readonly _owned = new Map<string, OwnedStep>();
-  private readonly _taking = new Map<string, Promise<Place>>();
+  private readonly _takeovers = new Map<string, Promise<StepLocation>>();
   private _round = 0;
 
   constructor(
@@ -87,7 +87,7 @@
     server.handle(calls.stepTake, ({ hops, request }) => this.take(request, hops));
     server.handle(calls.stepAbandon, ({ hops, request }) => this.abandon(request.key, hops));
     server.handle(calls.stepProgress, ({ hops, request }) => this.progress(request.key, hops));
-    server.handle(calls.stepOffer, offer => this._offered(offer));
+    server.handle(calls.stepOffer, offer => this._onOffer(offer));
     server.handle(calls.workPull, ({ key, worker, count }) => {
       const step = this._owned.get(key);
       const batch = step?.owner.assign(worker, count) ?? { batch: 0, assignments: [] };
@@ -98,7 +98,7 @@
       return {};
     });
     server.handle(calls.sampleDone, ({ key, worker, sample }) => ({
-      verdict: this._sampleDone(key, worker, sample),
+      verdict: this._onSampleDone(key, worker, sample),
     }));
     server.handle(calls.sampleFailed, ({ key, sampleId, isOwnFault, endedEngine }) => {
       const ledger = this._owned.get(key)?.owner.ledger;
@@ -116,14 +116,13 @@
     return this._owned.size;
   }
 
-  /** Steps that this host owns, for operators. */
   owned(): readonly StepOwner[] {
     return [...this._owned.values()].map(step => step.owner);
   }
 
   async open(spec: StepSpec, hops = 0): Promise<OpenReply> {
     const key = stepKey(spec.trainer, spec.step);
-    const place = await this._find(key);
+    const place = await this._locate(key);
     switch (place.kind) {
       case 'here':
         return openedReply(place.step.owner, spec);
@@ -139,7 +138,7 @@
   }
 
   async take(request: TakeRequest, hops = 0): Promise<TakeReply> {
-    const place = await this._find(request.key);
+    const place = await this._locate(request.key);
     switch (place.kind) {
       case 'here':
         return this._takeHere(place.step, request);
@@ -150,12 +149,12 @@
       case 'moving':
         return OWNER_MOVING;
       case 'store-out':
-        return STORE_OUT;
+        return STORE_UNAVAILABLE;
     }
   }
 
   async abandon(key: string, hops = 0): Promise<{ readonly abandoned: boolean }> {
-    const place = await this._find(key);
+    const place = await this._locate(key);
     if (place.kind === 'there') {
       return (await this._relay(place.address, calls.stepAbandon, { key }, hops)) ?? { abandoned: false };
     }
@@ -164,7 +163,7 @@
 
   async progress(key: string, hops = 0): Promise<StepProgress> {
     const unknown = { known: false, progress: NO_PROGRESS, hedges: 0, duplicates: 0 };
-    const place = await this._find(key);
+    const place = await this._locate(key);
     if (place.kind === 'there')
       return (await this._relay(place.address, calls.stepProgress, { key }, hops)) ?? unknown;
     if (place.kind !== 'here') return unknown;
@@ -178,9 +177,9 @@
   }
 
   private async _takeHere(step: OwnedStep, request: TakeRequest): Promise<TakeReply> {
-    const hop = this._context.tracing.startSpan('delivery', undefined);
+    const deliverySpan = this._context.tracing.startSpan('delivery', undefined);
     const reply = await step.owner.take(request);
-    hop.end({ step: request.key, end: reply.kind });
+    deliverySpan.end({ step: request.key, end: reply.kind });
     if (step.owner.isFenced()) this._owned.delete(request.key);
     if (reply.kind === 'over' || reply.kind === 'abandoned') step.closedMs ??= this._context.clock.nowMs();
     return reply;
@@ -197,30 +196,31 @@
     return reply.ok ? reply.value : undefined;
   }
 
-  /** Where a step is owned; this host takes it over when it should and the owner is gone. */
-  private async _find(key: string): Promise<Place> {
+  /** Locates the owner of a step. Takes the step over if its owner is dead and this host is its successor. */
+  private async _locate(key: string): Promise<StepLocation> {
     const owned = this._owned.get(key);
     if (owned && !owned.owner.isFenced()) return { kind: 'here', step: owned };
     const trainer = key.slice(0, key.lastIndexOf('/'));
     const home = homeDomain(trainer, this._context.domains);
-    if (home !== this._context.domain) return this._elsewhere(home);
+    if (home !== this._context.domain) return this._locateInDomain(home);
     const offer = this._rollouts.offers().find(one => one.key === key);
     const known = offer && this._liveAddress(offer.owner);
     if (known) return { kind: 'there', address: known };
     const [wanted = ''] = rendezvous(key, this._membership.view.liveIds());
     if (wanted !== this._context.hostId)
       return { kind: 'there', address: this._membership.addressOf(wanted) };
-    const taking = this._taking.get(key) ?? this._takeUp(key).finally(() => this._taking.delete(key));
-    this._taking.set(key, taking);
+    const taking =
+      this._takeovers.get(key) ?? this._loadOrTakeOver(key).finally(() => this._takeovers.delete(key));
+    this._takeovers.set(key, taking);
     return taking;
   }
 
-  private _elsewhere(domain: string): Place {
+  private _locateInDomain(domain: string): StepLocation {
     const address = this._membership.randomAddressOf(domain);
     return address === '' ? { kind: 'moving' } : { kind: 'there', address };
   }
 
-  /** The address of a holder while its process seems to run; empty otherwise. */
+  /** The address of a holder, or empty if its process is not known to be running. */
   private _liveAddress(holder: string): string {
     const { hostId, incarnation } = splitHolder(holder);
     const member = this._membership.view.find(hostId);
@@ -228,7 +228,7 @@
     return isSame ? member.address : '';
   }
 
-  private async _takeUp(key: string): Promise<Place> {
+  private async _loadOrTakeOver(key: string): Promise<StepLocation> {
     const loaded = await this._store.load(key);
     if (!loaded.ok) return { kind: 'store-out' };
     if (!loaded.value) return { kind: 'none' };
@@ -236,23 +236,23 @@
     if (head.state !== 'open') return { kind: 'here', step: this._add(key, loaded.value) };
     const address = this._liveAddress(head.owner);
     if (address !== '') return { kind: 'there', address };
-    const taken = await takeOver(this._store, key, loaded.value, this._self());
+    const taken = await takeOver(this._store, key, loaded.value, this._selfHolderId());
     if (!taken.ok) return { kind: taken.error === 'fenced' ? 'moving' : 'store-out' };
     this._context.log.info('step taken over', { step: key, epoch: taken.value.head.epoch });
     const step = this._add(key, taken.value);
-    await this._adoptAll(step.owner);
+    await this._adoptFromWorkers(step.owner);
     return { kind: 'here', step };
   }
 
   private async _create(key: string, spec: StepSpec): Promise<OpenReply> {
-    const head = { owner: this._self(), epoch: 1, state: 'open', failedGroups: [] } as const;
+    const head = { owner: this._selfHolderId(), epoch: 1, state: 'open', failedGroups: [] } as const;
     const created = await this._store.create(key, head, spec);
     if (!created.ok) {
       if (created.error === 'too-large') return { kind: 'differs', key };
       return tryLater(created.error === 'fenced' ? 'owner-moving' : 'store-unavailable');
     }
     const step = this._add(key, { head, headVersion: created.value, spec, chunks: [] });
-    this._offer(step);
+    this._publishOffer(step);
     return { kind: 'opened', key, samples: sampleCount(spec) };
   }
 
@@ -266,18 +266,18 @@
     return step;
   }
 
-  /** Asks all workers in reach for the samples that they keep of a step. */
-  private async _adoptAll(owner: StepOwner): Promise<void> {
+  /** Fetches the buffered samples of a step from all reachable workers. */
+  private async _adoptFromWorkers(owner: StepOwner): Promise<void> {
     const others = this._context.domains.filter(domain => domain !== this._context.domain);
     const remote = others.flatMap(domain =>
       this._membership.liveHostsOf(domain).map(host => host.peerAddress),
     );
     const local = this._membership.livePeers().map(peer => peer.address);
-    this._adoptOwn(owner);
+    this._adoptLocal(owner);
     await Promise.all([...local, ...remote].map(address => this._adoptFrom(owner, address)));
   }
 
-  private _adoptOwn(owner: StepOwner): void {
+  private _adoptLocal(owner: StepOwner): void {
     const askedMs = this._context.clock.nowMs();
     for (let from = 0, hasMore = true; hasMore;) {
       const page = this._rollouts.sampleBuffer.page(owner.key, from);
@@ -294,11 +294,11 @@
     );
   }
 
-  private _sampleDone(key: string, worker: string, sample: Sample): SampleVerdictReply {
+  private _onSampleDone(key: string, worker: string, sample: Sample): SampleVerdictReply {
     const step = this._owned.get(key);
     if (!step) return 'unknown-step';
     const verdict = step.owner.sampleDone(sample);
-    // An attempt that a former owner gave out: its age can only be trusted when it is asked for.
+    // The attempt was assigned by a former owner. Fetch the sample, so that its age counts from a known time.
     if (verdict === 'unknown-attempt') void this._adoptFrom(step.owner, this._workerAddress(worker));
     return verdict;
   }
@@ -315,31 +315,31 @@
     const nowMs = this._context.clock.nowMs();
     for (const [key, step] of this._owned) {
       step.owner.tick();
-      this._dropDeadWorkers(step.owner);
-      this._offer(step);
-      if (step.closedMs !== undefined && nowMs - step.closedMs > KEEP_CLOSED_MS) this._owned.delete(key);
+      this._reportDeadWorkers(step.owner);
+      this._publishOffer(step);
+      if (step.closedMs !== undefined && nowMs - step.closedMs > CLOSED_RETENTION_MS) this._owned.delete(key);
     }
   }
 
-  private _dropDeadWorkers(owner: StepOwner): void {
+  private _reportDeadWorkers(owner: StepOwner): void {
     for (const member of this._membership.view.members()) {
       if (member.state === 'dead') owner.ledger.workerLost(member.hostId);
     }
   }
 
-  /** Tells all hosts of the domain, and one of each other domain, when an offer changed or is due again. */
-  private _offer(step: OwnedStep): void {
+  /** Sends the offer to all hosts of the domain and one host per other domain if it changed or is due again. */
+  private _publishOffer(step: OwnedStep): void {
     const { owner } = step;
     const hasWork = !owner.isOver() && owner.ledger.hasWork();
     const state = `${hasWork}/${owner.isOver()}`;
-    const isDue = this._round % OFFER_REPEAT === 0 && step.closedMs === undefined;
+    const isDue = this._round % OFFER_REPEAT_ROUNDS === 0 && step.closedMs === undefined;
     if (state === step.lastOffer && !isDue) return;
     step.lastOffer = state;
     const offer: StepOffer = {
       key: owner.key,
       house: owner.spec.house,
       pool: owner.spec.pool,
-      owner: this._self(),
+      owner: this._selfHolderId(),
       ownerAddress: this._membership.addressOf(this._context.hostId),
       epoch: owner.epoch,
       share: DEFAULT_SHARE,
@@ -358,28 +358,28 @@
     }
   }
 
-  private _offered(offer: StepOffer): Record<string, never> {
+  private _onOffer(offer: StepOffer): Record<string, never> {
     this._rollouts.onOffer(offer);
     const owned = this._owned.get(offer.key);
-    if (owned && offer.epoch > owned.owner.epoch) this._giveUp(owned.owner);
+    if (owned && offer.epoch > owned.owner.epoch) this._releaseStep(owned.owner);
     if (!offer.passOn) return {};
     for (const peer of this._membership.livePeers())
       this._sendOffer(peer.address, { ...offer, passOn: false });
     return {};
   }
 
-  /** A host that was paused past its ownership hears of its successor. */
-  private _giveUp(owner: StepOwner): void {
+  /** Releases a step after learning of a successor, for example when this host was paused past its ownership. */
+  private _releaseStep(owner: StepOwner): void {
     owner.fence();
     this._owned.delete(owner.key);
-    this._context.log.warn('step is owned elsewhere', { step: owner.key });
+    this._context.log.warn('step was taken over by another host', { step: owner.key });
   }
 
   private _sendOffer(address: string, offer: StepOffer): void {
     void this._peers.call(address, calls.stepOffer, offer, OFFER_TIMEOUT_MS);
   }
 
-  private _self(): string {
+  private _selfHolderId(): string {
     return holderId(this._context.hostId, this._context.incarnation);
   }
 }
--- a/packages/entry/src/trainersController.ts
+++ b/packages/entry/src/trainersController.ts
@@ -1,5 +1,5 @@
 /**
- * The trainers' listener: steps and weights.
+ * HTTP controller for trainers: steps and weight targets.
  */
 import { Controller, Get, Inject, Param, Post, Req, Res } from '@nestjs/common';
 import type { FastifyReply, FastifyRequest } from 'fastify';
