--- a/packages/entry/src/dispatcher.ts
+++ b/packages/entry/src/dispatcher.ts
@@ -81,7 +81,7 @@
   ): Promise<DispatchResult> {
     if (this._endpoints.pool(request.pool).length === 0) return { kind: 'no-endpoint' };
     return new Promise(resolve => {
-      const offer = (): boolean => {
+      const tryAcquire = (): boolean => {
         const endpoint = this._pickEndpoint(request);
         if (!endpoint) return false;
         if (!begin()) {
@@ -94,13 +94,13 @@
         return true;
       };
       const queue = this._queue(request.pool);
-      if (queue.size() === 0 && offer()) return;
+      if (queue.size() === 0 && tryAcquire()) return;
       if (!request.isRollout) this._preemptRollout(request);
-      const leave = queue.enqueue(request.queuePriority, request.deadline, offer, reason =>
+      const leaveQueue = queue.enqueue(request.queuePriority, request.deadline, tryAcquire, reason =>
         resolve({ kind: reason }),
       );
       signal.addEventListener('abort', () => {
-        leave();
+        leaveQueue();
         resolve({ kind: 'left' });
       });
       this._dispatchQueue(queue);
--- a/packages/entry/src/entryHost.ts
+++ b/packages/entry/src/entryHost.ts
@@ -120,28 +120,28 @@
    */
   async shutDown(): Promise<void> {
     const { settings, clock, log } = this._context;
-    const limit = Deadline.after(clock, settings['max-shutdown-ms']);
+    const shutdownDeadline = Deadline.after(clock, settings['max-shutdown-ms']);
     log.info('shutting down', { drainMs: settings['drain-ms'] });
     const { status, rollouts, requests, membership, keys, orders } = this._services;
     status.drain();
     rollouts.drain();
     membership.view.leave();
     orders.stop();
-    await sleep(clock, Math.min(settings['drain-ms'], limit.remainingMs()));
-    await this._waitForInFlight(limit);
+    await sleep(clock, Math.min(settings['drain-ms'], shutdownDeadline.remainingMs()));
+    await this._waitForInFlight(shutdownDeadline);
     requests.refuseNew();
-    const isHandedOver = await keys.handOver(limit.atMost(HANDOVER_TIMEOUT_MS));
+    const isHandedOver = await keys.handOver(shutdownDeadline.atMost(HANDOVER_TIMEOUT_MS));
     await Promise.all(this._listeners.map(listener => listener.close()));
-    await this._waitForInFlight(limit);
+    await this._waitForInFlight(shutdownDeadline);
     this._stop.abort();
     this._peers.close();
     await this._server.close();
-    log.info('shutdown complete', { isHandedOver, inFlight: requests.inFlight() + rollouts.running() });
+    log.info('ended', { isHandedOver, inFlight: requests.inFlight() + rollouts.running() });
   }
 
-  private async _waitForInFlight(limit: Deadline): Promise<void> {
+  private async _waitForInFlight(deadline: Deadline): Promise<void> {
     const { requests, rollouts } = this._services;
-    while (!limit.isOver() && requests.inFlight() + rollouts.running() > 0) {
+    while (!deadline.isOver() && requests.inFlight() + rollouts.running() > 0) {
       await sleep(this._context.clock, IN_FLIGHT_POLL_MS);
     }
   }
--- a/packages/entry/src/ordersService.ts
+++ b/packages/entry/src/ordersService.ts
@@ -59,7 +59,7 @@
 
   constructor(
     context: HostContext,
-    services: {
+    parts: {
       readonly store: KeyValueStore;
       readonly membership: MembershipService;
       readonly endpoints: EndpointService;
@@ -68,11 +68,11 @@
     },
   ) {
     this._context = context;
-    this._store = services.store;
-    this._membership = services.membership;
-    this._endpoints = services.endpoints;
-    this._engines = services.engines;
-    this._rules = services.rules;
+    this._store = parts.store;
+    this._membership = parts.membership;
+    this._endpoints = parts.endpoints;
+    this._engines = parts.engines;
+    this._rules = parts.rules;
     this._guard = new LeaseGuard(context.clock, { leaseMs: LEASE_MS, marginMs: LEASE_MARGIN_MS });
   }
 
@@ -163,9 +163,9 @@
   private async _renew(held: HeldLease): Promise<void> {
     const sentMs = this._context.clock.nowMs();
     if (sentMs - held.renewedMs < RENEW_PERIOD_MS) return;
-    const kept = await this._store.keepLease(held.leaseId, this._deadline());
-    if (!kept.ok) return;
-    if (kept.value) {
+    const keptAlive = await this._store.keepLease(held.leaseId, this._deadline());
+    if (!keptAlive.ok) return;
+    if (keptAlive.value) {
       held.renewedMs = sentMs;
       this._guard.renewed(held.token, sentMs);
     } else {
--- a/packages/entry/src/requestService.ts
+++ b/packages/entry/src/requestService.ts
@@ -262,18 +262,18 @@
     attempt: number,
     trace: string | undefined,
   ): Promise<AttemptEnd> {
-    const { work: what } = work.request;
+    const { work: callerWork } = work.request;
     const end =
-      what.kind === 'completion'
-        ? await this._generate(work, what, endpoint, attempt, trace)
-        : await this._callService(work, what, endpoint, attempt, trace);
+      callerWork.kind === 'completion'
+        ? await this._generate(work, callerWork, endpoint, attempt, trace)
+        : await this._callService(work, callerWork, endpoint, attempt, trace);
     this._context.metrics.attempts.inc({ pool: endpoint.pool, end });
     return end;
   }
 
   private async _generate(
     work: RunningRequest,
-    what: Extract<CallerWork, { kind: 'completion' }>,
+    completion: Extract<CallerWork, { kind: 'completion' }>,
     endpoint: CallableEndpoint,
     attempt: number,
     trace: string | undefined,
@@ -282,8 +282,8 @@
     const generation = {
       url: endpoint.url,
       requestId: this._context.random.id(),
-      prompt: what.prompt,
-      maxTokens: what.maxTokens,
+      prompt: completion.prompt,
+      maxTokens: completion.maxTokens,
       priority: 'high' as const,
       resumeText: work.text,
       resumeTokens: work.tokens,
@@ -296,7 +296,7 @@
         work.text += chunk.text;
         work.tokens += chunk.tokens;
       }
-      await what.onChunks(chunks);
+      await completion.onChunks(chunks);
     };
     const end = await this._engines.generate(generation, onChunks, work.signal);
     this._releaseEndpoint(endpoint, end);
@@ -325,14 +325,20 @@
 
   private async _callService(
     work: RunningRequest,
-    what: Extract<CallerWork, { kind: 'service' }>,
+    serviceCall: Extract<CallerWork, { kind: 'service' }>,
     endpoint: CallableEndpoint,
     attempt: number,
     trace: string | undefined,
   ): Promise<AttemptEnd> {
     const { run } = work;
-    const headers = { ...what.headers, ...(trace === undefined ? {} : { traceparent: trace }) };
-    const call = { url: endpoint.url, method: what.method, path: what.path, headers, body: what.body };
+    const headers = { ...serviceCall.headers, ...(trace === undefined ? {} : { traceparent: trace }) };
+    const call = {
+      url: endpoint.url,
+      method: serviceCall.method,
+      path: serviceCall.path,
+      headers,
+      body: serviceCall.body,
+    };
     const end = await this._services.call(call, () => run.answerStarted(attempt), work.signal);
     this._releaseEndpoint(endpoint, end);
     switch (end.kind) {
@@ -344,7 +350,7 @@
         run.provenNotRun(attempt);
         return 'again';
       case 'broken':
-        return this._handleBroken(work, attempt, REPEATABLE_METHODS.has(what.method));
+        return this._handleBroken(work, attempt, REPEATABLE_METHODS.has(serviceCall.method));
       case 'cancelled':
         return 'ended';
     }
@@ -375,14 +381,14 @@
 
   private _dispatchRequest(work: RunningRequest, pool: string): Parameters<Dispatcher['acquire']>[0] {
     const { action } = work.decision;
-    const what = work.request.work;
+    const payload = work.request.work;
     return {
       pool,
       ownDomain: this._context.domain,
       domains: action.domains ?? [],
       isRollout: false,
       reserve: effectiveReserve(action.reserve),
-      prefix: what.kind === 'completion' ? what.prompt.slice(0, PREFIX_LENGTH) : '',
+      prefix: payload.kind === 'completion' ? payload.prompt.slice(0, PREFIX_LENGTH) : '',
       version: action.pinVersion ?? '',
       tried: work.tried,
       queuePriority: queuePriorityOf(action.priority ?? work.request.priority),
--- a/packages/entry/src/rolloutService.ts
+++ b/packages/entry/src/rolloutService.ts
@@ -74,7 +74,7 @@
 
   constructor(
     context: HostContext,
-    services: {
+    parts: {
       readonly peers: PeerCaller;
       readonly membership: MembershipService;
       readonly rules: RulesService;
@@ -85,13 +85,13 @@
     },
   ) {
     this._context = context;
-    this._peers = services.peers;
-    this._membership = services.membership;
-    this._rules = services.rules;
-    this._endpoints = services.endpoints;
-    this._dispatcher = services.dispatcher;
-    this._engines = services.engines;
-    this._scorer = services.scorer;
+    this._peers = parts.peers;
+    this._membership = parts.membership;
+    this._rules = parts.rules;
+    this._endpoints = parts.endpoints;
+    this._dispatcher = parts.dispatcher;
+    this._engines = parts.engines;
+    this._scorer = parts.scorer;
     this.sampleBuffer = new SampleBuffer(context.clock);
   }
 
@@ -218,13 +218,13 @@
     this._running += 1;
     try {
       const createdMs = this._context.clock.nowMs();
-      const made = await this._produceSample(offer, assignment);
-      if ('kind' in made) {
-        this._context.metrics.samples.inc({ end: made.kind });
-        await this._reportFailure(offer, assignment, made);
+      const produced = await this._produceSample(offer, assignment);
+      if ('kind' in produced) {
+        this._context.metrics.samples.inc({ end: produced.kind });
+        await this._reportFailure(offer, assignment, produced);
         return;
       }
-      this.sampleBuffer.keep(offer.key, made, createdMs);
+      this.sampleBuffer.keep(offer.key, produced, createdMs);
       this._context.metrics.samples.inc({ end: 'made' });
       this._requestCopy(offer);
       await this._reportDone(offer.key, assignment.sampleId);
--- a/packages/entry/src/sampleBuffer.ts
+++ b/packages/entry/src/sampleBuffer.ts
@@ -40,15 +40,15 @@
     const step = this._steps.get(key) ?? { samples: [], byId: new Map<string, BufferedSample>() };
     this._steps.set(key, step);
     if (step.byId.has(sample.sampleId)) return;
-    const kept = { sample, createdMs };
-    step.samples.push(kept);
-    step.byId.set(sample.sampleId, kept);
+    const added = { sample, createdMs };
+    step.samples.push(added);
+    step.byId.set(sample.sampleId, added);
   }
 
   /** The sample with its current age. */
   sampleWithAge(key: string, sampleId: string): Sample | undefined {
-    const kept = this._steps.get(key)?.byId.get(sampleId);
-    return kept && this._toSample(kept);
+    const found = this._steps.get(key)?.byId.get(sampleId);
+    return found && this._toSample(found);
   }
 
   /** One page of a step's samples, beginning at a position. */
@@ -56,7 +56,7 @@
     const samples = this._steps.get(key)?.samples ?? [];
     const page = samples.slice(from, from + PAGE_SIZE);
     const next = from + page.length;
-    return { samples: page.map(kept => this._toSample(kept)), next, hasMore: next < samples.length };
+    return { samples: page.map(entry => this._toSample(entry)), next, hasMore: next < samples.length };
   }
 
   removeStep(key: string): void {
@@ -67,7 +67,7 @@
   removeExpired(): void {
     const nowMs = this._clock.nowMs();
     for (const [key, step] of this._steps) {
-      if (step.samples.every(kept => nowMs - kept.createdMs > RETENTION_MS)) this._steps.delete(key);
+      if (step.samples.every(one => nowMs - one.createdMs > RETENTION_MS)) this._steps.delete(key);
     }
   }
 
@@ -77,7 +77,7 @@
     return total;
   }
 
-  private _toSample(kept: BufferedSample): Sample {
-    return { ...kept.sample, ageMs: this._clock.nowMs() - kept.createdMs };
+  private _toSample(buffered: BufferedSample): Sample {
+    return { ...buffered.sample, ageMs: this._clock.nowMs() - buffered.createdMs };
   }
 }
--- a/packages/entry/src/stepService.ts
+++ b/packages/entry/src/stepService.ts
@@ -206,9 +206,9 @@
     const offer = this._rollouts.offers().find(one => one.key === key);
     const known = offer && this._liveAddress(offer.owner);
     if (known) return { kind: 'there', address: known };
-    const [wanted = ''] = rendezvous(key, this._membership.view.liveIds());
-    if (wanted !== this._context.hostId)
-      return { kind: 'there', address: this._membership.addressOf(wanted) };
+    const [successor = ''] = rendezvous(key, this._membership.view.liveIds());
+    if (successor !== this._context.hostId)
+      return { kind: 'there', address: this._membership.addressOf(successor) };
     const taking =
       this._takeovers.get(key) ?? this._loadOrTakeOver(key).finally(() => this._takeovers.delete(key));
     this._takeovers.set(key, taking);
@@ -236,10 +236,10 @@
     if (head.state !== 'open') return { kind: 'here', step: this._add(key, loaded.value) };
     const address = this._liveAddress(head.owner);
     if (address !== '') return { kind: 'there', address };
-    const taken = await takeOver(this._store, key, loaded.value, this._selfHolderId());
-    if (!taken.ok) return { kind: taken.error === 'fenced' ? 'moving' : 'store-out' };
-    this._context.log.info('step taken over', { step: key, epoch: taken.value.head.epoch });
-    const step = this._add(key, taken.value);
+    const takenOver = await takeOver(this._store, key, loaded.value, this._selfHolderId());
+    if (!takenOver.ok) return { kind: takenOver.error === 'fenced' ? 'moving' : 'store-out' };
+    this._context.log.info('step taken over', { step: key, epoch: takenOver.value.head.epoch });
+    const step = this._add(key, takenOver.value);
     await this._adoptFromWorkers(step.owner);
     return { kind: 'here', step };
   }
--- a/tests/startCost.spec.ts
+++ b/tests/startCost.spec.ts
@@ -1,10 +1,10 @@
 /**
- * What a start of an entry process loads.
+ * Limits what an edge process loads at startup.
  */
 import { spawnSync } from 'node:child_process';
 import tap from 'tap';
 
-/** A file of a bundle: what it was made of, and the files that are loaded together with it. */
+/** An output file of the bundler, with its sources and the files that it imports. */
 interface BundleFile {
   readonly bytes: number;
   readonly inputs: Readonly<Record<string, unknown>>;
@@ -17,8 +17,8 @@
   const { metafile } = await build({ ...TARGET_BUILD, write: false, metafile: true });
   process.stdout.write(JSON.stringify(metafile.outputs));
 `;
-/** Half of what one file with everything had, where compiling it took a quarter of a start. */
-const MOST_BYTES = 1_600_000;
+/** About half the size of a bundle without lazy loading. */
+const MAX_LOADED_BYTES = 1_600_000;
 
 function bundle(): Readonly<Record<string, BundleFile>> {
   const args = ['--input-type=module', '--eval', BUNDLE];
@@ -26,8 +26,8 @@
   return JSON.parse(stdout) as Readonly<Record<string, BundleFile>>;
 }
 
-/** The files that a start loads: all that the program imports but on demand. */
-function loadedWith(files: Readonly<Record<string, BundleFile>>, program: string): readonly BundleFile[] {
+/** The files that are loaded at startup: all static imports, but no dynamic ones. */
+function loadedAtStart(files: Readonly<Record<string, BundleFile>>, program: string): readonly BundleFile[] {
   const seen = new Set([program]);
   for (const name of seen)
     for (const { path, kind } of files[name]?.imports ?? [])
@@ -35,21 +35,22 @@
   return [...seen].map(name => files[name]).filter(file => file !== undefined);
 }
 
-await tap.test('should not load at each start what few starts use', t => {
-  // Symptom: a fleet that restarts is slow for seconds, and days of many hosts run out of processor time. Sequence: all hosts
-  // lose power and start again. Cause: each start compiles and sets up the application that serves metrics, the library for
-  // spans and the reader of rule files.
+await tap.test('should not load rarely used libraries at startup', t => {
+  // Guards against slow restarts of a whole fleet: each start would compile the metrics server, the tracing library and
+  // the YAML parser, although few processes use them.
   const files = bundle();
-  const loaded = loadedWith(files, 'target/fuchsiahitch-edge.mjs');
+  const loaded = loadedAtStart(files, 'target/fuchsiahitch-edge.mjs');
   const inputs = loaded.flatMap(file => Object.keys(file.inputs));
   t.ok(inputs.length > 0);
-  for (const seldom of ['@nestjs', 'fastify', 'rxjs', '@opentelemetry/sdk-trace-base', 'yaml'])
+  for (const rarelyUsed of ['@nestjs', 'fastify', 'rxjs', '@opentelemetry/sdk-trace-base', 'yaml'])
     t.same(
-      inputs.filter(input => input.includes(`node_modules/${seldom}`) || input.includes(`${seldom}/dist`)),
+      inputs.filter(
+        input => input.includes(`node_modules/${rarelyUsed}`) || input.includes(`${rarelyUsed}/dist`),
+      ),
       [],
-      seldom,
+      rarelyUsed,
     );
   const bytes = loaded.reduce((sum, file) => sum + file.bytes, 0);
-  t.ok(bytes < MOST_BYTES, `${bytes} bytes`);
+  t.ok(bytes < MAX_LOADED_BYTES, `${bytes} bytes`);
   t.end();
 });
--- a/tests/wholePath.spec.ts
+++ b/tests/wholePath.spec.ts
@@ -1,5 +1,5 @@
 /**
- * The whole path over real sockets: rules, customers, holds, steps, weights.
+ * End-to-end tests over real sockets: rules, completions, idempotency keys, steps and weights.
  */
 import tap, { type Test } from 'tap';
 import { Trainer, type StepReport } from '@fuchsiahitch/standins';
@@ -14,7 +14,7 @@
 });
 tap.teardown(() => fleet.stop());
 
-const settled = (): Promise<boolean> =>
+const areSlotsSettled = (): Promise<boolean> =>
   fleet.call('tekapo-0', 'operators', '/v1/status').then(answer => {
     const status = JSON.parse(answer.text) as {
       hosts: { status?: { slotsOwned: number; slotsSettled: number } }[];
@@ -47,11 +47,11 @@
 }
 
 await tap.test('should settle all key slots', async t => {
-  await eventually('slots settled', settled);
+  await eventually('slots settled', areSlotsSettled);
   t.pass('settled');
 });
 
-await tap.test('should answer a completion whole', async t => {
+await tap.test('should return a complete completion', async t => {
   const body = { model: 'gen-pool', prompt: 'which stars are up', max_tokens: 20 };
   const answer = await fleet.call('tekapo-0', 'callers', '/v1/completions', { body });
   t.equal(answer.status, 200);
@@ -60,30 +60,39 @@
   t.ok(usage.completion_tokens > 0);
 });
 
-await tap.test('should run a seat hold once for a resend at every host', async t => {
-  const headers = { 'idempotency-key': 'hold-1' };
-  const bodies = [];
-  for (const id of fleet.hosts.keys()) {
-    const answer = await fleet.call(id, 'callers', '/svc/skybook/holds', { body: { seat: 4 }, headers });
-    bodies.push(answer.text);
-    t.equal(answer.headers['fuchsiahitch-outcome'], 'completed');
-  }
-  t.equal(new Set(bodies).size, 1, 'every resend got the first answer');
-  t.equal(
-    fleet.services.reduce((sum, service) => sum + (service.runs.get('hold-1') ?? 0), 0),
-    1,
-  );
-});
+await tap.test(
+  'should execute a request once when it is resent to every host under its idempotency key',
+  async t => {
+    const headers = { 'idempotency-key': 'hold-1' };
+    const bodies = [];
+    for (const id of fleet.hosts.keys()) {
+      const answer = await fleet.call(id, 'callers', '/svc/skybook/holds', { body: { seat: 4 }, headers });
+      bodies.push(answer.text);
+      t.equal(answer.headers['fuchsiahitch-outcome'], 'completed');
+    }
+    t.equal(new Set(bodies).size, 1, 'every resend got the first answer');
+    t.equal(
+      fleet.services.reduce((sum, service) => sum + (service.runs.get('hold-1') ?? 0), 0),
+      1,
+    );
+  },
+);
 
-await tap.test('should deliver each sample of a step once to a trainer that merely asks again', async t => {
-  const report = await run(false, spec('tekapo:tuner', 1, 6));
-  checkWhole(t, report, 24);
-});
+await tap.test(
+  'should deliver each sample of a step once to a trainer that only repeats its requests',
+  async t => {
+    const report = await run(false, spec('tekapo:tuner', 1, 6));
+    checkComplete(t, report, 24);
+  },
+);
 
-await tap.test('should deliver each sample of a step once to a trainer that tells what it holds', async t => {
-  const report = await run(true, spec('twizel:tuner', 1, 6));
-  checkWhole(t, report, 24);
-});
+await tap.test(
+  'should deliver each sample of a step once to a trainer that reports the samples it holds',
+  async t => {
+    const report = await run(true, spec('twizel:tuner', 1, 6));
+    checkComplete(t, report, 24);
+  },
+);
 
 await tap.test('should put an accepted edit in force on every host', async t => {
   const rule = { id: 'no-bots', team: 'web', when: { caller: ['bot'] }, then: { refuse: 'no bots' } };
@@ -103,7 +112,7 @@
   t.pass('in force');
 });
 
-await tap.test('should bring new weights to every engine', async t => {
+await tap.test('should distribute new weights to every engine', async t => {
   const answer = await fleet.call('tekapo-1', 'trainers', '/v1/weights', {
     body: { pool: 'gen-pool', version: 5 },
   });
@@ -124,7 +133,7 @@
   return trainer.runStep(step);
 }
 
-function checkWhole(t: Test, report: StepReport, samples: number): void {
+function checkComplete(t: Test, report: StepReport, samples: number): void {
   t.equal(report.isOver, true);
   t.equal(report.samples.length, samples);
   t.equal(new Set(report.samples.map(sample => sample.slot)).size, samples);
