--- a/packages/ctl/src/ruleCommands.ts
+++ b/packages/ctl/src/ruleCommands.ts
@@ -1,5 +1,5 @@
 /**
- * Commands on rules.
+ * Commands for rules.
  */
 import fs from 'node:fs';
 import { err, ok, type Result } from '@fuchsiahitch/base';
@@ -16,24 +16,24 @@
 } from '@fuchsiahitch/rules';
 import * as z from 'zod';
 import type { OperatorClient, Unreachable } from './operatorClient.js';
-import { exitCodes, table, type CommandResult } from './output.js';
+import { exitCodes, formatTable, type CommandResult } from './output.js';
 
-const UNKNOWN_TRIES = 5;
+const MAX_SUBMIT_TRIES = 5;
 const RETRY_MS = 500;
 const OK_STATUS = 200;
 const CONFLICT = 409;
 
 const editReplySchema = z.looseObject({ kind: z.string(), revision: z.number().optional() });
 
-/** The rules in force, as YAML. */
+/** Prints the rules in force as YAML. */
 export async function getRules(client: OperatorClient): Promise<CommandResult> {
   const document = await readDocument(client);
-  if (!document.ok) return unreachable(document.error);
+  if (!document.ok) return unreachableResult(document.error);
   const text = `# revision ${document.value.revision}\n${formatRuleFile(document.value.rules)}`;
   return { text, data: document.value, exitCode: exitCodes.done };
 }
 
-/** Checks a file without a host: its form, and what its rules do together. */
+/** Validates a rule file offline, including conflicts between its rules. */
 export function checkFile(file: string): CommandResult {
   const rules = readFile(file);
   if (!rules.ok) return rules.error;
@@ -44,7 +44,7 @@
   return { text, data: { findings }, exitCode: hasErrors ? exitCodes.refused : exitCodes.done };
 }
 
-/** Brings the rules in force to those of a file, by one small edit for each difference. */
+/** Applies a rule file by submitting one edit per difference from the rules in force. */
 export async function applyFile(
   client: OperatorClient,
   file: string,
@@ -54,7 +54,7 @@
   const rules = readFile(file);
   if (!rules.ok) return rules.error;
   const document = await readDocument(client);
-  if (!document.ok) return unreachable(document.error);
+  if (!document.ok) return unreachableResult(document.error);
   const operations = planEdits(document.value.rules, rules.value);
   let last: CommandResult = { text: 'nothing to change', data: { edits: 0 }, exitCode: exitCodes.done };
   for (const [i, operation] of operations.entries()) {
@@ -65,7 +65,7 @@
   return last;
 }
 
-/** One edit: `add FILE`, `replace FILE`, `remove ID`. Files hold one rule each. */
+/** Submits one edit: `add FILE`, `replace FILE` or `remove ID`. Each file contains one rule. */
 export async function editRule(
   client: OperatorClient,
   words: readonly string[],
@@ -76,16 +76,16 @@
   return submit(client, { id: options.id, team: options.team, operation: operation.value });
 }
 
-/** Which rule decides a request, and why the earlier ones did not. */
+/** Shows which rule decides a request, and why earlier ones did not match. */
 export async function explain(client: OperatorClient, query: string): Promise<CommandResult> {
   const reply = await client.call('GET', `/v1/rules/explain?${query}`);
-  if (!reply.ok) return unreachable(reply.error);
+  if (!reply.ok) return unreachableResult(reply.error);
   const schema = z.object({
     decision: z.object({ revision: z.number(), ruleId: z.string().optional(), action: z.unknown() }),
     rules: z.array(z.object({ ruleId: z.string(), matched: z.boolean(), failed: z.array(z.string()) })),
   });
   const parsed = schema.safeParse(reply.value.body);
-  if (!parsed.success) return refused(reply.value.body);
+  if (!parsed.success) return refusedResult(reply.value.body);
   const rows = parsed.data.rules.map(line => [
     line.ruleId,
     line.matched ? 'decides' : `not: ${line.failed.join(', ')}`,
@@ -93,13 +93,13 @@
   const { ruleId, revision, action } = parsed.data.decision;
   const verdict = `revision ${revision}: ${ruleId ?? 'no rule, defaults'} ${JSON.stringify(action)}`;
   return {
-    text: `${table(['RULE', 'RESULT'], rows)}\n${verdict}`,
+    text: `${formatTable(['RULE', 'RESULT'], rows)}\n${verdict}`,
     data: parsed.data,
     exitCode: exitCodes.done,
   };
 }
 
-/** What a file would change for recorded requests. */
+/** Shows which decisions on recorded requests a rule file would change. */
 export async function simulateFile(
   client: OperatorClient,
   file: string,
@@ -109,8 +109,8 @@
   if (!rules.ok) return rules.error;
   const requests = JSON.parse(fs.readFileSync(requestsFile, 'utf8')) as unknown;
   const reply = await client.call('POST', '/v1/rules/simulate', { rules: rules.value, requests });
-  if (!reply.ok) return unreachable(reply.error);
-  if (reply.value.status !== OK_STATUS) return refused(reply.value.body);
+  if (!reply.ok) return unreachableResult(reply.error);
+  if (reply.value.status !== OK_STATUS) return refusedResult(reply.value.body);
   return {
     text: JSON.stringify(reply.value.body, null, 2),
     data: reply.value.body,
@@ -130,12 +130,13 @@
     const place = options.before ? { before: options.before } : options.after ? { after: options.after } : {};
     return ok({ op: 'add', rule: rule.value, place });
   }
-  if (verb !== 'replace' && verb !== 'remove') return err(usage('expected: rules edit add|replace|remove'));
+  if (verb !== 'replace' && verb !== 'remove')
+    return err(usageError('expected: rules edit add|replace|remove'));
   const wanted = verb === 'replace' ? readOneRule(subject) : undefined;
   if (wanted && !wanted.ok) return wanted;
   const ruleId = wanted?.value.id ?? subject;
   const document = await readDocument(client);
-  if (!document.ok) return err(unreachable(document.error));
+  if (!document.ok) return err(unreachableResult(document.error));
   const current = document.value.rules.find(rule => rule.id === ruleId);
   if (!current)
     return err({
@@ -147,24 +148,24 @@
   return ok(wanted ? { op: 'replace', rule: wanted.value, base } : { op: 'remove', id: ruleId, base });
 }
 
-/** Sends an edit, and sends the very same one again while its fate is unknown. */
+/** Submits an edit, and resends it under the same identifier while its outcome is unknown. */
 async function submit(
   client: OperatorClient,
   edit: { readonly id: string; readonly team: string; readonly operation: Operation },
 ): Promise<CommandResult> {
   let isUnknown = false;
-  for (let i = 0; i < UNKNOWN_TRIES; i++) {
+  for (let i = 0; i < MAX_SUBMIT_TRIES; i++) {
     const reply = await client.call('POST', '/v1/rules/edits', edit);
     if (!reply.ok) {
-      if (!reply.error.isSent && !isUnknown) return unreachable(reply.error);
+      if (!reply.error.isSent && !isUnknown) return unreachableResult(reply.error);
       isUnknown = true;
     } else {
       const body = editReplySchema.parse(reply.value.body);
       if (body.kind === 'accepted') {
         return { text: `accepted, revision ${body.revision ?? 0}`, data: body, exitCode: exitCodes.done };
       }
-      if (reply.value.status === CONFLICT) return refused(reply.value.body);
-      if (body.kind !== 'unknown' && !isUnknown) return refused(reply.value.body);
+      if (reply.value.status === CONFLICT) return refusedResult(reply.value.body);
+      if (body.kind !== 'unknown' && !isUnknown) return refusedResult(reply.value.body);
       isUnknown = true;
     }
     await new Promise<void>(resolve => setTimeout(resolve, RETRY_MS));
@@ -183,7 +184,7 @@
   try {
     text = fs.readFileSync(file, 'utf8');
   } catch {
-    return err(usage(`cannot read the file '${file}'`));
+    return err(usageError(`cannot read the file '${file}'`));
   }
   const rules = parseRuleFile(text);
   if (rules.ok) return rules;
@@ -195,18 +196,18 @@
   const rules = readFile(file);
   if (!rules.ok) return rules;
   const [rule, ...others] = rules.value;
-  return rule && others.length === 0 ? ok(rule) : err(usage(`expected one rule in '${file}'`));
+  return rule && others.length === 0 ? ok(rule) : err(usageError(`expected one rule in '${file}'`));
 }
 
-export function refused(body: unknown): CommandResult {
+export function refusedResult(body: unknown): CommandResult {
   return { text: `not accepted: ${JSON.stringify(body, null, 2)}`, data: body, exitCode: exitCodes.refused };
 }
 
-export function usage(text: string): CommandResult {
+export function usageError(text: string): CommandResult {
   return { text, data: { error: text }, exitCode: exitCodes.usage };
 }
 
-export function unreachable(error: Unreachable): CommandResult {
+export function unreachableResult(error: Unreachable): CommandResult {
   return {
     text: `no host answered: ${error.problems.join('; ')}`,
     data: error,
--- a/packages/ctl/src/statusCommands.ts
+++ b/packages/ctl/src/statusCommands.ts
@@ -3,8 +3,8 @@
  */
 import * as z from 'zod';
 import type { OperatorClient } from './operatorClient.js';
-import { exitCodes, table, type CommandResult } from './output.js';
-import { unreachable } from './ruleCommands.js';
+import { exitCodes, formatTable, type CommandResult } from './output.js';
+import { unreachableResult } from './ruleCommands.js';
 
 const POLL_MS = 250;
 
@@ -35,9 +35,9 @@
 type FleetState = z.infer<typeof statusSchema>;
 
 export async function showHosts(client: OperatorClient): Promise<CommandResult> {
-  return show(client, state => ({
+  return showStatus(client, state => ({
     data: state.hosts,
-    text: table(
+    text: formatTable(
       ['HOST', 'DOMAIN', 'READY', 'RULES', 'SLOTS', 'KEYS', 'STEPS', 'IN FLIGHT', 'STORE', 'VERSION'],
       state.hosts.map(({ hostId, domain, status }) =>
         status
@@ -60,13 +60,13 @@
 }
 
 export async function showList(client: OperatorClient, what: 'steps' | 'endpoints'): Promise<CommandResult> {
-  return show(client, state => {
+  return showStatus(client, state => {
     const rows: readonly Readonly<Record<string, unknown>>[] = state[what];
     const head = Object.keys(rows[0] ?? {});
     const text =
       rows.length === 0
         ? `no ${what} at this host`
-        : table(
+        : formatTable(
             head,
             rows.map(row => head.map(name => row[name])),
           );
@@ -75,10 +75,10 @@
 }
 
 export async function showOrders(client: OperatorClient): Promise<CommandResult> {
-  return show(client, state => ({ data: state.orders, text: JSON.stringify(state.orders, null, 2) }));
+  return showStatus(client, state => ({ data: state.orders, text: JSON.stringify(state.orders, null, 2) }));
 }
 
-/** Which hosts have a revision in force, which do not, and which cannot be told. */
+/** Shows on which hosts a revision is in force, and which hosts did not answer. */
 export async function showRulesStatus(
   client: OperatorClient,
   waitMs: number,
@@ -86,7 +86,7 @@
 ): Promise<CommandResult> {
   const endMs = performance.now() + waitMs;
   for (;;) {
-    const result = await show(client, state => rulesStatus(state, wanted));
+    const result = await showStatus(client, state => rulesStatus(state, wanted));
     if (result.exitCode === exitCodes.done || performance.now() >= endMs) return result;
     await new Promise<void>(resolve => setTimeout(resolve, POLL_MS));
   }
@@ -108,7 +108,7 @@
       : 'cannot be told',
   }));
   const isEverywhere = rows.every(row => row.state === 'in force');
-  const text = table(
+  const text = formatTable(
     ['HOST', 'DOMAIN', `REVISION ${revision}`],
     rows.map(row => [row.hostId, row.domain, row.state]),
   );
@@ -119,11 +119,11 @@
   };
 }
 
-async function show(
+async function showStatus(
   client: OperatorClient,
   render: (state: FleetState) => Pick<CommandResult, 'text' | 'data'> & Partial<CommandResult>,
 ): Promise<CommandResult> {
   const reply = await client.call('GET', '/v1/status');
-  if (!reply.ok) return unreachable(reply.error);
+  if (!reply.ok) return unreachableResult(reply.error);
   return { exitCode: exitCodes.done, ...render(statusSchema.parse(reply.value.body)) };
 }
