--- a/packages/demo/src/main.ts
+++ b/packages/demo/src/main.ts
@@ -6,7 +6,13 @@
 import { AORAKI, NILEMOD, type DeploymentPlan } from './deployment.js';
 import { RunningDeployment } from './runningDeployment.js';
 import { delay, Supervisor } from './supervisor.js';
-import { SAMPLES_A_STEP, STALENESS_VERSIONS, train, WeightVersion, type TrainingResult } from './training.js';
+import {
+  SAMPLES_PER_STEP,
+  STALENESS_VERSIONS,
+  train,
+  WeightVersion,
+  type TrainingResult,
+} from './training.js';
 import fs from 'node:fs';
 import os from 'node:os';
 import path from 'node:path';
@@ -86,7 +92,7 @@
     return { what, values: cells.map(([value]) => value), holds: cells.map(([, holds]) => holds) };
   };
   const reports = (o: Outcome): TrainingResult['reports'] => o.training.flatMap(result => result.reports);
-  const expected = (o: Outcome): number => o.plan.trainers.length * STEPS * SAMPLES_A_STEP;
+  const expected = (o: Outcome): number => o.plan.trainers.length * STEPS * SAMPLES_PER_STEP;
   return [
     line('steps whole', o => {
       const whole = reports(o).filter(report => report.isOver && report.failedGroups === 0).length;
@@ -178,5 +184,5 @@
 process.stdout.write(
   `, ${Math.round((performance.now() - startMs) / 1000)} s, ${supervisor.count()} processes\n`,
 );
-await supervisor.endAll();
+await supervisor.stopAll();
 process.exit(areKept ? 0 : 1);
--- a/packages/demo/src/runningDeployment.ts
+++ b/packages/demo/src/runningDeployment.ts
@@ -3,7 +3,7 @@
  */
 import { request } from 'undici';
 import type { DeploymentPlan, PoolPlan } from './deployment.js';
-import { delay, type EntryAddresses, type Started, type Supervisor } from './supervisor.js';
+import { delay, type EntryAddresses, type StartedProcess, type Supervisor } from './supervisor.js';
 
 const FLEET_KEY = 'demo-fleet-key-0123456789';
 export const OPERATOR_TOKEN = 'demo-operator-token-0123456789';
@@ -15,14 +15,14 @@
 interface RunningHost {
   readonly id: string;
   readonly domain: string;
-  started: Started<EntryAddresses>;
+  started: StartedProcess<EntryAddresses>;
 }
 
 interface RunningEndpoint {
   readonly id: string;
   readonly domain: string;
   readonly pool: PoolPlan;
-  readonly started: Started<string>;
+  readonly started: StartedProcess<string>;
 }
 
 export class RunningDeployment {
@@ -151,7 +151,7 @@
     this.hosts.push({ id, domain, started: await this._startEntry(domain, id) });
   }
 
-  private async _startEntry(domain: string, id: string): Promise<Started<EntryAddresses>> {
+  private async _startEntry(domain: string, id: string): Promise<StartedProcess<EntryAddresses>> {
     const started = await this._supervisor.entry({
       'host-id': id,
       domain,
--- a/packages/demo/src/supervisor.ts
+++ b/packages/demo/src/supervisor.ts
@@ -20,7 +20,7 @@
 });
 
 /** A process that runs. */
-export interface Started<A> {
+export interface StartedProcess<A> {
   readonly child: ChildProcess;
   readonly addresses: A;
 }
@@ -45,7 +45,7 @@
     return this._children.size;
   }
 
-  async standIn(flags: Readonly<Record<string, string>>): Promise<Started<string>> {
+  async standIn(flags: Readonly<Record<string, string>>): Promise<StartedProcess<string>> {
     const child = this._start('fuchsiahitch-standin.mjs', flags);
     const addresses = await firstLine(child, line => {
       const parsed = standInLineSchema.safeParse(line);
@@ -54,7 +54,7 @@
     return { child, addresses };
   }
 
-  async entry(flags: Readonly<Record<string, string>>): Promise<Started<EntryAddresses>> {
+  async entry(flags: Readonly<Record<string, string>>): Promise<StartedProcess<EntryAddresses>> {
     const child = this._start('fuchsiahitch-entry.mjs', flags);
     const addresses = await firstLine(child, line => {
       const parsed = entryLineSchema.safeParse(line);
@@ -81,7 +81,7 @@
   }
 
   /** Asks all to end, and kills those that don't. */
-  async endAll(): Promise<void> {
+  async stopAll(): Promise<void> {
     const ends = [...this._children].map(async child => {
       child.kill('SIGTERM');
       await Promise.race([ended(child), delay(END_TIMEOUT_MS)]);
--- a/packages/demo/src/training.ts
+++ b/packages/demo/src/training.ts
@@ -23,11 +23,11 @@
 export class WeightVersion {
   private _version = 1;
 
-  get now(): number {
+  get current(): number {
     return this._version;
   }
 
-  raise(): number {
+  increment(): number {
     this._version += 1;
     return this._version;
   }
@@ -43,7 +43,7 @@
   const { plan } = deployment;
   const trainer = new Trainer({
     urls: deployment.urls('trainers'),
-    trainerVersion: () => version.now,
+    trainerVersion: () => version.current,
     maxSamples: MAX_SAMPLES,
     sendsHeld: announces,
     stepTimeoutMs: STEP_TIMEOUT_MS,
@@ -71,11 +71,11 @@
     await delay(TRAINING_MS);
     trainingMs += TRAINING_MS;
     const isLast = step === steps - 1;
-    if (announces && !isLast) await trainer.announce(plan.engines.name, version.raise());
+    if (announces && !isLast) await trainer.announce(plan.engines.name, version.increment());
   }
   const idleMs = reports.reduce((sum, report) => sum + report.durationMs, 0);
   return { reports, idleMs, trainingMs };
 }
 
 /** The number of samples that one step asks for. */
-export const SAMPLES_A_STEP = GROUPS * SAMPLES_A_GROUP;
+export const SAMPLES_PER_STEP = GROUPS * SAMPLES_A_GROUP;
--- a/packages/measure/src/controlSim.ts
+++ b/packages/measure/src/controlSim.ts
@@ -79,15 +79,15 @@
 
 async function measureQuiet(fleet: SimFleet, nodes: number, bytesAPoll: number, tell: Tell): Promise<void> {
   const hosts = [...fleet.hosts.values()];
-  const before = hosts.map(host => host.bytes);
+  const before = hosts.map(host => host.peerBytes);
   const callsBefore = fleet.store.calls;
-  const reportsBefore = fleet.reports;
+  const reportsBefore = fleet.loadReportCalls;
   const cpu = process.cpuUsage();
   await fleet.clock.advance(QUIET_MS);
   const spent = process.cpuUsage(cpu);
   const seconds = QUIET_MS / MS_A_SECOND;
-  const peer = hosts.map((host, i) => (host.bytes - (before[i] ?? 0)) / seconds);
-  const polls = ((fleet.reports - reportsBefore) * bytesAPoll) / nodes / seconds;
+  const peer = hosts.map((host, i) => (host.peerBytes - (before[i] ?? 0)) / seconds);
+  const polls = ((fleet.loadReportCalls - reportsBefore) * bytesAPoll) / nodes / seconds;
   tell('control bytes a host and second, mean', mean(peer) + polls, 'bytes/s', '<= 2048');
   tell('inner protocol bytes a host and second, most', Math.max(...peer), 'bytes/s');
   tell('store calls of the fleet', (fleet.store.calls - callsBefore) / seconds, 'calls/s', '<= 600');
--- a/packages/measure/src/requests.ts
+++ b/packages/measure/src/requests.ts
@@ -4,7 +4,13 @@
 import { SeededRandom, VirtualClock } from '@fuchsiahitch/base';
 import { SimFleet, SimTrainer } from '@fuchsiahitch/testkit';
 import type { Figure, Measurement } from './figure.js';
-import { LeastReported, Ours, RoundRobin, runRouting, type RoutingPolicy } from './routingWorld.js';
+import {
+  LeastReported,
+  ProductPolicy,
+  RoundRobin,
+  runRouting,
+  type RoutingPolicy,
+} from './routingSimulation.js';
 
 const CUSTOMERS = 400;
 const MEAN_GAP_MS = 40;
@@ -33,7 +39,7 @@
       bound: '<= 0',
     });
     const policies: readonly ((clock: VirtualClock, random: SeededRandom) => RoutingPolicy)[] = [
-      (clock, random) => new Ours(clock, random),
+      (clock, random) => new ProductPolicy(clock, random),
       () => new RoundRobin(),
       () => new LeastReported(),
     ];
@@ -110,7 +116,7 @@
   const random = new SeededRandom(SEED);
   const policy = make(clock, random);
   const result = await runRouting(policy, clock, random);
-  const isOurs = policy instanceof Ours;
+  const isOurs = policy instanceof ProductPolicy;
   const tell = (name: string, value: number, unit: string, bound?: string): void =>
     print({
       figure: `${name}, ${policy.name}`,
@@ -118,7 +124,7 @@
       unit,
       ...(bound !== undefined && isOurs ? { bound } : {}),
     });
-  tell('p99, all endpoints well', result.wellP99Ms, 'ms');
+  tell('p99, all endpoints well', result.healthyP99Ms, 'ms');
   tell('busiest endpoint to the mean, all well', result.spread, 'ratio');
   tell('p99, a third of the endpoints fail', result.faultP99Ms, 'ms');
   tell('requests without a whole answer, a third fail', result.lostShare, 'share');
--- a/packages/measure/src/routingWorld.ts
+++ b/packages/measure/src/routingSimulation.ts
@@ -31,17 +31,17 @@
   readonly name: string;
   /** The endpoint for a host's request, or undefined to wait. */
   choose(host: number, tried: ReadonlySet<number>): number | undefined;
-  began(host: number, endpoint: number): void;
-  ended(host: number, endpoint: number, isFailure: boolean): void;
-  reported(endpoint: number, inFlight: number, queued: number): void;
-  requestBegan(host: number): void;
+  onAttemptStart(host: number, endpoint: number): void;
+  onAttemptEnd(host: number, endpoint: number, isFailure: boolean): void;
+  onReport(endpoint: number, inFlight: number, queued: number): void;
+  onRequestStart(host: number): void;
   mayRetry(host: number): boolean;
 }
 
 const VIEW = { domain: 'd', pool: 'p', isLeaving: false, version: '' };
 
 /** The product's own decisions. */
-export class Ours implements RoutingPolicy {
+export class ProductPolicy implements RoutingPolicy {
   readonly name = 'ours';
   private readonly _pickers: readonly EndpointPicker[];
   private readonly _views: readonly (readonly EndpointView[])[];
@@ -76,24 +76,24 @@
     return picked && Number(picked.id);
   }
 
-  began(host: number, endpoint: number): void {
+  onAttemptStart(host: number, endpoint: number): void {
     const view = this._views[host]?.[endpoint];
     view?.stats.began(false);
     view?.limit.recordUsage(view.stats.inFlight());
   }
 
-  ended(host: number, endpoint: number, isFailure: boolean): void {
+  onAttemptEnd(host: number, endpoint: number, isFailure: boolean): void {
     this._views[host]?.[endpoint]?.stats.ended(false, isFailure);
   }
 
-  reported(endpoint: number, inFlight: number, queued: number): void {
+  onReport(endpoint: number, inFlight: number, queued: number): void {
     for (const views of this._views) {
       views[endpoint]?.limit.onLoadReport(queued, inFlight);
       views[endpoint]?.stats.onLoadReport({ inFlight, queued, version: '', startId: 's', isLeaving: false });
     }
   }
 
-  requestBegan(host: number): void {
+  onRequestStart(host: number): void {
     this._budgets[host]?.requestStarted();
   }
 
@@ -113,19 +113,19 @@
     return next % ENDPOINTS;
   }
 
-  began(): void {
+  onAttemptStart(): void {
     // Round robin keeps no counts.
   }
 
-  ended(): void {
+  onAttemptEnd(): void {
     // Nor does it learn from failures.
   }
 
-  reported(): void {
+  onReport(): void {
     // Nor from reports.
   }
 
-  requestBegan(): void {
+  onRequestStart(): void {
     // It has no budget.
   }
 
@@ -143,13 +143,13 @@
     return this._loads.indexOf(Math.min(...this._loads));
   }
 
-  override reported(...[endpoint, inFlight, queued]: readonly number[]): void {
+  override onReport(...[endpoint, inFlight, queued]: readonly number[]): void {
     this._loads[endpoint ?? 0] = (inFlight ?? 0) + (queued ?? 0);
   }
 }
 
 export interface RoutingResult {
-  readonly wellP99Ms: number;
+  readonly healthyP99Ms: number;
   readonly faultP99Ms: number;
   readonly spread: number;
   readonly lostShare: number;
@@ -179,7 +179,7 @@
   random: SeededRandom,
 ): Promise<RoutingResult> {
   const endpoints = Array.from({ length: ENDPOINTS }, () => new SimEndpoint());
-  const world = new RoutingWorld(policy, clock, random, endpoints);
+  const world = new RoutingSimulation(policy, clock, random, endpoints);
   const well = newPhase();
   await world.run(well, WELL_MS);
   const served = endpoints.map(endpoint => endpoint.served);
@@ -188,7 +188,7 @@
   const fault = newPhase();
   await world.run(fault, FAULT_MS);
   return {
-    wellP99Ms: p99(well.timesMs),
+    healthyP99Ms: p99(well.timesMs),
     faultP99Ms: p99(fault.timesMs),
     spread,
     lostShare: fault.lost / fault.requests,
@@ -200,7 +200,7 @@
   return times.toSorted((a, b) => a - b)[Math.floor(0.99 * times.length)] ?? 0;
 }
 
-class RoutingWorld {
+class RoutingSimulation {
   private readonly _policy: RoutingPolicy;
   private readonly _clock: VirtualClock;
   private readonly _random: SeededRandom;
@@ -228,14 +228,14 @@
 
   private _report(): void {
     for (const [i, endpoint] of this._endpoints.entries())
-      this._policy.reported(i, endpoint.running, endpoint.waiting.length);
+      this._policy.onReport(i, endpoint.running, endpoint.waiting.length);
     this._clock.after(REPORT_MS, () => this._report());
   }
 
   private _arrive(phase: Phase): void {
     phase.requests += 1;
     const host = this._random.below(HOSTS);
-    this._policy.requestBegan(host);
+    this._policy.onRequestStart(host);
     this._try(phase, host, this._clock.nowMs(), new Set(), 1);
   }
 
@@ -250,9 +250,9 @@
       return;
     }
     phase.attempts += 1;
-    this._policy.began(host, chosen);
+    this._policy.onAttemptStart(host, chosen);
     this._serve(chosen, isFailure => {
-      this._policy.ended(host, chosen, isFailure);
+      this._policy.onAttemptEnd(host, chosen, isFailure);
       if (!isFailure) phase.timesMs.push(this._clock.nowMs() - startMs);
       else if (tries < MAX_TRIES && this._policy.mayRetry(host)) {
         this._try(phase, host, startMs, new Set([...tried, chosen]), tries + 1);
--- a/packages/standins/src/engineStandIn.ts
+++ b/packages/standins/src/engineStandIn.ts
@@ -112,7 +112,7 @@
       await reply.status(400).send({ error: 'this prompt cannot be generated' });
       return;
     }
-    if (this._isLeaving || this.faults.take('refuse')) {
+    if (this._isLeaving || this.faults.consume('refuse')) {
       const leaving = this._isLeaving ? { 'x-leaving': '1' } : {};
       await reply
         .status(503)
@@ -143,7 +143,7 @@
     raw.writeHead(200, { 'content-type': 'text/event-stream' });
     const { prompt, max_tokens: maxTokens, resume_tokens: from } = completion;
     const length = answerLength(prompt, this._options.meanTokens, maxTokens);
-    const { breakAfterTokens } = this.faults.now;
+    const { breakAfterTokens } = this.faults.current;
     for (let i = from; i < length && !isGone(); i++) {
       while (this._isSwapping && !isGone()) await pause(this._options.tokenMs);
       await pause(this._options.tokenMs);
@@ -195,7 +195,7 @@
       return;
     }
     this._highestToken = Math.max(this._highestToken, token);
-    if (this.faults.take('failSwaps')) {
+    if (this.faults.consume('failSwaps')) {
       await reply.status(500).send({ error: 'swap failed' });
       return;
     }
@@ -204,7 +204,7 @@
   }
 
   private async _swap(version: number): Promise<void> {
-    if (this.faults.now.areSwapsIgnored || version === this._version) return;
+    if (this.faults.current.areSwapsIgnored || version === this._version) return;
     if (!(await this._mayLoad())) return;
     this._isSwapping = true;
     await pause(this._options.swapMs);
--- a/packages/standins/src/faults.ts
+++ b/packages/standins/src/faults.ts
@@ -32,7 +32,7 @@
 export class FaultControl {
   private _faults: Faults = faultsSchema.parse({});
 
-  get now(): Faults {
+  get current(): Faults {
     return this._faults;
   }
 
@@ -41,7 +41,7 @@
   }
 
   /** Uses up one of a counted fault. */
-  take(kind: 'loseAnswers' | 'failSwaps' | 'refuse'): boolean {
+  consume(kind: 'loseAnswers' | 'failSwaps' | 'refuse'): boolean {
     if (this._faults[kind] === 0) return false;
     this._faults = { ...this._faults, [kind]: this._faults[kind] - 1 };
     return true;
--- a/packages/standins/src/keyValueStandIn.ts
+++ b/packages/standins/src/keyValueStandIn.ts
@@ -87,7 +87,7 @@
   }
 
   private _answer(reply: FastifyReply, body: unknown): FastifyReply {
-    if (this.faults.take('loseAnswers')) {
+    if (this.faults.consume('loseAnswers')) {
       reply.raw.socket?.destroy();
       return reply;
     }
@@ -160,7 +160,7 @@
   }
 
   private _notify(type: 'PUT' | 'DELETE', key: string): void {
-    if (this.faults.now.areWatchesSilent || this.faults.now.isDown) return;
+    if (this.faults.current.areWatchesSilent || this.faults.current.isDown) return;
     const kv = type === 'PUT' ? this._toKv(key) : { key, mod_revision: String(this._revision) };
     const line = `${JSON.stringify({ result: { header: this._header(), events: [{ type, kv }] } })}\n`;
     for (const watch of this._watches) {
--- a/packages/standins/src/scorerStandIn.ts
+++ b/packages/standins/src/scorerStandIn.ts
@@ -19,7 +19,7 @@
       const score = (hash32(text) % SCORE_STEPS) / SCORE_STEPS;
       this._runs.set(sampleId, (this._runs.get(sampleId) ?? 0) + 1);
       this._scores.set(sampleId, score);
-      if (this.faults.take('loseAnswers')) {
+      if (this.faults.consume('loseAnswers')) {
         reply.raw.socket?.destroy();
         return reply;
       }
--- a/packages/standins/src/serviceStandIn.ts
+++ b/packages/standins/src/serviceStandIn.ts
@@ -38,7 +38,7 @@
   }
 
   private async _hold(request: FastifyRequest, reply: FastifyReply): Promise<void> {
-    if (this._isLeaving || this.faults.take('refuse')) {
+    if (this._isLeaving || this.faults.consume('refuse')) {
       const leaving = this._isLeaving ? { 'x-leaving': '1' } : {};
       await reply
         .status(503)
@@ -49,7 +49,7 @@
     const key = String(request.headers['idempotency-key'] ?? 'none');
     this._runs.set(key, (this._runs.get(key) ?? 0) + 1);
     await pause(this._options.holdMs);
-    if (this.faults.take('loseAnswers')) {
+    if (this.faults.consume('loseAnswers')) {
       reply.raw.socket?.destroy();
       return;
     }
--- a/packages/standins/src/trainer.ts
+++ b/packages/standins/src/trainer.ts
@@ -32,7 +32,7 @@
   readonly isOver: boolean;
   readonly durationMs: number;
   readonly calls: number;
-  readonly brokenCalls: number;
+  readonly failedCalls: number;
   /** The trainer's version when each sample was handed over. */
   readonly versionsBehind: readonly number[];
 }
@@ -79,7 +79,7 @@
       isOver: end?.kind === 'over',
       durationMs: performance.now() - startMs,
       calls: this._calls,
-      brokenCalls: this._broken,
+      failedCalls: this._broken,
       versionsBehind,
     };
   }
--- a/packages/testkit/src/index.ts
+++ b/packages/testkit/src/index.ts
@@ -2,5 +2,5 @@
 export * from './simFleet.js';
 export * from './simTrainer.js';
 export * from './simulation.js';
-export * from './simWorld.js';
+export * from './simBackends.js';
 export * from './testFleet.js';
--- a/packages/testkit/src/simWorld.ts
+++ b/packages/testkit/src/simBackends.ts
@@ -93,7 +93,7 @@
     return id;
   }
 
-  keep(leaseId: string): boolean {
+  renew(leaseId: string): boolean {
     this._expire();
     const lease = this._leases.get(leaseId);
     if (lease) lease.untilMs = this.process.nowMs() + lease.ttlMs;
@@ -101,7 +101,7 @@
   }
 
   /** Ends all leases now, as when their holders were paused. */
-  lapseLeases(): void {
+  expireLeases(): void {
     for (const lease of this._leases.values()) lease.untilMs = -1;
     this._expire();
   }
@@ -186,7 +186,7 @@
   }
 
   async keepLease(leaseId: string, deadline: Deadline): Promise<Result<boolean, StoreError>> {
-    return this._ask(deadline, () => this._store.keep(leaseId));
+    return this._ask(deadline, () => this._store.renew(leaseId));
   }
 
   async watch(
@@ -239,7 +239,7 @@
   /** The version that made each token of each sample. */
   readonly made = new Map<string, number[]>();
   /** When the first token of each sample was made. */
-  readonly bornMs = new Map<string, number>();
+  readonly firstTokenMs = new Map<string, number>();
   readonly orders: { readonly version: number; readonly token: number }[] = [];
   private readonly _swapMs = 300;
   private _isCrashed = false;
@@ -286,7 +286,7 @@
 const ENGINE_RESTART_MS = 2000;
 
 /** The length of an answer: the same for the same prompt. */
-export function lengthOf(prompt: string): number {
+export function completionLength(prompt: string): number {
   return 4 + (prompt.length % 3) + (prompt.endsWith('tail') ? 60 : 0);
 }
 
@@ -359,7 +359,7 @@
     onChunks: (chunks: readonly GenerationChunk[]) => Promise<void> | void,
     signal: AbortSignal,
   ): Promise<GenerationEnd> {
-    const length = Math.min(request.maxTokens, lengthOf(request.prompt));
+    const length = Math.min(request.maxTokens, completionLength(request.prompt));
     const versions = engine.made.get(request.requestId) ?? [];
     engine.made.set(request.requestId, versions);
     for (let i = request.resumeTokens; i < length; i++) {
@@ -367,7 +367,8 @@
       if (signal.aborted) return { kind: 'cancelled' };
       if (!this._reaches(engine) || engine.startId !== startId) return { kind: 'broken' };
       versions[i] = engine.version;
-      if (!engine.bornMs.has(request.requestId)) engine.bornMs.set(request.requestId, this._host.nowMs());
+      if (!engine.firstTokenMs.has(request.requestId))
+        engine.firstTokenMs.set(request.requestId, this._host.nowMs());
       await onChunks([{ text: `${i} `, tokens: 1, version: engine.version }]);
       if (i === request.resumeTokens + 1) this._onStage('generating');
     }
@@ -464,7 +465,7 @@
 }
 
 /** The membership list, which shows changes after its lag. */
-export class SimList {
+export class SimMemberList {
   lagMs = 1000;
   readonly process: SimProcess;
   private readonly _documents = new Map<string, MemberDocument>();
@@ -492,12 +493,12 @@
 }
 
 /** The list as one host reaches it. */
-export class SimListClient implements MemberList {
-  private readonly _list: SimList;
+export class SimMemberListClient implements MemberList {
+  private readonly _list: SimMemberList;
   private readonly _host: SimProcess;
   private readonly _net: SimNet;
 
-  constructor(list: SimList, host: SimProcess, net: SimNet) {
+  constructor(list: SimMemberList, host: SimProcess, net: SimNet) {
     this._list = list;
     this._host = host;
     this._net = net;
--- a/packages/testkit/src/simFleet.ts
+++ b/packages/testkit/src/simFleet.ts
@@ -28,14 +28,14 @@
 import {
   SimEngine,
   SimEngineClient,
-  SimList,
-  SimListClient,
+  SimMemberList,
+  SimMemberListClient,
   SimScorer,
   SimScorerClient,
   SimServices,
   SimStore,
   SimStoreClient,
-} from './simWorld.js';
+} from './simBackends.js';
 
 const SILENT: Logger = {
   debug: () => undefined,
@@ -66,7 +66,7 @@
   }
 
   /** Bytes of the inner protocol that this host sent and received, its own calls to itself left out. */
-  bytes = 0;
+  peerBytes = 0;
 
   get ready(): EntryServices {
     if (!this.services) throw new Error(`host ${this.id} has not started`);
@@ -96,7 +96,7 @@
       if (!handler) return { refused: `no call '${call.name}'` };
       const peer = { hostId: this.id, domain: this.domain, incarnation: '1', programVersion: '0' };
       const value = structuredClone(await handler(body, { peer, trace: undefined }));
-      this._fleet.noteCall(call.name, value);
+      this._fleet.onCallHandled(call.name, value);
       if (count) target._count(this, encodeFrame({ t: 'reply', id: 1, body: value }).length);
       return { value };
     });
@@ -107,8 +107,8 @@
 
   private _count(other: SimHost, sizeBytes: number): void {
     if (other === this) return;
-    this.bytes += sizeBytes;
-    other.bytes += sizeBytes;
+    this.peerBytes += sizeBytes;
+    other.peerBytes += sizeBytes;
   }
 }
 
@@ -127,7 +127,7 @@
   readonly random: SeededRandom;
   readonly net: SimNet;
   readonly store: SimStore;
-  readonly list: SimList;
+  readonly list: SimMemberList;
   readonly scorer: SimScorer;
   readonly engines = new Map<string, SimEngine>();
   readonly hosts = new Map<string, SimHost>();
@@ -136,7 +136,7 @@
   /** Called at each stage of something's life; a test causes its fault there. */
   onStage: (stage: string) => void = () => undefined;
   /** Load reports that were asked for. */
-  reports = 0;
+  loadReportCalls = 0;
   private readonly _stop = new AbortController();
 
   constructor(options: SimFleetOptions) {
@@ -145,7 +145,7 @@
     this.random = new SeededRandom(options.seed);
     this.net = new SimNet(this.clock, this.random, { maxDelayMs: 4, lossShare: 0 });
     this.store = new SimStore(new SimProcess('store', this.clock));
-    this.list = new SimList(new SimProcess('list', this.clock));
+    this.list = new SimMemberList(new SimProcess('list', this.clock));
     this.scorer = new SimScorer(new SimProcess('scorer', this.clock));
     this.services = new SimServices(new SimProcess('service', this.clock));
     this.store.onPut.push(key => {
@@ -237,11 +237,11 @@
   }
 
   /** Names of the processes of a failure domain: hosts and engines. */
-  namesOf(domain: string): readonly string[] {
+  processNames(domain: string): readonly string[] {
     return [...this.hosts.keys(), ...this.engines.keys()].filter(name => name.startsWith(`${domain}-`));
   }
 
-  noteCall(name: string, reply: unknown): void {
+  onCallHandled(name: string, reply: unknown): void {
     if (name === 'workPull' && JSON.stringify(reply).includes('sampleId')) this.onStage('assigned');
     if (name === 'sampleDone') this.onStage('copied');
   }
@@ -287,13 +287,13 @@
   private _portsOf(host: SimHost): Parameters<typeof startServices>[1] {
     const { process } = host;
     const onStage = (stage: string): void => {
-      if (stage === 'report') this.reports += 1;
+      if (stage === 'report') this.loadReportCalls += 1;
       else this.onStage(stage);
     };
     return {
       peers: host,
       registry: host,
-      list: new SimListClient(this.list, process, this.net),
+      list: new SimMemberListClient(this.list, process, this.net),
       store: new SimStoreClient(this.store, process, this.net),
       engines: new SimEngineClient(this.engines, process, this.net, onStage),
       services: this.services,
--- a/packages/testkit/src/simTrainer.ts
+++ b/packages/testkit/src/simTrainer.ts
@@ -12,7 +12,7 @@
   readonly sample: Sample;
   /** The trainer's version, and the time, when the sample was handed over. */
   readonly trainerVersion: number;
-  readonly handedOverMs: number;
+  readonly deliveredMs: number;
 }
 
 export class SimTrainer {
@@ -70,7 +70,7 @@
       return;
     }
     for (const sample of reply.samples) {
-      this.deliveries.push({ sample, trainerVersion: request.trainerVersion, handedOverMs });
+      this.deliveries.push({ sample, trainerVersion: request.trainerVersion, deliveredMs: handedOverMs });
     }
     this._cursor += 1;
     this._generation = reply.generation;
@@ -105,7 +105,7 @@
 }
 
 /** Everything that is wrong with what a trainer got; empty when all promises held. */
-export function brokenPromises(fleet: SimFleet, spec: StepSpec, trainer: SimTrainer): readonly string[] {
+export function guaranteeViolations(fleet: SimFleet, spec: StepSpec, trainer: SimTrainer): readonly string[] {
   const problems: string[] = [];
   const slots = spec.groups.reduce((sum, group) => sum + group.samples, 0);
   const counts = new Map<number, number>();
@@ -118,7 +118,7 @@
 }
 
 function problemsOf(fleet: SimFleet, spec: StepSpec, delivery: Delivery): readonly string[] {
-  const { sample, trainerVersion, handedOverMs } = delivery;
+  const { sample, trainerVersion, deliveredMs: handedOverMs } = delivery;
   const problems: string[] = [];
   const versions = sample.spans.flatMap(span => Array.from({ length: span.tokens }, () => span.version));
   const engines = [...fleet.engines.values()];
@@ -130,7 +130,7 @@
   if (sample.text !== text) problems.push(`slot ${sample.slot}: a token is doubled or lost: ${sample.text}`);
   if (trainerVersion - Math.min(...versions) > spec.stalenessVersions)
     problems.push(`slot ${sample.slot}: too many versions old`);
-  const bornMs = Math.min(...engines.map(engine => engine.bornMs.get(sample.sampleId) ?? Infinity));
+  const bornMs = Math.min(...engines.map(engine => engine.firstTokenMs.get(sample.sampleId) ?? Infinity));
   if (handedOverMs - bornMs > spec.stalenessMs)
     problems.push(`slot ${sample.slot}: ${handedOverMs - bornMs} ms old`);
   const scored = fleet.scorer.runs.get(sample.sampleId) ?? 0;
--- a/packages/testkit/src/simulation.ts
+++ b/packages/testkit/src/simulation.ts
@@ -54,7 +54,7 @@
     this._isPaused = true;
   }
 
-  wake(): void {
+  resume(): void {
     this._isPaused = false;
     for (const step of this._held.splice(0)) this.run(step);
   }
--- a/packages/testkit/src/testFleet.ts
+++ b/packages/testkit/src/testFleet.ts
@@ -28,7 +28,7 @@
   readonly accountsFile?: string;
 }
 
-export interface HttpAnswer {
+export interface HttpResponse {
   readonly status: number;
   readonly headers: Readonly<Record<string, string | string[] | undefined>>;
   readonly text: string;
@@ -107,7 +107,7 @@
       readonly headers?: Readonly<Record<string, string>>;
       readonly method?: 'GET' | 'POST';
     } = {},
-  ): Promise<HttpAnswer> {
+  ): Promise<HttpResponse> {
     const response = await request(`http://${this.host(hostId).addresses[kind]}${path}`, {
       method: options.method ?? (options.body === undefined ? 'GET' : 'POST'),
       headers: {
--- a/tests/golden.spec.ts
+++ b/tests/golden.spec.ts
@@ -6,7 +6,7 @@
 import tap, { type Test } from 'tap';
 import type { CallerAnswer } from '@fuchsiahitch/entry';
 import type { StepSpec } from '@fuchsiahitch/steps';
-import { SimFleet, SimTrainer, brokenPromises, type SimHost } from '@fuchsiahitch/testkit';
+import { SimFleet, SimTrainer, guaranteeViolations, type SimHost } from '@fuchsiahitch/testkit';
 
 const FOLDER = 'tests/golden';
 const PATIENCE_MS = 200_000;
@@ -36,7 +36,7 @@
       const spans = sample.spans.map(span => `${span.tokens} of version ${span.version}`).join(', ');
       this.lines.push(`slot ${sample.slot}: ${spans}; trainer at ${trainerVersion}`);
     }
-    this.lines.push(`broken promises: ${JSON.stringify(brokenPromises(this.fleet, spec, trainer))}`);
+    this.lines.push(`broken promises: ${JSON.stringify(guaranteeViolations(this.fleet, spec, trainer))}`);
   }
 }
 
--- a/tests/keys.spec.ts
+++ b/tests/keys.spec.ts
@@ -88,7 +88,7 @@
   await fleet.settle();
   fleet.arrive('h1', key);
   await fleet.clock.advance(500);
-  fleet.host('h0').process.wake();
+  fleet.host('h0').process.resume();
   fleet.arrive('h0', key);
   await fleet.clock.advance(5000);
   t.equal(fleet.runs.get(key), 1);
@@ -155,7 +155,7 @@
   fleet.arrive(third, key);
   await fleet.clock.advance(5000);
   t.equal(fleet.lastTold(key), 'unknown', 'while the copy, which knows, is paused');
-  fleet.host(copy).process.wake();
+  fleet.host(copy).process.resume();
   await fleet.settle();
   fleet.arrive(third, key);
   await fleet.clock.advance(5000);
@@ -391,7 +391,7 @@
     case 'pause':
       return fleet.host(one.at).process.pause();
     case 'wake':
-      return fleet.host(one.at).process.wake();
+      return fleet.host(one.at).process.resume();
     case 'cut':
       return fleet.net.cut(one.at, one.to);
     case 'heal':
@@ -426,7 +426,7 @@
           await fleet.clock.advance(waitMs);
         }
         for (const id of HOSTS) {
-          fleet.host(id).process.wake();
+          fleet.host(id).process.resume();
           fleet.host(id).isCutOff = false;
         }
         fleet.net.heal();
--- a/tests/orders.spec.ts
+++ b/tests/orders.spec.ts
@@ -158,7 +158,7 @@
       20_000,
     );
     const before = [...fleet.engines.values()].reduce((sum, engine) => sum + engine.orders.length, 0);
-    old?.process.wake();
+    old?.process.resume();
     await fleet.clock.advance(20_000);
     t.ok(engines(fleet, 'tekapo').every(version => version === 3));
     const after = [...fleet.engines.values()].reduce((sum, engine) => sum + engine.orders.length, 0);
--- a/tests/requests.spec.ts
+++ b/tests/requests.spec.ts
@@ -18,7 +18,7 @@
 } from '@fuchsiahitch/requests';
 import { fuzzRuns } from './fuzzRuns.js';
 import { SimFleet, type SimHost } from '@fuchsiahitch/testkit';
-import { lengthOf } from '@fuchsiahitch/testkit';
+import { completionLength } from '@fuchsiahitch/testkit';
 import { SimTrainer } from '@fuchsiahitch/testkit';
 
 tap.setTimeout(0);
@@ -353,7 +353,7 @@
 }
 
 function wholeText(prompt: string): string {
-  return Array.from({ length: lengthOf(prompt) }, (_, i) => `${i} `).join('');
+  return Array.from({ length: completionLength(prompt) }, (_, i) => `${i} `).join('');
 }
 
 await tap.test(
@@ -483,7 +483,7 @@
       hostsPerDomain: 4,
       enginesPerDomain: 2,
     });
-    fleet.cutBetween(fleet.namesOf('tekapo'), ['store', 'list']);
+    fleet.cutBetween(fleet.processNames('tekapo'), ['store', 'list']);
     fleet.engine('tekapo-engine-0').isLeaving = true;
     await fleet.clock.advance(3000);
     const seen = [...fleet.hosts.values()].map(host =>
@@ -503,7 +503,7 @@
   'should serve from its own domain when it is cut off from the others and the platform',
   async t => {
     const fleet = await fleetOf();
-    fleet.cutBetween(fleet.namesOf('tekapo'), ['store', 'list', ...fleet.namesOf('twizel')]);
+    fleet.cutBetween(fleet.processNames('tekapo'), ['store', 'list', ...fleet.processNames('twizel')]);
     await fleet.clock.advance(20_000);
     const running = [
       send(fleet.host('tekapo-0'), { kind: 'completion' }),
--- a/tests/rules.spec.ts
+++ b/tests/rules.spec.ts
@@ -325,7 +325,7 @@
   const fleet = await fleetOf(4);
   submit(fleet.host('tekapo-0'), add('kept', rule('kept')));
   await fleet.until('active', () => revisions(fleet).every(revision => revision === 1));
-  fleet.cutBetween(fleet.namesOf('tekapo'), ['store', 'list', ...fleet.namesOf('twizel')]);
+  fleet.cutBetween(fleet.processNames('tekapo'), ['store', 'list', ...fleet.processNames('twizel')]);
   void fleet.startHost('tekapo', 'tekapo-1');
   const first = fleet.host('tekapo-1');
   await fleet.until('ready with the rules of its peer', () => first.services?.status.isReady() === true);
@@ -423,16 +423,16 @@
         fleet.store.areWatchesSilent = one.isSilent;
         return;
       case 'cut':
-        return fleet.cutBetween(fleet.namesOf(one.domain), [
+        return fleet.cutBetween(fleet.processNames(one.domain), [
           'store',
-          ...fleet.namesOf(one.domain === 'tekapo' ? 'twizel' : 'tekapo'),
+          ...fleet.processNames(one.domain === 'tekapo' ? 'twizel' : 'tekapo'),
         ]);
       case 'heal':
         return fleet.net.heal();
       case 'pause': {
         const { process } = fleet.host(one.at);
         process.pause();
-        fleet.clock.after(8000, () => process.wake());
+        fleet.clock.after(8000, () => process.resume());
         return;
       }
       case 'restart':
--- a/tests/stepMatrix.spec.ts
+++ b/tests/stepMatrix.spec.ts
@@ -6,7 +6,7 @@
 import tap from 'tap';
 import type { StepSpec } from '@fuchsiahitch/steps';
 import { SimFleet, type SimHost } from '@fuchsiahitch/testkit';
-import { brokenPromises, SimTrainer } from '@fuchsiahitch/testkit';
+import { guaranteeViolations, SimTrainer } from '@fuchsiahitch/testkit';
 
 const STAGES = [
   'opened',
@@ -54,7 +54,7 @@
   'entry host paused and woken': ({ fleet }) => {
     const owner = ownerOf(fleet);
     owner.process.pause();
-    fleet.clock.after(OUTAGE_MS, () => owner.process.wake());
+    fleet.clock.after(OUTAGE_MS, () => owner.process.resume());
   },
   "trainer's connection broken": ({ trainer }) => {
     trainer.loseReplies = 2;
@@ -68,18 +68,18 @@
   "store's answer lost": ({ fleet }) => {
     fleet.store.loseAnswers = 2;
   },
-  'lease lapsed': ({ fleet }) => fleet.store.lapseLeases(),
+  'lease lapsed': ({ fleet }) => fleet.store.expireLeases(),
   'swap failed': ({ fleet, trainer }) => {
     for (const engine of fleet.engines.values()) engine.failSwaps = 1;
     trainer.version += 1;
     void ownerOf(fleet).ready.orders.setTarget('gen-pool', trainer.version);
   },
   'partition between domains': ({ fleet }) => {
-    fleet.cutBetween(fleet.namesOf('tekapo'), fleet.namesOf('twizel'));
+    fleet.cutBetween(fleet.processNames('tekapo'), fleet.processNames('twizel'));
     fleet.clock.after(OUTAGE_MS, () => fleet.net.heal());
   },
   'partition to the platform': ({ fleet }) => {
-    fleet.cutBetween(fleet.namesOf('tekapo'), ['store', 'list']);
+    fleet.cutBetween(fleet.processNames('tekapo'), ['store', 'list']);
     fleet.clock.after(OUTAGE_MS, () => fleet.net.heal());
   },
   "scorer's answer lost": ({ fleet }) => {
@@ -149,7 +149,7 @@
     .catch((thrown: unknown) => problems.push(String(thrown)));
   if (caused.length === 0) problems.push('the fault was never injected');
   if (trainer.end?.kind !== 'over') problems.push(`the step ended as ${trainer.end?.kind ?? 'nothing'}`);
-  problems.push(...brokenPromises(fleet, spec, trainer));
+  problems.push(...guaranteeViolations(fleet, spec, trainer));
   await fleet.stop();
   return problems;
 }
--- a/tests/steps.spec.ts
+++ b/tests/steps.spec.ts
@@ -15,7 +15,7 @@
   type Sample,
   type StepSpec,
 } from '@fuchsiahitch/steps';
-import { SimFleet, SimTrainer, brokenPromises } from '@fuchsiahitch/testkit';
+import { SimFleet, SimTrainer, guaranteeViolations } from '@fuchsiahitch/testkit';
 import { fuzzRuns } from './fuzzRuns.js';
 
 tap.setTimeout(0);
@@ -306,6 +306,6 @@
   trainer.version = 2;
   void fleet.host('tekapo-0').ready.orders.setTarget('gen-pool', 2);
   await fleet.until('step over', () => trainer.end !== undefined, 100_000);
-  t.same(brokenPromises(fleet, spec, trainer), []);
+  t.same(guaranteeViolations(fleet, spec, trainer), []);
   await fleet.stop();
 });
