--- a/packages/demo/src/customers.ts
+++ b/packages/demo/src/customers.ts
@@ -1,6 +1,6 @@
 /**
- * Customers of the demo: lookups, completions and seat holds, through entry hosts in turn as a balancer sends
- * them. A broken connection is taken to another host with the same key.
+ * Customer load of the demo: lookups, completions and seat holds, sent to the entry hosts in round-robin order as by a
+ * load balancer. After a broken connection, the request is retried at another host with the same idempotency key.
  */
 import hdr, { type Histogram } from 'hdr-histogram-js';
 import { request } from 'undici';
@@ -10,20 +10,20 @@
 const TIMEOUT_MS = 15_000;
 const MAX_LATENCY_MS = 60_000;
 const PAUSE_MS = 20;
-const RESEND_EVERY = 5;
-const MAX_SENDS = 20;
+const RESEND_INTERVAL = 5;
+const MAX_ATTEMPTS = 20;
 
 export interface CustomerCounts {
   completions: number;
   lookups: number;
   holds: number;
-  /** Answers with no outcome: a connection that broke at a host that was killed. */
+  /** Calls whose connection broke, such as at a killed host. */
   broken: number;
-  /** Requests without a whole answer after all resends. */
+  /** Requests without a complete answer after all retries. */
   lost: number;
-  /** Holds whose end was told as unknown. */
+  /** Holds whose outcome was reported as unknown. */
   unknownHolds: number;
-  /** Keys that the customer was told had not run. */
+  /** Keys of holds that were reported as not executed. */
   readonly notRunKeys: Set<string>;
 }
 
@@ -40,7 +40,7 @@
   readonly latencyMs: Histogram = hdr.build({ highestTrackableValue: MAX_LATENCY_MS });
   private readonly _deployment: RunningDeployment;
   private _isStopped = false;
-  private _next = 0;
+  private _nextUrl = 0;
   private readonly _loops: Promise<void>[] = [];
 
   constructor(deployment: RunningDeployment) {
@@ -72,7 +72,7 @@
 
   private async _lookUp(): Promise<void> {
     const { plan } = this._deployment;
-    const isDone = await this._until(async () => {
+    const isDone = await this._retryUntil(async () => {
       const answer = await this._send('GET', `/svc/${plan.services.name}${plan.lookupPath}`, undefined, {});
       return answer?.outcome === 'completed';
     });
@@ -82,7 +82,7 @@
 
   private async _complete(name: string): Promise<void> {
     const body = { model: this._deployment.plan.engines.name, prompt: `ask ${name}`, max_tokens: 16 };
-    const isDone = await this._until(async () => {
+    const isDone = await this._retryUntil(async () => {
       const answer = await this._send('POST', '/v1/completions', body, {});
       return answer?.outcome === 'completed';
     });
@@ -90,14 +90,14 @@
     else this.counts.lost += 1;
   }
 
-  /** A hold is sent again with its key until its end is certain; every fifth one is sent once more. */
+  /** Retries a hold with its key until the outcome is certain. Resends the key of every fifth one. */
   private async _hold(name: string): Promise<void> {
     const { plan } = this._deployment;
     const path = `/svc/${plan.services.name}/holds`;
     const key = `${plan.name}-${name}`;
     const headers = { 'idempotency-key': key };
     let outcome = '';
-    const isDone = await this._until(async () => {
+    const isDone = await this._retryUntil(async () => {
       const answer = await this._send('POST', path, { seat: name }, headers);
       outcome = answer?.outcome ?? outcome;
       return answer?.outcome === 'completed' || answer?.reason === 'answer-not-kept';
@@ -105,11 +105,11 @@
     if (isDone) this.counts.holds += 1;
     else if (outcome === 'unknown') this.counts.unknownHolds += 1;
     else this.counts.notRunKeys.add(key);
-    if (this.counts.holds % RESEND_EVERY === 0) await this._send('POST', path, { seat: name }, headers);
+    if (this.counts.holds % RESEND_INTERVAL === 0) await this._send('POST', path, { seat: name }, headers);
   }
 
-  private async _until(attempt: () => Promise<boolean>): Promise<boolean> {
-    for (let i = 0; i < MAX_SENDS; i++) {
+  private async _retryUntil(attempt: () => Promise<boolean>): Promise<boolean> {
+    for (let i = 0; i < MAX_ATTEMPTS; i++) {
       if (await attempt()) return true;
       await delay(PAUSE_MS * (i + 1));
     }
@@ -123,7 +123,7 @@
     headers: Readonly<Record<string, string>>,
   ): Promise<{ readonly outcome: string; readonly reason: string } | undefined> {
     const urls = this._deployment.urls('callers');
-    const url = urls[this._next++ % urls.length] ?? '';
+    const url = urls[this._nextUrl++ % urls.length] ?? '';
     try {
       const response = await request(`${url}${path}`, {
         method,
--- a/packages/demo/src/deployment.ts
+++ b/packages/demo/src/deployment.ts
@@ -1,8 +1,8 @@
 /**
- * The two deployments of the users, in small.
+ * Scaled-down versions of the users' two deployments.
  */
 
-/** A pool of one deployment and how many of its endpoints each failure domain has. */
+/** A pool, with its number of endpoints per failure domain. */
 export interface PoolPlan {
   readonly name: string;
   readonly kind: 'engine' | 'service';
@@ -17,7 +17,7 @@
   readonly services: PoolPlan;
   readonly house: string;
   readonly trainers: readonly string[];
-  /** A path of the plain service that may be called again, and one that may not. */
+  /** Idempotent path of the plain service. */
   readonly lookupPath: string;
 }
 
--- a/packages/demo/src/runningDeployment.ts
+++ b/packages/demo/src/runningDeployment.ts
@@ -1,5 +1,5 @@
 /**
- * One deployment that runs: its stand-ins, entry hosts, and what the demo does to them.
+ * A running deployment: starts its stand-ins and entry hosts, and injects the demo's faults.
  */
 import { request } from 'undici';
 import type { DeploymentPlan, PoolPlan } from './deployment.js';
@@ -60,13 +60,13 @@
     return this.hosts.map(host => `http://${host.started.addresses[kind]}`);
   }
 
-  /** Runs the operators' command line against this deployment. */
+  /** Runs `fuchsiahitchctl` against this deployment. */
   async ctl(...args: readonly string[]): Promise<{ readonly output: string; readonly exitCode: number }> {
     const hosts = this.urls('operators').join(',');
     return this._supervisor.ctl([...args, '--hosts', hosts, '--operator-token', OPERATOR_TOKEN]);
   }
 
-  /** Kills a host, and starts it again later as the platform does. */
+  /** Kills a host and restarts it after a delay, as the platform does. */
   async crashHost(index: number, restartAfterMs: number): Promise<string> {
     const host = this.hosts[index];
     if (!host) return 'none';
@@ -76,7 +76,7 @@
     return host.id;
   }
 
-  /** Kills an engine for good; the list shows it after its lag. */
+  /** Kills an engine permanently and removes it from the membership list, which lags. */
   async crashEngine(index: number): Promise<string> {
     const engine = this.endpoints.filter(endpoint => endpoint.pool.kind === 'engine')[index];
     if (!engine) return 'none';
@@ -85,7 +85,7 @@
     return engine.id;
   }
 
-  /** Tells an engine to leave. The list is told as well, and lags. */
+  /** Drains an engine and marks it as leaving in the membership list, which lags. */
   async drainEngine(index: number): Promise<string> {
     const engine = this.endpoints.filter(endpoint => endpoint.pool.kind === 'engine')[index];
     if (!engine) return 'none';
@@ -94,18 +94,18 @@
     return engine.id;
   }
 
-  /** How often each key ran at the services, together. */
+  /** Executions of each idempotency key, summed over all services. */
   async holdRuns(): Promise<ReadonlyMap<string, number>> {
     const services = this.endpoints.filter(endpoint => endpoint.pool.kind === 'service');
-    return this._runsAt(services.map(service => `http://${service.started.addresses}/runs`));
+    return this._fetchRuns(services.map(service => `http://${service.started.addresses}/runs`));
   }
 
-  /** How often each sample was scored. */
+  /** Number of times each sample was scored. */
   async scoreRuns(): Promise<ReadonlyMap<string, number>> {
-    return this._runsAt([`${this._scorerUrl}/runs`]);
+    return this._fetchRuns([`${this._scorerUrl}/runs`]);
   }
 
-  private async _runsAt(urls: readonly string[]): Promise<ReadonlyMap<string, number>> {
+  private async _fetchRuns(urls: readonly string[]): Promise<ReadonlyMap<string, number>> {
     const runs = new Map<string, number>();
     for (const url of urls) {
       const response = await request(url);
@@ -171,7 +171,7 @@
     await post(`${this._membersUrl}/v1/changes`, change);
   }
 
-  /** Until every host serves, knows the rules, and the slots of keys are settled. */
+  /** Waits until every host is ready and has settled all key slots that it owns. */
   private async _waitUntilReady(): Promise<void> {
     const endMs = performance.now() + READY_TIMEOUT_MS;
     while (performance.now() < endMs) {
@@ -179,7 +179,7 @@
       if (exitCode === 0 && isSettled(JSON.parse(output) as HostLine[], this.hosts.length)) return;
       await delay(POLL_MS);
     }
-    throw new Error(`${this.plan.name} did not become ready`);
+    throw new Error(`${this.plan.name}: hosts were not ready in time`);
   }
 }
 
--- a/packages/demo/src/supervisor.ts
+++ b/packages/demo/src/supervisor.ts
@@ -1,12 +1,12 @@
 /**
- * Starts and ends the processes of the demo. It is the one place that starts processes; no daemon does.
+ * Starts and stops the processes of the demo.
  */
 import { spawn, type ChildProcess } from 'node:child_process';
 import { createInterface } from 'node:readline';
 import * as z from 'zod';
 
 const START_TIMEOUT_MS = 30_000;
-const END_TIMEOUT_MS = 15_000;
+const STOP_TIMEOUT_MS = 15_000;
 
 const standInLineSchema = z.looseObject({ address: z.string() });
 const entryLineSchema = z.looseObject({
@@ -19,7 +19,6 @@
   }),
 });
 
-/** A process that runs. */
 export interface StartedProcess<A> {
   readonly child: ChildProcess;
   readonly addresses: A;
@@ -63,7 +62,7 @@
     return { child, addresses };
   }
 
-  /** Runs the command line to its end; its output and exit code. */
+  /** Runs `fuchsiahitchctl` and returns its output and exit code. */
   async ctl(args: readonly string[]): Promise<{ readonly output: string; readonly exitCode: number }> {
     const child = spawn(process.execPath, [`${this._binFolder}/fuchsiahitchctl.mjs`, ...args], {
       stdio: 'pipe',
@@ -75,18 +74,18 @@
     return { output, exitCode };
   }
 
-  /** Kills a process without warning, as a crash does. */
+  /** Kills a process with SIGKILL to simulate a crash. */
   crash(child: ChildProcess): void {
     child.kill('SIGKILL');
   }
 
-  /** Asks all to end, and kills those that don't. */
+  /** Sends SIGTERM to all processes and kills those that do not exit in time. */
   async stopAll(): Promise<void> {
-    const ends = [...this._children].map(async child => {
+    const stops = [...this._children].map(async child => {
       child.kill('SIGTERM');
-      await Promise.race([ended(child), delay(END_TIMEOUT_MS)]);
+      await Promise.race([exited(child), delay(STOP_TIMEOUT_MS)]);
     });
-    await Promise.all(ends);
+    await Promise.all(stops);
     this.killAll();
   }
 
@@ -107,11 +106,14 @@
 
 async function firstLine<T>(child: ChildProcess, read: (line: unknown) => T | undefined): Promise<T> {
   const { stdout } = child;
-  if (!stdout) throw new Error('broken invariant: no output of a started process');
+  if (!stdout) throw new Error('broken invariant: a started process has no stdout pipe');
   return new Promise((resolve, reject) => {
-    const timer = setTimeout(() => reject(new Error('a process did not start in time')), START_TIMEOUT_MS);
-    child.once('exit', code => reject(new Error(`a process ended with ${code ?? 'a signal'} at its start`)));
-    // Later lines are read too: a full pipe would stop the process.
+    const timer = setTimeout(
+      () => reject(new Error('process did not report its address in time')),
+      START_TIMEOUT_MS,
+    );
+    child.once('exit', code => reject(new Error(`process exited with ${code ?? 'a signal'} during startup`)));
+    // Keep reading after the first match: a full pipe would block the process.
     createInterface({ input: stdout }).on('line', line => {
       const value = read(parse(line));
       if (value === undefined) return;
@@ -129,7 +131,7 @@
   }
 }
 
-async function ended(child: ChildProcess): Promise<void> {
+async function exited(child: ChildProcess): Promise<void> {
   if (child.exitCode !== null || child.signalCode !== null) return;
   await new Promise<void>(resolve => child.once('exit', () => resolve()));
 }
--- a/packages/demo/src/training.ts
+++ b/packages/demo/src/training.ts
@@ -1,25 +1,25 @@
 /**
- * Trainers of the demo: each runs steps, trains on what it got, and announces new weights.
+ * Trainers of the demo: each runs steps, trains on the received samples, and announces new weights.
  */
 import { Trainer, type StepReport } from '@fuchsiahitch/standins';
 import type { RunningDeployment } from './runningDeployment.js';
 import { delay } from './supervisor.js';
 
 const GROUPS = 24;
-const SAMPLES_A_GROUP = 4;
+const SAMPLES_PER_GROUP = 4;
 const MAX_SAMPLES = 32;
 const TRAINING_MS = 800;
 const STEP_TIMEOUT_MS = 45_000;
 export const STALENESS_VERSIONS = 2;
 
-/** What the trainers of one deployment got. */
+/** Result of one trainer. */
 export interface TrainingResult {
   readonly reports: readonly StepReport[];
   readonly idleMs: number;
   readonly trainingMs: number;
 }
 
-/** The version that the deployment's trainers are at, raised by each announcement. */
+/** Current weight version of a deployment's trainers. */
 export class WeightVersion {
   private _version = 1;
 
@@ -38,14 +38,14 @@
   name: string,
   steps: number,
   version: WeightVersion,
-  announces: boolean,
+  announcesWeights: boolean,
 ): Promise<TrainingResult> {
   const { plan } = deployment;
   const trainer = new Trainer({
     urls: deployment.urls('trainers'),
     trainerVersion: () => version.current,
     maxSamples: MAX_SAMPLES,
-    sendsHeld: announces,
+    sendsHeld: announcesWeights,
     stepTimeoutMs: STEP_TIMEOUT_MS,
   });
   const reports: StepReport[] = [];
@@ -59,7 +59,7 @@
         pool: plan.engines.name,
         groups: Array.from({ length: GROUPS }, (_, i) => ({
           prompt: `${name} ${step}/${i}`,
-          samples: SAMPLES_A_GROUP,
+          samples: SAMPLES_PER_GROUP,
           expectedTokens: 0,
         })),
         maxTokens: 128,
@@ -71,11 +71,10 @@
     await delay(TRAINING_MS);
     trainingMs += TRAINING_MS;
     const isLast = step === steps - 1;
-    if (announces && !isLast) await trainer.announce(plan.engines.name, version.increment());
+    if (announcesWeights && !isLast) await trainer.announce(plan.engines.name, version.increment());
   }
   const idleMs = reports.reduce((sum, report) => sum + report.durationMs, 0);
   return { reports, idleMs, trainingMs };
 }
 
-/** The number of samples that one step asks for. */
-export const SAMPLES_PER_STEP = GROUPS * SAMPLES_A_GROUP;
+export const SAMPLES_PER_STEP = GROUPS * SAMPLES_PER_GROUP;
--- a/packages/measure/src/controlSim.ts
+++ b/packages/measure/src/controlSim.ts
@@ -21,15 +21,15 @@
   { domains: 10, hostsPerDomain: 11, enginesPerDomain: 43 },
   { domains: 10, hostsPerDomain: 33, enginesPerDomain: 130 },
 ];
-const QUIET_MS = 30_000;
+const IDLE_MS = 30_000;
 /** Word of the start rides on pings for a while; what is measured is the time after it. */
 const SETTLE_MS = 90_000;
 const EDITS = 5;
 const STEP_MS = 20;
 const EDIT_LIMIT_MS = 30_000;
 const SEED = 42;
-const MS_A_SECOND = 1000;
-const MICROSECONDS_A_SECOND = 1_000_000;
+const MS_PER_SECOND = 1000;
+const MICROSECONDS_PER_SECOND = 1_000_000;
 
 export const controlSim: Measurement = {
   name: 'control',
@@ -62,7 +62,7 @@
     countsBytes: true,
   });
   await fleet.clock.advance(SETTLE_MS);
-  await measureQuiet(fleet, nodes, bytesAPoll, tell);
+  await measureIdle(fleet, nodes, bytesAPoll, tell);
   globalThis.gc?.();
   tell(
     'memory of control a host',
@@ -75,27 +75,32 @@
   await fleet.stop();
 }
 
-type Tell = (name: string, value: number, unit: string, bound?: string) => void;
+type ReportFigure = (name: string, value: number, unit: string, bound?: string) => void;
 
-async function measureQuiet(fleet: SimFleet, nodes: number, bytesAPoll: number, tell: Tell): Promise<void> {
+async function measureIdle(
+  fleet: SimFleet,
+  nodes: number,
+  bytesAPoll: number,
+  tell: ReportFigure,
+): Promise<void> {
   const hosts = [...fleet.hosts.values()];
   const before = hosts.map(host => host.peerBytes);
   const callsBefore = fleet.store.calls;
   const reportsBefore = fleet.loadReportCalls;
   const cpu = process.cpuUsage();
-  await fleet.clock.advance(QUIET_MS);
+  await fleet.clock.advance(IDLE_MS);
   const spent = process.cpuUsage(cpu);
-  const seconds = QUIET_MS / MS_A_SECOND;
+  const seconds = IDLE_MS / MS_PER_SECOND;
   const peer = hosts.map((host, i) => (host.peerBytes - (before[i] ?? 0)) / seconds);
   const polls = ((fleet.loadReportCalls - reportsBefore) * bytesAPoll) / nodes / seconds;
   tell('control bytes a host and second, mean', mean(peer) + polls, 'bytes/s', '<= 2048');
   tell('inner protocol bytes a host and second, most', Math.max(...peer), 'bytes/s');
   tell('store calls of the fleet', (fleet.store.calls - callsBefore) / seconds, 'calls/s', '<= 600');
-  const core = (spent.user + spent.system) / MICROSECONDS_A_SECOND / nodes / seconds;
+  const core = (spent.user + spent.system) / MICROSECONDS_PER_SECOND / nodes / seconds;
   tell('control CPU a host, simulation included', core * 100, '% of a core', '<= 3.8');
 }
 
-async function measureEdits(fleet: SimFleet, tell: Tell): Promise<void> {
+async function measureEdits(fleet: SimFleet, tell: ReportFigure): Promise<void> {
   const hosts = fleet.liveHosts();
   const spreads: number[] = [];
   for (let i = 0; i < EDITS; i++) {
@@ -117,19 +122,19 @@
     spreads.push(fleet.clock.nowMs() - startMs);
   }
   spreads.sort((a, b) => a - b);
-  tell('edit in force everywhere, p50', (spreads[Math.floor(EDITS / 2)] ?? 0) / MS_A_SECOND, 's');
-  tell('edit in force everywhere, most', Math.max(...spreads) / MS_A_SECOND, 's', '<= 11');
+  tell('edit in force everywhere, p50', (spreads[Math.floor(EDITS / 2)] ?? 0) / MS_PER_SECOND, 's');
+  tell('edit in force everywhere, most', Math.max(...spreads) / MS_PER_SECOND, 's', '<= 11');
 }
 
-async function measureWeights(fleet: SimFleet, tell: Tell): Promise<void> {
-  await fleet.clock.advance(QUIET_MS);
+async function measureWeights(fleet: SimFleet, tell: ReportFigure): Promise<void> {
+  await fleet.clock.advance(IDLE_MS);
   const startMs = fleet.clock.nowMs();
   void fleet.liveHosts()[0]?.ready.orders.setTarget('gen-pool', 2);
   const engines = [...fleet.engines.values()];
   while (!engines.every(engine => engine.version === 2) && fleet.clock.nowMs() - startMs < EDIT_LIMIT_MS) {
     await fleet.clock.advance(STEP_MS);
   }
-  tell('weights on all servers', (fleet.clock.nowMs() - startMs) / MS_A_SECOND, 's', '<= 10');
+  tell('weights on all servers', (fleet.clock.nowMs() - startMs) / MS_PER_SECOND, 's', '<= 10');
 }
 
 function mean(values: readonly number[]): number {
--- a/packages/measure/src/controlSockets.ts
+++ b/packages/measure/src/controlSockets.ts
@@ -9,8 +9,8 @@
 const SIZES = [3, 9, 18];
 const SETTLE_MS = 20_000;
 const MEASURE_MS = 15_000;
-const MICROSECONDS = 1_000_000;
-const MS_A_SECOND = 1000;
+const MICROSECONDS_PER_SECOND = 1_000_000;
+const MS_PER_SECOND = 1000;
 
 export const controlSockets: Measurement = {
   name: 'sockets',
@@ -30,8 +30,8 @@
       const cpu = process.cpuUsage();
       await pause(MEASURE_MS);
       const spent = process.cpuUsage(cpu);
-      const seconds = MEASURE_MS / MS_A_SECOND;
-      const core = (spent.user + spent.system) / MICROSECONDS / seconds / hosts;
+      const seconds = MEASURE_MS / MS_PER_SECOND;
+      const core = (spent.user + spent.system) / MICROSECONDS_PER_SECOND / seconds / hosts;
       print({
         figure: `control CPU a host, ${hosts} real hosts`,
         value: core * 100,
--- a/packages/measure/src/hop.ts
+++ b/packages/measure/src/hop.ts
@@ -11,14 +11,14 @@
 import type { Measurement } from './figure.js';
 
 const REQUESTS = 6000;
-const WARM_UP = 1500;
+const WARM_UP_CALLS = 1500;
 const CONCURRENCY = 16;
 const ROUNDS = 3;
 const STREAM_TOKENS = 400;
 const STREAMS = 120;
 const LATENCY_REQUESTS = 1500;
 const MEMORY_REQUESTS = 20_000;
-const MS = 1000;
+const BYTES_PER_KB = 1000;
 
 export const hop: Measurement = {
   name: 'hop',
@@ -50,7 +50,7 @@
       bare: `${bare.url}/svc/skybook/listings`,
       entry: `${host}/svc/skybook/listings`,
     };
-    const cost = await costs(url => get(url, agent), small, REQUESTS);
+    const cost = await measureCosts(url => get(url, agent), small, REQUESTS);
     print({
       figure: 'small request: CPU of the bare pass-through',
       value: cost.bare - cost.direct,
@@ -69,16 +69,16 @@
     print({ figure: 'small request: added median at low load', value: addedMs, unit: 'ms', bound: '<= 1' });
 
     const streams = { direct: engine.url, bare: bare.url, entry: host };
-    const perStream = await costs(url => stream(url, agent), streams, STREAMS);
-    const toToken = (us: number): number => us / STREAM_TOKENS;
+    const perStream = await measureCosts(url => stream(url, agent), streams, STREAMS);
+    const perToken = (us: number): number => us / STREAM_TOKENS;
     print({
       figure: 'stream: CPU a token, bare',
-      value: toToken(perStream.bare - perStream.direct),
+      value: perToken(perStream.bare - perStream.direct),
       unit: 'us',
     });
     print({
       figure: 'stream: CPU a token, entry host',
-      value: toToken(perStream.entry - perStream.direct),
+      value: perToken(perStream.entry - perStream.direct),
       unit: 'us',
     });
     const streamRatio = (perStream.bare - perStream.direct) / (perStream.entry - perStream.direct);
@@ -106,28 +106,28 @@
 type Urls = Readonly<Record<'direct' | 'bare' | 'entry', string>>;
 
 /** Processor time of one call each way, in microseconds: the least of some rounds, taken in turns. */
-async function costs(
+async function measureCosts(
   call: (url: string) => Promise<void>,
   urls: Urls,
   calls: number,
 ): Promise<Record<keyof Urls, number>> {
-  const least = { direct: Infinity, bare: Infinity, entry: Infinity };
-  for (const url of Object.values(urls)) await runMany(() => call(url), Math.min(WARM_UP, calls));
+  const minimum = { direct: Infinity, bare: Infinity, entry: Infinity };
+  for (const url of Object.values(urls)) await runMany(() => call(url), Math.min(WARM_UP_CALLS, calls));
   for (let round = 0; round < ROUNDS; round++) {
     for (const name of ['direct', 'bare', 'entry'] as const) {
       const before = process.cpuUsage();
       await runMany(() => call(urls[name]), calls);
       const spent = process.cpuUsage(before);
-      least[name] = Math.min(least[name], (spent.user + spent.system) / calls);
+      minimum[name] = Math.min(minimum[name], (spent.user + spent.system) / calls);
     }
   }
-  return least;
+  return minimum;
 }
 
 async function runMany(call: () => Promise<void>, calls: number): Promise<void> {
-  let left = calls;
+  let remaining = calls;
   const worker = async (): Promise<void> => {
-    while (left-- > 0) await call();
+    while (remaining-- > 0) await call();
   };
   await Promise.all(Array.from({ length: CONCURRENCY }, worker));
 }
@@ -144,12 +144,12 @@
 }
 
 async function heapGrowthMb(url: string, agent: Dispatcher): Promise<number> {
-  await runMany(() => get(url, agent), WARM_UP);
+  await runMany(() => get(url, agent), WARM_UP_CALLS);
   globalThis.gc?.();
   const before = process.memoryUsage().heapUsed;
   await runMany(() => get(url, agent), MEMORY_REQUESTS);
   globalThis.gc?.();
-  return Math.max(0, (process.memoryUsage().heapUsed - before) / MS / MS);
+  return Math.max(0, (process.memoryUsage().heapUsed - before) / BYTES_PER_KB / BYTES_PER_KB);
 }
 
 async function get(url: string, agent: Dispatcher): Promise<void> {
@@ -171,11 +171,11 @@
 
 async function waitForPool(host: string, agent: Dispatcher): Promise<void> {
   for (;;) {
-    const isThere = await stream(host, agent).then(
+    const isReady = await stream(host, agent).then(
       () => true,
       () => false,
     );
-    if (isThere) return;
+    if (isReady) return;
     await new Promise<void>(resolve => setTimeout(resolve, 100));
   }
 }
--- a/packages/measure/src/placement.ts
+++ b/packages/measure/src/placement.ts
@@ -20,11 +20,11 @@
 const TICK_MS = 25;
 const MOVE_MS = 250;
 /** A step must be whole by then: its due time, what is forgiven, less acceptance and listing. */
-const WHOLE_MS = 7900;
+const COMPLETION_LIMIT_MS = 7900;
 /** Events after which an owner knows an endpoint's pace. */
-const SEEN_EVENTS = 16;
+const MIN_OBSERVED_EVENTS = 16;
 const LONG_SHARE = 0.25;
-const DRAW = 1_000_000;
+const RANDOM_RESOLUTION = 1_000_000;
 
 /** A trainer's work, and the endpoints that its model has. */
 interface Workload {
@@ -32,7 +32,7 @@
   readonly groups: number;
   readonly groupSize: number;
   readonly wantedGroups: number;
-  readonly everyMs: number;
+  readonly intervalMs: number;
   readonly meanEvents: number;
   readonly maxEvents: number;
   /** Milliseconds an event of each endpoint. */
@@ -40,11 +40,11 @@
   readonly places: number;
 }
 
-const QUICK_MS = 50;
-const SLOWER_MS = 65;
+const FAST_PACE_MS = 50;
+const SLOW_PACE_MS = 65;
 
 function paces(quick: number, slower: number): readonly number[] {
-  return [...Array<number>(quick).fill(QUICK_MS), ...Array<number>(slower).fill(SLOWER_MS)];
+  return [...Array<number>(quick).fill(FAST_PACE_MS), ...Array<number>(slower).fill(SLOW_PACE_MS)];
 }
 
 const WORKLOADS: readonly Workload[] = [
@@ -62,7 +62,7 @@
     groups: 8,
     groupSize: 16,
     wantedGroups: 8,
-    everyMs: 4000,
+    intervalMs: 4000,
     meanEvents: 19.6,
     maxEvents: 141,
     pacesMs: paces(6, 3),
@@ -72,37 +72,37 @@
 }
 
 /** A way to place items. `isTold`: an owner knows the paces that owners before it have seen; else only those that it sees itself. */
-interface Way {
+interface Strategy {
   readonly name: string;
   readonly policy: PlacementPolicy;
-  readonly isTold: boolean;
+  readonly hasSharedPaces: boolean;
 }
 
-const WAYS: readonly Way[] = [
-  { name: 'roomiest, own paces', policy: new MostFreePlacement(), isTold: false },
-  { name: 'quickest, own paces', policy: new FastestPlacement(), isTold: false },
-  { name: 'roomiest, told paces', policy: new MostFreePlacement(), isTold: true },
-  { name: 'quickest, told paces', policy: new FastestPlacement(), isTold: true },
+const STRATEGIES: readonly Strategy[] = [
+  { name: 'roomiest, own paces', policy: new MostFreePlacement(), hasSharedPaces: false },
+  { name: 'quickest, own paces', policy: new FastestPlacement(), hasSharedPaces: false },
+  { name: 'roomiest, told paces', policy: new MostFreePlacement(), hasSharedPaces: true },
+  { name: 'quickest, told paces', policy: new FastestPlacement(), hasSharedPaces: true },
 ];
 
 interface ModelItem {
   readonly group: string;
   readonly events: number;
-  readonly estimate: number;
-  readonly beganMs: number;
+  readonly estimatedEvents: number;
+  readonly createdMs: number;
   done: number;
   endpoint: number | undefined;
-  ranSinceMs: number;
+  runningSinceMs: number;
 }
 
 interface ModelStep {
   readonly startMs: number;
   readonly items: readonly ModelItem[];
-  readonly longFrom: number;
+  readonly longThreshold: number;
   readonly groupEndpoints: Map<string, string>;
   /** Events that the step's owner has seen of each endpoint. */
-  readonly seen: Map<number, number>;
-  wholeMs: number | undefined;
+  readonly observedEvents: Map<number, number>;
+  completedMs: number | undefined;
 }
 
 export const placement: Measurement = {
@@ -110,11 +110,11 @@
   about: 'steps that are whole in time under each way of placing items, in a model',
   async run(print) {
     for (const work of WORKLOADS) {
-      for (const way of WAYS) {
+      for (const way of STRATEGIES) {
         const { name } = way;
-        const wholeMs = Array.from({ length: SEEDS }, (_, seed) => runSteps(work, way, seed + 1)).flat();
-        const inTime = wholeMs.filter(ms => ms <= WHOLE_MS).length / wholeMs.length;
-        const mean = wholeMs.reduce((a, b) => a + b, 0) / wholeMs.length;
+        const stepTimesMs = Array.from({ length: SEEDS }, (_, seed) => runSteps(work, way, seed + 1)).flat();
+        const inTime = stepTimesMs.filter(ms => ms <= COMPLETION_LIMIT_MS).length / stepTimesMs.length;
+        const mean = stepTimesMs.reduce((a, b) => a + b, 0) / stepTimesMs.length;
         print({ figure: `${work.name}, ${name}: steps whole in time`, value: inTime, unit: 'share' });
         print({ figure: `${work.name}, ${name}: a step is whole after`, value: mean, unit: 'ms' });
       }
@@ -124,52 +124,59 @@
 };
 
 /** The time that each step takes until the groups that its trainer waits for are whole. */
-function runSteps(work: Workload, way: Way, seed: number): readonly number[] {
+function runSteps(work: Workload, way: Strategy, seed: number): readonly number[] {
   const random = new SeededRandom(seed);
-  const steps = Array.from({ length: STEPS }, (_, i) => newStep(work, random, i * work.everyMs));
+  const steps = Array.from({ length: STEPS }, (_, i) => newStep(work, random, i * work.intervalMs));
   const used = work.pacesMs.map(() => 0);
-  for (let nowMs = 0; steps.some(step => step.wholeMs === undefined); nowMs += TICK_MS) {
-    const open = steps.filter(step => step.startMs <= nowMs && step.wholeMs === undefined);
+  for (let nowMs = 0; steps.some(step => step.completedMs === undefined); nowMs += TICK_MS) {
+    const open = steps.filter(step => step.startMs <= nowMs && step.completedMs === undefined);
     for (const step of open) {
-      advance(step, work, used, nowMs);
-      placeWaiting(step, work, way, used, nowMs);
-      if (nowMs % MOVE_MS === 0) moveFromSlow(step, work, way, used, nowMs);
-      if (wholeGroups(step, work) >= work.wantedGroups) end(step, used, nowMs);
+      advanceItems(step, work, used, nowMs);
+      placeWaitingItems(step, work, way, used, nowMs);
+      if (nowMs % MOVE_MS === 0) moveSlowItems(step, work, way, used, nowMs);
+      if (countCompleteGroups(step, work) >= work.wantedGroups) finishStep(step, used, nowMs);
     }
   }
-  return steps.map(step => (step.wholeMs ?? 0) - step.startMs);
+  return steps.map(step => (step.completedMs ?? 0) - step.startMs);
 }
 
 function newStep(work: Workload, random: SeededRandom, startMs: number): ModelStep {
   const items = Array.from({ length: work.groups * work.groupSize }, (_, i): ModelItem => {
-    const events = drawEvents(work, random);
+    const events = drawEventCount(work, random);
     return {
       group: `g${Math.floor(i / work.groupSize)}`,
       events,
-      estimate: events * Math.exp(0.5 * drawNormal(random)),
-      beganMs: startMs,
+      estimatedEvents: events * Math.exp(0.5 * drawNormal(random)),
+      createdMs: startMs,
       done: 0,
       endpoint: undefined,
-      ranSinceMs: startMs,
+      runningSinceMs: startMs,
     };
   });
-  const estimates = items.map(item => item.estimate).sort((a, b) => b - a);
+  const estimates = items.map(item => item.estimatedEvents).sort((a, b) => b - a);
   const longFrom = estimates[Math.floor(estimates.length * LONG_SHARE)] ?? Infinity;
-  return { startMs, items, longFrom, groupEndpoints: new Map(), seen: new Map(), wholeMs: undefined };
+  return {
+    startMs,
+    items,
+    longThreshold: longFrom,
+    groupEndpoints: new Map(),
+    observedEvents: new Map(),
+    completedMs: undefined,
+  };
 }
 
 /** Lengths around the mean, a tenth of them five times as long, up to a bound. */
-function drawEvents({ meanEvents, maxEvents }: Workload, random: SeededRandom): number {
+function drawEventCount({ meanEvents, maxEvents }: Workload, random: SeededRandom): number {
   const spread = 0.84;
-  const isTail = random.below(DRAW) < 0.104 * DRAW;
+  const isTail = random.below(RANDOM_RESOLUTION) < 0.104 * RANDOM_RESOLUTION;
   const median = meanEvents / (1 + 0.104 * 4) / Math.exp((spread * spread) / 2);
   const length = median * Math.exp(spread * drawNormal(random)) * (isTail ? 5 : 1);
   return Math.max(1, Math.min(maxEvents, Math.round(length)));
 }
 
 function drawNormal(random: SeededRandom): number {
-  const u = (random.below(DRAW) + 1) / (DRAW + 1);
-  const v = random.below(DRAW) / DRAW;
+  const u = (random.below(RANDOM_RESOLUTION) + 1) / (RANDOM_RESOLUTION + 1);
+  const v = random.below(RANDOM_RESOLUTION) / RANDOM_RESOLUTION;
   return Math.sqrt(-2 * Math.log(u)) * Math.cos(2 * Math.PI * v);
 }
 
@@ -177,38 +184,44 @@
   return item.done < item.events;
 }
 
-function advance(step: ModelStep, work: Workload, used: number[], nowMs: number): void {
+function advanceItems(step: ModelStep, work: Workload, used: number[], nowMs: number): void {
   for (const item of step.items) {
-    if (item.endpoint === undefined || !isOpen(item) || nowMs <= item.ranSinceMs) continue;
-    const events = TICK_MS / (work.pacesMs[item.endpoint] ?? QUICK_MS);
+    if (item.endpoint === undefined || !isOpen(item) || nowMs <= item.runningSinceMs) continue;
+    const events = TICK_MS / (work.pacesMs[item.endpoint] ?? FAST_PACE_MS);
     item.done += events;
-    step.seen.set(item.endpoint, (step.seen.get(item.endpoint) ?? 0) + events);
-    if (!isOpen(item)) leave(item, used);
+    step.observedEvents.set(item.endpoint, (step.observedEvents.get(item.endpoint) ?? 0) + events);
+    if (!isOpen(item)) releaseItem(item, used);
   }
 }
 
-function placeWaiting(step: ModelStep, work: Workload, way: Way, used: number[], nowMs: number): void {
+function placeWaitingItems(
+  step: ModelStep,
+  work: Workload,
+  way: Strategy,
+  used: number[],
+  nowMs: number,
+): void {
   const waiting = step.items
     .filter(item => isOpen(item) && item.endpoint === undefined)
-    .sort((a, b) => b.estimate - a.estimate);
+    .sort((a, b) => b.estimatedEvents - a.estimatedEvents);
   for (const item of waiting) {
     const request = {
       groupEndpointId: step.groupEndpoints.get(item.group),
-      isLong: item.estimate >= step.longFrom || item.done > 0,
+      isLong: item.estimatedEvents >= step.longThreshold || item.done > 0,
       ownDomain: '',
       avoid: new Set<string>(),
     };
-    const found = placeItem(views(step, work, way, used), request, way.policy);
+    const found = placeItem(placementEndpoints(step, work, way, used), request, way.policy);
     if (!found) return;
     step.groupEndpoints.set(item.group, found.id);
-    begin(item, Number(found.id), used, nowMs);
+    startItem(item, Number(found.id), used, nowMs);
   }
 }
 
-function views(
+function placementEndpoints(
   step: ModelStep,
   work: Workload,
-  way: Way,
+  way: Strategy,
   used: readonly number[],
 ): readonly PlacementEndpoint[] {
   return work.pacesMs.map((paceMs, i) => ({
@@ -219,44 +232,44 @@
   }));
 }
 
-function isPaceKnown(step: ModelStep, { isTold }: Way, endpoint: number): boolean {
-  return isTold || (step.seen.get(endpoint) ?? 0) >= SEEN_EVENTS;
+function isPaceKnown(step: ModelStep, { hasSharedPaces: isTold }: Strategy, endpoint: number): boolean {
+  return isTold || (step.observedEvents.get(endpoint) ?? 0) >= MIN_OBSERVED_EVENTS;
 }
 
-function moveFromSlow(step: ModelStep, work: Workload, way: Way, used: number[], nowMs: number): void {
+function moveSlowItems(step: ModelStep, work: Workload, way: Strategy, used: number[], nowMs: number): void {
   for (const item of step.items) {
     if (item.endpoint === undefined || !isOpen(item)) continue;
     if (!isPaceKnown(step, way, item.endpoint)) continue;
-    const paceMs = work.pacesMs[item.endpoint] ?? QUICK_MS;
-    const ranMs = nowMs - item.ranSinceMs;
+    const paceMs = work.pacesMs[item.endpoint] ?? FAST_PACE_MS;
+    const runMs = nowMs - item.runningSinceMs;
     const other = work.pacesMs.findIndex(
       (otherMs, i) =>
-        (used[i] ?? 0) < work.places && isPaceKnown(step, way, i) && shouldMove(ranMs, paceMs, otherMs),
+        (used[i] ?? 0) < work.places && isPaceKnown(step, way, i) && shouldMove(runMs, paceMs, otherMs),
     );
     if (other < 0) continue;
-    leave(item, used);
-    begin(item, other, used, nowMs);
+    releaseItem(item, used);
+    startItem(item, other, used, nowMs);
   }
 }
 
-function begin(item: ModelItem, endpoint: number, used: number[], nowMs: number): void {
+function startItem(item: ModelItem, endpoint: number, used: number[], nowMs: number): void {
   used[endpoint] = (used[endpoint] ?? 0) + 1;
   item.endpoint = endpoint;
-  item.ranSinceMs = nowMs;
+  item.runningSinceMs = nowMs;
 }
 
-function leave(item: ModelItem, used: number[]): void {
+function releaseItem(item: ModelItem, used: number[]): void {
   if (item.endpoint !== undefined) used[item.endpoint] = (used[item.endpoint] ?? 1) - 1;
   item.endpoint = undefined;
 }
 
-function wholeGroups(step: ModelStep, work: Workload): number {
+function countCompleteGroups(step: ModelStep, work: Workload): number {
   const open = new Set(step.items.filter(isOpen).map(item => item.group));
   return work.groups - open.size;
 }
 
 /** What still runs of a step that is whole ends with it. */
-function end(step: ModelStep, used: number[], nowMs: number): void {
-  step.wholeMs = nowMs;
-  for (const item of step.items) leave(item, used);
+function finishStep(step: ModelStep, used: number[], nowMs: number): void {
+  step.completedMs = nowMs;
+  for (const item of step.items) releaseItem(item, used);
 }
--- a/packages/measure/src/requests.ts
+++ b/packages/measure/src/requests.ts
@@ -16,25 +16,25 @@
 const MEAN_GAP_MS = 40;
 const ROLLOUTS = 1200;
 const SEED = 31;
-const PATIENCE_MS = 600_000;
+const TIMEOUT_MS = 600_000;
 
 export const requests: Measurement = {
   name: 'requests',
   about: 'customer p99 beside rollouts; spread, retries and p99 with a third of the endpoints failing',
   async run(print) {
-    const quiet = await customersP99(false);
-    const busy = await customersP99(true);
-    print({ figure: 'customer p99, rollouts off', value: quiet.p99Ms, unit: 'ms' });
-    print({ figure: 'customer p99, rollouts saturate the pool', value: busy.p99Ms, unit: 'ms' });
+    const unloaded = await measureCustomers(false);
+    const loaded = await measureCustomers(true);
+    print({ figure: 'customer p99, rollouts off', value: unloaded.p99Ms, unit: 'ms' });
+    print({ figure: 'customer p99, rollouts saturate the pool', value: loaded.p99Ms, unit: 'ms' });
     print({
       figure: 'customer p99, rollouts on to off',
-      value: busy.p99Ms / quiet.p99Ms,
+      value: loaded.p99Ms / unloaded.p99Ms,
       unit: 'ratio',
       bound: '<= 1.5',
     });
     print({
       figure: 'customer requests lost or cut',
-      value: quiet.lost + busy.lost,
+      value: unloaded.lost + loaded.lost,
       unit: 'requests',
       bound: '<= 0',
     });
@@ -47,7 +47,7 @@
   },
 };
 
-async function customersP99(
+async function measureCustomers(
   hasRollouts: boolean,
 ): Promise<{ readonly p99Ms: number; readonly lost: number }> {
   const fleet = await SimFleet.start({
@@ -70,8 +70,8 @@
       })),
       maxTokens: 100,
       stalenessVersions: 9,
-      stalenessMs: PATIENCE_MS,
-      deadlineMs: PATIENCE_MS,
+      stalenessMs: TIMEOUT_MS,
+      deadlineMs: TIMEOUT_MS,
     };
     void new SimTrainer(fleet, spec, true).run();
     await fleet.clock.advance(3000);
@@ -102,7 +102,7 @@
       });
     await fleet.clock.advance(random.below(2 * MEAN_GAP_MS));
   }
-  await fleet.until('customers answered', () => timesMs.length === CUSTOMERS, PATIENCE_MS);
+  await fleet.until('customers answered', () => timesMs.length === CUSTOMERS, TIMEOUT_MS);
   await fleet.stop();
   timesMs.sort((a, b) => a - b);
   return { p99Ms: timesMs[Math.floor(0.99 * timesMs.length)] ?? 0, lost };
@@ -116,13 +116,13 @@
   const random = new SeededRandom(SEED);
   const policy = make(clock, random);
   const result = await runRouting(policy, clock, random);
-  const isOurs = policy instanceof ProductPolicy;
+  const isProduct = policy instanceof ProductPolicy;
   const tell = (name: string, value: number, unit: string, bound?: string): void =>
     print({
       figure: `${name}, ${policy.name}`,
       value,
       unit,
-      ...(bound !== undefined && isOurs ? { bound } : {}),
+      ...(bound !== undefined && isProduct ? { bound } : {}),
     });
   tell('p99, all endpoints well', result.healthyP99Ms, 'ms');
   tell('busiest endpoint to the mean, all well', result.spread, 'ratio');
--- a/packages/measure/src/routingSimulation.ts
+++ b/packages/measure/src/routingSimulation.ts
@@ -17,28 +17,28 @@
 const SLOTS = 8;
 const MIN_SERVICE_MS = 40;
 const SERVICE_SPREAD_MS = 80;
-const FAIL_MS = 2;
+const FAILURE_LATENCY_MS = 2;
 const REPORT_MS = 2000;
 const ARRIVAL_GAP_MS = 2;
-const WELL_MS = 15_000;
+const HEALTHY_MS = 15_000;
 const FAULT_MS = 15_000;
 const DEADLINE_MS = 3000;
 const RETRY_WAIT_MS = 10;
-const MAX_TRIES = 4;
+const MAX_ATTEMPTS = 4;
 
 /** What a policy is told and asked. Endpoints and hosts are numbers. */
 export interface RoutingPolicy {
   readonly name: string;
   /** The endpoint for a host's request, or undefined to wait. */
   choose(host: number, tried: ReadonlySet<number>): number | undefined;
-  onAttemptStart(host: number, endpoint: number): void;
-  onAttemptEnd(host: number, endpoint: number, isFailure: boolean): void;
+  began(host: number, endpoint: number): void;
+  ended(host: number, endpoint: number, isFailure: boolean): void;
   onReport(endpoint: number, inFlight: number, queued: number): void;
   onRequestStart(host: number): void;
   mayRetry(host: number): boolean;
 }
 
-const VIEW = { domain: 'd', pool: 'p', isLeaving: false, version: '' };
+const BASE_VIEW = { domain: 'd', pool: 'p', isLeaving: false, version: '' };
 
 /** The product's own decisions. */
 export class ProductPolicy implements RoutingPolicy {
@@ -53,7 +53,7 @@
     this._budgets = hosts.map(() => new RetryBudget(0.1, 20));
     this._views = hosts.map(() =>
       Array.from({ length: ENDPOINTS }, (_, i) => ({
-        ...VIEW,
+        ...BASE_VIEW,
         id: String(i),
         stats: new EndpointStats(clock),
         limit: new ConcurrencyLimit(SLOTS, HOSTS),
@@ -76,13 +76,13 @@
     return picked && Number(picked.id);
   }
 
-  onAttemptStart(host: number, endpoint: number): void {
+  began(host: number, endpoint: number): void {
     const view = this._views[host]?.[endpoint];
     view?.stats.began(false);
     view?.limit.recordUsage(view.stats.inFlight());
   }
 
-  onAttemptEnd(host: number, endpoint: number, isFailure: boolean): void {
+  ended(host: number, endpoint: number, isFailure: boolean): void {
     this._views[host]?.[endpoint]?.stats.ended(false, isFailure);
   }
 
@@ -113,11 +113,11 @@
     return next % ENDPOINTS;
   }
 
-  onAttemptStart(): void {
+  began(): void {
     // Round robin keeps no counts.
   }
 
-  onAttemptEnd(): void {
+  ended(): void {
     // Nor does it learn from failures.
   }
 
@@ -179,16 +179,16 @@
   random: SeededRandom,
 ): Promise<RoutingResult> {
   const endpoints = Array.from({ length: ENDPOINTS }, () => new SimEndpoint());
-  const world = new RoutingSimulation(policy, clock, random, endpoints);
-  const well = newPhase();
-  await world.run(well, WELL_MS);
+  const simulation = new RoutingSimulation(policy, clock, random, endpoints);
+  const healthy = newPhase();
+  await simulation.run(healthy, HEALTHY_MS);
   const served = endpoints.map(endpoint => endpoint.served);
   const spread = Math.max(...served) / (served.reduce((a, b) => a + b, 0) / ENDPOINTS);
   for (const endpoint of endpoints.slice(0, FAILING)) endpoint.isFailing = true;
   const fault = newPhase();
-  await world.run(fault, FAULT_MS);
+  await simulation.run(fault, FAULT_MS);
   return {
-    healthyP99Ms: p99(well.timesMs),
+    healthyP99Ms: p99(healthy.timesMs),
     faultP99Ms: p99(fault.timesMs),
     spread,
     lostShare: fault.lost / fault.requests,
@@ -236,26 +236,32 @@
     phase.requests += 1;
     const host = this._random.below(HOSTS);
     this._policy.onRequestStart(host);
-    this._try(phase, host, this._clock.nowMs(), new Set(), 1);
+    this._attempt(phase, host, this._clock.nowMs(), new Set(), 1);
   }
 
-  private _try(phase: Phase, host: number, startMs: number, tried: ReadonlySet<number>, tries: number): void {
+  private _attempt(
+    phase: Phase,
+    host: number,
+    startMs: number,
+    tried: ReadonlySet<number>,
+    tries: number,
+  ): void {
     if (this._clock.nowMs() - startMs > DEADLINE_MS) {
       phase.lost += 1;
       return;
     }
     const chosen = this._policy.choose(host, tried);
     if (chosen === undefined) {
-      this._clock.after(RETRY_WAIT_MS, () => this._try(phase, host, startMs, tried, tries));
+      this._clock.after(RETRY_WAIT_MS, () => this._attempt(phase, host, startMs, tried, tries));
       return;
     }
     phase.attempts += 1;
-    this._policy.onAttemptStart(host, chosen);
+    this._policy.began(host, chosen);
     this._serve(chosen, isFailure => {
-      this._policy.onAttemptEnd(host, chosen, isFailure);
+      this._policy.ended(host, chosen, isFailure);
       if (!isFailure) phase.timesMs.push(this._clock.nowMs() - startMs);
-      else if (tries < MAX_TRIES && this._policy.mayRetry(host)) {
-        this._try(phase, host, startMs, new Set([...tried, chosen]), tries + 1);
+      else if (tries < MAX_ATTEMPTS && this._policy.mayRetry(host)) {
+        this._attempt(phase, host, startMs, new Set([...tried, chosen]), tries + 1);
       } else phase.lost += 1;
     });
   }
@@ -265,7 +271,7 @@
     if (!endpoint) return;
     endpoint.served += 1;
     if (endpoint.isFailing) {
-      this._clock.after(FAIL_MS, () => done(true));
+      this._clock.after(FAILURE_LATENCY_MS, () => done(true));
       return;
     }
     const begin = (): void => {
--- a/packages/measure/src/ruleDecisions.ts
+++ b/packages/measure/src/ruleDecisions.ts
@@ -8,9 +8,9 @@
 const RULE_COUNTS = [10, 100, 1000];
 const DECISIONS = 200_000;
 const WARM_UP = 20_000;
-const NAMES = 200;
+const NAME_COUNT = 200;
 const SEED = 7;
-const MICROSECONDS = 1000;
+const MICROSECONDS_PER_MS = 1000;
 
 export const ruleDecisions: Measurement = {
   name: 'rules',
@@ -18,22 +18,22 @@
   async run(print) {
     for (const count of RULE_COUNTS) {
       const bound = count === 1000 ? { bound: '<= 5' } : {};
-      print({ figure: `rule decision, ${count} rules`, value: timeOne(count), unit: 'us', ...bound });
+      print({ figure: `rule decision, ${count} rules`, value: measureDecision(count), unit: 'us', ...bound });
       await Promise.resolve();
     }
   },
 };
 
-function timeOne(count: number): number {
+function measureDecision(count: number): number {
   const random = new SeededRandom(SEED);
-  const name = (): string => `n${random.below(NAMES)}`;
+  const name = (): string => `n${random.below(NAME_COUNT)}`;
   const rules = Array.from({ length: count }, (_, i): Rule => ({
     id: `rule-${i}`,
     team: 'team',
     when: { caller: [name(), name()], house: [name()], pool: [name(), name(), name()] },
     then: { retries: 1 },
   }));
-  const book = new RuleEvaluator({ revision: 1, rules, editIds: [] }, new SystemClock(), () => 0);
+  const evaluator = new RuleEvaluator({ revision: 1, rules, editIds: [] }, new SystemClock(), () => 0);
   const facts = Array.from({ length: 1024 }, (): RequestFacts => ({
     kind: 'completion',
     caller: name(),
@@ -47,11 +47,11 @@
   const decide = (n: number): void => {
     for (let i = 0; i < n; i++) {
       const one = facts[i % facts.length];
-      if (one && book.decide(one).ruleId !== undefined) decided += 1;
+      if (one && evaluator.decide(one).ruleId !== undefined) decided += 1;
     }
   };
   decide(WARM_UP);
   const startMs = performance.now();
   decide(DECISIONS);
-  return decided < 0 ? 0 : ((performance.now() - startMs) / DECISIONS) * MICROSECONDS;
+  return decided < 0 ? 0 : ((performance.now() - startMs) / DECISIONS) * MICROSECONDS_PER_MS;
 }
--- a/packages/measure/src/steps.ts
+++ b/packages/measure/src/steps.ts
@@ -15,11 +15,11 @@
 import type { Figure, Measurement } from './figure.js';
 
 const LEDGER_SAMPLES = 8192;
-const GROUP = 16;
-const CHUNK = 256;
+const GROUP_SIZE = 16;
+const CHUNK_SIZE = 256;
 const SAMPLE_TEXT = 'x'.repeat(2000);
 const WORKERS = 32;
-const BATCH = 8;
+const ASSIGNMENT_SIZE = 8;
 
 const ENGINES = 8;
 const SLOTS = 8;
@@ -27,7 +27,7 @@
 const SLOW_ENGINE_FACTOR = 6;
 const STEPS = 6;
 const TRAINING_MS = 8000;
-const LIMIT_MS = 3_600_000;
+const TIME_LIMIT_MS = 3_600_000;
 const SEED = 17;
 
 export const steps: Measurement = {
@@ -52,8 +52,8 @@
     })),
     maxTokens: 4096,
     stalenessVersions: 4,
-    stalenessMs: LIMIT_MS,
-    deadlineMs: LIMIT_MS,
+    stalenessMs: TIME_LIMIT_MS,
+    deadlineMs: TIME_LIMIT_MS,
   };
 }
 
@@ -90,7 +90,7 @@
 }
 
 async function measureLedger(print: (figure: Figure) => void): Promise<void> {
-  const spec = specOf('big', 1, LEDGER_SAMPLES / GROUP, GROUP);
+  const spec = specOf('big', 1, LEDGER_SAMPLES / GROUP_SIZE, GROUP_SIZE);
   const clock = new VirtualClock();
   const random = new SeededRandom(SEED);
   const store = new CountingStore();
@@ -102,7 +102,8 @@
   const stored = { head, headVersion: 1, spec, chunks: [] };
   const owner = new StepOwner(stored, { key: 'big/1', clock, random, store, hedgeShare: 0.05 });
   for (let i = 0; owner.ledger.counts().open > 0; i++) {
-    for (const one of owner.assign(`w${i % WORKERS}`, BATCH).assignments) owner.sampleDone(sampleOf(one));
+    for (const one of owner.assign(`w${i % WORKERS}`, ASSIGNMENT_SIZE).assignments)
+      owner.sampleDone(sampleOf(one));
   }
   const filledMs = performance.now() - startMs;
   globalThis.gc?.();
@@ -115,7 +116,7 @@
       cursor,
       generation: cursor === 0 ? 0 : 1,
       trainerVersion: 1,
-      maxSamples: CHUNK,
+      maxSamples: CHUNK_SIZE,
     };
     const reply = await owner.take(request);
     if (reply.kind !== 'chunk') break;
@@ -159,8 +160,8 @@
   readonly hedgeShare: number;
 }
 
-const OURS: Policy = { name: 'fair, hedged', isFair: true, hedgeShare: 0.05 };
-const BASELINE: Policy = { name: 'first come, first served', isFair: false, hedgeShare: 0 };
+const PRODUCT_POLICY: Policy = { name: 'fair, hedged', isFair: true, hedgeShare: 0.05 };
+const BASELINE_POLICY: Policy = { name: 'first come, first served', isFair: false, hedgeShare: 0 };
 
 /** Two houses: one opens large steps, the other small ones. Lengths have a heavy tail, one engine is slow. */
 const HOUSES = [
@@ -170,12 +171,12 @@
 type House = (typeof HOUSES)[number];
 
 async function measureIdle(print: (figure: Figure) => void): Promise<void> {
-  const ours = await runPolicy(OURS, HOUSES);
-  const baseline = await runPolicy(BASELINE, HOUSES);
-  const alone = await runPolicy(OURS, [HOUSES[1]], 0.5);
+  const product = await runPolicy(PRODUCT_POLICY, HOUSES);
+  const baseline = await runPolicy(BASELINE_POLICY, HOUSES);
+  const alone = await runPolicy(PRODUCT_POLICY, [HOUSES[1]], 0.5);
   for (const [name, run] of [
-    [OURS.name, ours],
-    [BASELINE.name, baseline],
+    [PRODUCT_POLICY.name, product],
+    [BASELINE_POLICY.name, baseline],
   ] as const) {
     print({ figure: `idle share of both trainers, ${name}`, value: run.idleShare, unit: 'ratio' });
     print({ figure: `step time of the small house, ${name}`, value: run.stepMs.small ?? 0, unit: 'ms' });
@@ -183,14 +184,14 @@
   }
   print({
     figure: 'idle share, ours to the baseline',
-    value: ours.idleShare / baseline.idleShare,
+    value: product.idleShare / baseline.idleShare,
     unit: 'ratio',
     bound: '<= 0.5',
   });
-  const light = (ours.stepMs.small ?? 0) / (alone.stepMs.small ?? 1);
+  const slowdown = (product.stepMs.small ?? 0) / (alone.stepMs.small ?? 1);
   print({
     figure: "small house's step time to its share alone",
-    value: light,
+    value: slowdown,
     unit: 'ratio',
     bound: '<= 1.2',
   });
@@ -235,20 +236,20 @@
   };
   const engines = Math.max(1, Math.round(ENGINES * engineShare));
   for (let slot = 0; slot < engines * SLOTS; slot++) {
-    workForever({ slot, clock, random, schedule, running, policy, finish });
+    runSlot({ slot, clock, random, schedule, running, policy, finish });
   }
   for (const house of houses) open(house);
   const isDone = (): boolean => running.length === 0 && [...left.values()].every(count => count === 0);
-  while (!isDone() && clock.nowMs() < LIMIT_MS) await clock.advance(1000);
+  while (!isDone() && clock.nowMs() < TIME_LIMIT_MS) await clock.advance(1000);
   const all = [...durations.values()].flat();
-  const waitedMs = all.reduce((sum, ms) => sum + ms, 0);
+  const idleMs = all.reduce((sum, ms) => sum + ms, 0);
   const stepMs = Object.fromEntries(
     [...durations].map(([house, list]) => [house, list.reduce((a, b) => a + b, 0) / list.length]),
   );
-  return { idleShare: waitedMs / (waitedMs + all.length * TRAINING_MS), stepMs };
+  return { idleShare: idleMs / (idleMs + all.length * TRAINING_MS), stepMs };
 }
 
-interface SlotScene {
+interface SlotContext {
   readonly slot: number;
   readonly clock: VirtualClock;
   readonly random: Random;
@@ -259,8 +260,8 @@
 }
 
 /** One place of an engine: takes a sample, makes it, takes the next. */
-function workForever(scene: SlotScene): void {
-  const { clock, running, policy, schedule, random, slot } = scene;
+function runSlot(context: SlotContext): void {
+  const { clock, running, policy, schedule, random, slot } = context;
   const servable = running
     .filter(step => step.ledger.hasWork())
     .map(step => ({ step, key: '', house: step.plan.house, share: 0.5, deadlineInMs: step.startedMs }));
@@ -269,29 +270,29 @@
     : servable.toSorted((a, b) => a.deadlineInMs - b.deadlineInMs)[0];
   const [assignment] = chosen?.step.ledger.assign(`slot-${slot}`, 1).assignments ?? [];
   if (!chosen || !assignment) {
-    clock.after(100, () => workForever(scene));
+    clock.after(100, () => runSlot(context));
     return;
   }
   const { step } = chosen;
-  const tokens = heavyTailed(random);
+  const tokens = drawTokenCount(random);
   schedule.charge(step.plan.house, 0.5, tokens);
   // One engine is six times slower than the others, as one that swaps to disk would be.
   const tokenMs = slot < SLOTS ? TOKEN_MS * SLOW_ENGINE_FACTOR : TOKEN_MS;
   clock.after(tokens * tokenMs, () => {
     if (step.ledger.sampleDone({ ...sampleOf(assignment), text: '' }) === 'taken')
-      handOver(step, scene.finish);
-    workForever(scene);
+      deliverReady(step, context.finish);
+    runSlot(context);
   });
 }
 
-function handOver(step: RunningStep, finish: (step: RunningStep) => void): void {
+function deliverReady(step: RunningStep, finish: (step: RunningStep) => void): void {
   const ready = step.ledger.readyGroups(1, Number.MAX_SAFE_INTEGER);
   step.ledger.markDelivered(ready.map(({ sample }) => sample.slot));
   if (step.ledger.isOver()) finish(step);
 }
 
 /** Between 50 and 2,000 tokens; one in twenty is ten times as long as most. */
-function heavyTailed(random: Random): number {
+function drawTokenCount(random: Random): number {
   const base = 50 + random.below(150);
   return random.below(20) === 0 ? base * 10 : base;
 }
--- a/packages/standins/src/engineStandIn.ts
+++ b/packages/standins/src/engineStandIn.ts
@@ -1,5 +1,5 @@
 /**
- * A model engine: streams tokens with the weight version of each, reports load with a lag, takes orders.
+ * A model engine that streams tokens with their weight versions, reports its load with a lag, and accepts weight orders.
  */
 import type { FastifyReply, FastifyRequest } from 'fastify';
 import { hash32 } from '@fuchsiahitch/base';
@@ -18,14 +18,14 @@
 
 export interface EngineOptions {
   readonly id: string;
-  /** Generations that run at the same time; more wait, the high priority first. */
+  /** Number of concurrent generations. Others are queued, high priority first. */
   readonly slots: number;
   readonly tokenMs: number;
   readonly meanTokens: number;
   readonly swapMs: number;
   readonly reportLagMs: number;
   readonly checksFencing: boolean;
-  /** Asked before each load; absent for none. */
+  /** Weight store that must permit each load; empty for none. */
   readonly weightStoreUrl: string;
 }
 
@@ -40,21 +40,21 @@
   weightStoreUrl: '',
 };
 
-interface Report {
+interface LoadSample {
   readonly in_flight: number;
   readonly queued: number;
 }
 
-interface Waiting {
-  readonly isUrgent: boolean;
-  readonly go: () => void;
+interface QueuedGeneration {
+  readonly isHighPriority: boolean;
+  readonly start: () => void;
 }
 
 const VOCABULARY = ['sky', 'star', 'night', 'moon', 'quest', 'forge', 'tale', 'wind', 'river', 'stone'];
 const TAIL_EVERY = 10;
 const TAIL_FACTOR = 5;
 
-/** The length of a prompt's answer: the same each time, and for one prompt in ten five times as long. */
+/** Number of tokens of the answer to a prompt. Deterministic; one prompt in ten has an answer five times as long. */
 export function answerLength(prompt: string, meanTokens: number, maxTokens: number): number {
   const hash = hash32(prompt);
   const isTail = hash % TAIL_EVERY === 0;
@@ -62,7 +62,7 @@
   return Math.min(maxTokens, isTail ? TAIL_FACTOR * length : length);
 }
 
-/** Token number `index` of a prompt's answer. It depends on both only, so that tests see doubled or lost ones. */
+/** Token `index` of the answer to a prompt. Deterministic, so that tests detect duplicated and missing tokens. */
 export function answerToken(prompt: string, index: number): string {
   return `${VOCABULARY[hash32(`${prompt}/${index}`) % VOCABULARY.length] ?? ''}${index} `;
 }
@@ -70,11 +70,11 @@
 export class EngineStandIn extends StandIn {
   readonly startId = String(Date.now() + Math.random());
   private readonly _options: EngineOptions;
-  private readonly _waiting: Waiting[] = [];
-  private readonly _loads: Report[] = [];
+  private readonly _queue: QueuedGeneration[] = [];
+  private readonly _loadSamples: LoadSample[] = [];
   private _running = 0;
   private _version = 1;
-  private _highestToken = 0;
+  private _highestFencingToken = 0;
   private _isLeaving = false;
   private _isSwapping = false;
   private _completions = 0;
@@ -89,19 +89,19 @@
       this.leave();
       return {};
     });
-    this.repeat(Math.max(10, this._options.reportLagMs), () => this._sample());
+    this.repeat(Math.max(10, this._options.reportLagMs), () => this._sampleLoad());
   }
 
   get version(): number {
     return this._version;
   }
 
-  /** Completions that were begun. */
+  /** Number of completions started. */
   get completions(): number {
     return this._completions;
   }
 
-  /** Begins to leave: what runs goes on, nothing new is taken. */
+  /** Starts to drain: running completions continue, new ones are refused. */
   leave(): void {
     this._isLeaving = true;
   }
@@ -120,23 +120,23 @@
         .send({ error: 'not taken' });
       return;
     }
-    let isGone = false;
+    let isClosed = false;
     reply.raw.on('close', () => {
-      isGone = true;
+      isClosed = true;
     });
-    await this._begin(completion.priority === 'high');
+    await this._acquireSlot(completion.priority === 'high');
     this._completions += 1;
     try {
-      await this._stream(completion, reply, () => isGone);
+      await this._stream(completion, reply, () => isClosed);
     } finally {
-      this._end();
+      this._releaseSlot();
     }
   }
 
   private async _stream(
     completion: z.infer<typeof completionSchema>,
     reply: FastifyReply,
-    isGone: () => boolean,
+    isClosed: () => boolean,
   ): Promise<void> {
     const { raw } = reply;
     reply.hijack();
@@ -144,8 +144,8 @@
     const { prompt, max_tokens: maxTokens, resume_tokens: from } = completion;
     const length = answerLength(prompt, this._options.meanTokens, maxTokens);
     const { breakAfterTokens } = this.faults.current;
-    for (let i = from; i < length && !isGone(); i++) {
-      while (this._isSwapping && !isGone()) await pause(this._options.tokenMs);
+    for (let i = from; i < length && !isClosed(); i++) {
+      while (this._isSwapping && !isClosed()) await pause(this._options.tokenMs);
       await pause(this._options.tokenMs);
       if (breakAfterTokens > 0 && i - from >= breakAfterTokens) {
         raw.destroy();
@@ -163,38 +163,38 @@
     raw.end();
   }
 
-  private async _begin(isUrgent: boolean): Promise<void> {
+  private async _acquireSlot(isUrgent: boolean): Promise<void> {
     if (this._running < this._options.slots) {
       this._running += 1;
       return;
     }
-    await new Promise<void>(resolve => this._waiting.push({ isUrgent, go: resolve }));
+    await new Promise<void>(resolve => this._queue.push({ isHighPriority: isUrgent, start: resolve }));
   }
 
-  private _end(): void {
-    const urgent = this._waiting.findIndex(waiting => waiting.isUrgent);
-    const [next] = this._waiting.splice(Math.max(0, urgent), 1);
-    if (next) next.go();
+  private _releaseSlot(): void {
+    const highPriority = this._queue.findIndex(waiting => waiting.isHighPriority);
+    const [next] = this._queue.splice(Math.max(0, highPriority), 1);
+    if (next) next.start();
     else this._running -= 1;
   }
 
-  private _sample(): void {
-    this._loads.push({ in_flight: this._running, queued: this._waiting.length });
-    if (this._loads.length > 2) this._loads.shift();
+  private _sampleLoad(): void {
+    this._loadSamples.push({ in_flight: this._running, queued: this._queue.length });
+    if (this._loadSamples.length > 2) this._loadSamples.shift();
   }
 
   private _report(): unknown {
-    const load = this._loads[0] ?? { in_flight: 0, queued: 0 };
+    const load = this._loadSamples[0] ?? { in_flight: 0, queued: 0 };
     return { ...load, weight_version: this._version, start_id: this.startId, leaving: this._isLeaving };
   }
 
   private async _order(request: FastifyRequest, reply: FastifyReply): Promise<void> {
     const { version, token } = orderSchema.parse(request.body);
-    if (this._options.checksFencing && token < this._highestToken) {
+    if (this._options.checksFencing && token < this._highestFencingToken) {
       await reply.status(409).send({ error: 'an order with a later fencing token came before' });
       return;
     }
-    this._highestToken = Math.max(this._highestToken, token);
+    this._highestFencingToken = Math.max(this._highestFencingToken, token);
     if (this.faults.consume('failSwaps')) {
       await reply.status(500).send({ error: 'swap failed' });
       return;
@@ -205,15 +205,15 @@
 
   private async _swap(version: number): Promise<void> {
     if (this.faults.current.areSwapsIgnored || version === this._version) return;
-    if (!(await this._mayLoad())) return;
+    if (!(await this._requestLoad())) return;
     this._isSwapping = true;
     await pause(this._options.swapMs);
     this._version = version;
     this._isSwapping = false;
   }
 
-  /** The weight store refuses loads above its rate; the swap then fails without a word. */
-  private async _mayLoad(): Promise<boolean> {
+  /** Returns whether the weight store permits a load. If it does not, the swap is dropped without an error. */
+  private async _requestLoad(): Promise<boolean> {
     if (this._options.weightStoreUrl === '') return true;
     try {
       return (await fetch(`${this._options.weightStoreUrl}/load`, { method: 'POST' })).ok;
--- a/packages/standins/src/faults.ts
+++ b/packages/standins/src/faults.ts
@@ -1,34 +1,33 @@
 /**
- * Faults that a stand-in takes by request: `POST /faults` with a JSON body replaces the faults in force.
+ * Fault injection for stand-ins. `POST /faults` with a JSON body replaces the active faults.
  */
 import type { FastifyInstance } from 'fastify';
 import * as z from 'zod';
 
 export const faultsSchema = z
   .strictObject({
-    /** No call is answered: connections are cut. */
+    /** Closes the connection of every call. */
     isDown: z.boolean().default(false),
-    /** Each call is answered this much later. */
+    /** Delays every call. */
     delayMs: z.number().int().min(0).default(0),
-    /** This many calls take effect, and their answers are lost. */
+    /** Number of calls that take effect but lose their answers. */
     loseAnswers: z.number().int().min(0).default(0),
-    /** Watches stay open and report nothing. */
+    /** Keeps watches open without sending events. */
     areWatchesSilent: z.boolean().default(false),
-    /** This many weight loads fail. */
+    /** Number of weight loads that fail. */
     failSwaps: z.number().int().min(0).default(0),
-    /** Weight loads end without a word and without effect. */
+    /** Accepts weight loads without executing them. */
     areSwapsIgnored: z.boolean().default(false),
-    /** Every call is answered at once with this status; 0 for none. */
+    /** Answers every call with this status; 0 for none. */
     failStatus: z.number().int().min(0).max(599).default(0),
-    /** Streams break after this many tokens; 0 for never. */
+    /** Breaks streams after this many tokens; 0 for never. */
     breakAfterTokens: z.number().int().min(0).default(0),
-    /** This many requests are refused before they run, as a busy endpoint does. */
+    /** Number of requests refused before execution, as by a busy endpoint. */
     refuse: z.number().int().min(0).default(0),
   })
   .readonly();
 export type Faults = z.infer<typeof faultsSchema>;
 
-/** The faults of one stand-in. */
 export class FaultControl {
   private _faults: Faults = faultsSchema.parse({});
 
@@ -40,14 +39,14 @@
     this._faults = faultsSchema.parse(faults);
   }
 
-  /** Uses up one of a counted fault. */
+  /** Consumes one occurrence of a counted fault. Returns false if none is left. */
   consume(kind: 'loseAnswers' | 'failSwaps' | 'refuse'): boolean {
     if (this._faults[kind] === 0) return false;
     this._faults = { ...this._faults, [kind]: this._faults[kind] - 1 };
     return true;
   }
 
-  /** Serves `POST /faults`, and applies the faults that concern every call. */
+  /** Serves `POST /faults` and applies the faults that affect every call. */
   install(server: FastifyInstance): void {
     server.post('/faults', (request, reply) => {
       const parsed = faultsSchema.safeParse(request.body);
@@ -65,7 +64,7 @@
   }
 }
 
-/** Waits in real time: a stand-in plays the part of something outside. */
+/** Waits in real time; stand-ins do not use the virtual clock. */
 export async function pause(durationMs: number): Promise<void> {
   await new Promise<void>(resolve => setTimeout(resolve, durationMs));
 }
--- a/packages/standins/src/index.ts
+++ b/packages/standins/src/index.ts
@@ -1,4 +1,4 @@
-/** Small stand-ins of the outside systems, for tests, measurements and the demo. */
+/** Stand-ins for external systems, for tests, measurements and the demo. */
 export * from './engineStandIn.js';
 export * from './faults.js';
 export * from './keyValueStandIn.js';
--- a/packages/standins/src/keyValueStandIn.ts
+++ b/packages/standins/src/keyValueStandIn.ts
@@ -1,12 +1,12 @@
 /**
- * The key-value service: the part of etcd's version 3 JSON gateway that the system uses.
+ * A key-value service that implements the part of etcd's v3 JSON gateway that the system uses.
  */
 import type { FastifyReply, FastifyRequest } from 'fastify';
 import type { ServerResponse } from 'node:http';
 import * as z from 'zod';
 import { StandIn } from './standIn.js';
 
-const MS_A_SECOND = 1000;
+const MS_PER_SECOND = 1000;
 const LEASE_SCAN_MS = 200;
 
 const rangeSchema = z.object({ key: z.string(), range_end: z.string().default('') });
@@ -46,7 +46,7 @@
   untilMs: number;
 }
 
-/** Calls that were counted, as the platform counts them. */
+/** Numbers of calls, counted as the platform counts them. */
 export interface CallCounts {
   reads: number;
   writes: number;
@@ -67,18 +67,18 @@
     this.server.post('/v3/kv/range', (request, reply) => this._range(request, reply));
     this.server.post('/v3/kv/txn', (request, reply) => this._txn(request, reply));
     this.server.post('/v3/lease/grant', (request, reply) => this._grant(request, reply));
-    this.server.post('/v3/lease/keepalive', (request, reply) => this._keep(request, reply));
+    this.server.post('/v3/lease/keepalive', (request, reply) => this._renewLease(request, reply));
     this.server.post('/v3/watch', (request, reply) => this._watch(request, reply));
     this.server.get('/counts', () => this.counts);
     this.repeat(LEASE_SCAN_MS, () => this._expireLeases());
   }
 
-  /** Remembers the present content, to be restored later as an older copy. */
+  /** Saves the current content for `restore`. */
   save(): void {
     this._saved = { entries: new Map(this._entries), revision: this._revision };
   }
 
-  /** Goes back to the saved content, as a store restored from an older copy does. */
+  /** Restores the saved content and closes all watches, as a restore from a backup does. */
   restore(): void {
     if (!this._saved) return;
     this._entries.clear();
@@ -86,7 +86,7 @@
     for (const watch of this._watches) watch.response.destroy();
   }
 
-  private _answer(reply: FastifyReply, body: unknown): FastifyReply {
+  private _sendReply(reply: FastifyReply, body: unknown): FastifyReply {
     if (this.faults.consume('loseAnswers')) {
       reply.raw.socket?.destroy();
       return reply;
@@ -98,37 +98,37 @@
     this.counts.reads += 1;
     const range = rangeSchema.parse(request.body);
     const kvs = this._keysIn(range).map(key => this._toKv(key));
-    return this._answer(reply, { header: this._header(), kvs, count: String(kvs.length) });
+    return this._sendReply(reply, { header: this._header(), kvs, count: String(kvs.length) });
   }
 
   private _txn(request: FastifyRequest, reply: FastifyReply): FastifyReply {
     this.counts.writes += 1;
     const txn = txnSchema.parse(request.body);
-    const isTrue = txn.compare.every(
+    const areComparesMet = txn.compare.every(
       ({ key, mod_revision }) => this._modRevision(key) === Number(mod_revision),
     );
-    if (isTrue) {
+    if (areComparesMet) {
       this._revision += 1;
       for (const operation of txn.success) this._apply(operation);
     }
-    return this._answer(reply, { header: this._header(), succeeded: isTrue });
+    return this._sendReply(reply, { header: this._header(), succeeded: areComparesMet });
   }
 
   private _grant(request: FastifyRequest, reply: FastifyReply): FastifyReply {
     this.counts.writes += 1;
     const { TTL } = grantSchema.parse(request.body);
     const id = String(this._nextLease++);
-    this._leases.set(id, { ttlMs: TTL * MS_A_SECOND, untilMs: performance.now() + TTL * MS_A_SECOND });
-    return this._answer(reply, { header: this._header(), ID: id, TTL: String(TTL) });
+    this._leases.set(id, { ttlMs: TTL * MS_PER_SECOND, untilMs: performance.now() + TTL * MS_PER_SECOND });
+    return this._sendReply(reply, { header: this._header(), ID: id, TTL: String(TTL) });
   }
 
-  private _keep(request: FastifyRequest, reply: FastifyReply): FastifyReply {
+  private _renewLease(request: FastifyRequest, reply: FastifyReply): FastifyReply {
     this.counts.writes += 1;
     const { ID } = leaseSchema.parse(request.body);
     const lease = this._leases.get(ID);
     if (lease) lease.untilMs = performance.now() + lease.ttlMs;
-    const TTL = String((lease?.ttlMs ?? 0) / MS_A_SECOND);
-    return this._answer(reply, { result: { header: this._header(), ID, TTL } });
+    const TTL = String((lease?.ttlMs ?? 0) / MS_PER_SECOND);
+    return this._sendReply(reply, { result: { header: this._header(), ID, TTL } });
   }
 
   private _watch(request: FastifyRequest, reply: FastifyReply): FastifyReply {
@@ -164,7 +164,7 @@
     const kv = type === 'PUT' ? this._toKv(key) : { key, mod_revision: String(this._revision) };
     const line = `${JSON.stringify({ result: { header: this._header(), events: [{ type, kv }] } })}\n`;
     for (const watch of this._watches) {
-      if (isIn(key, watch.key, watch.rangeEnd)) watch.response.write(line);
+      if (isInRange(key, watch.key, watch.rangeEnd)) watch.response.write(line);
     }
   }
 
@@ -180,8 +180,8 @@
   }
 
   private _keysIn(range: { readonly key: string; readonly range_end: string }): readonly string[] {
-    const keys = [...this._entries.keys()].filter(key => isIn(key, range.key, range.range_end));
-    return keys.sort((a, b) => Buffer.compare(bytes(a), bytes(b)));
+    const keys = [...this._entries.keys()].filter(key => isInRange(key, range.key, range.range_end));
+    return keys.sort((a, b) => Buffer.compare(decodeKey(a), decodeKey(b)));
   }
 
   private _modRevision(key: string): number {
@@ -198,12 +198,12 @@
   }
 }
 
-function bytes(base64: string): Buffer {
+function decodeKey(base64: string): Buffer {
   return Buffer.from(base64, 'base64');
 }
 
-function isIn(key: string, start: string, end: string): boolean {
+function isInRange(key: string, start: string, end: string): boolean {
   if (end === '') return key === start;
-  const at = bytes(key);
-  return Buffer.compare(at, bytes(start)) >= 0 && Buffer.compare(at, bytes(end)) < 0;
+  const keyBytes = decodeKey(key);
+  return Buffer.compare(keyBytes, decodeKey(start)) >= 0 && Buffer.compare(keyBytes, decodeKey(end)) < 0;
 }
--- a/packages/standins/src/main.ts
+++ b/packages/standins/src/main.ts
@@ -1,5 +1,5 @@
 /**
- * One program for all stand-ins: `fuchsiahitch-standin --kind KIND`.
+ * Runs a stand-in: `fuchsiahitch-standin --kind KIND`.
  */
 import {
   addressSchema,
@@ -21,7 +21,7 @@
 const PROGRAM = 'fuchsiahitch-standin';
 const kinds = ['key-value', 'members', 'engine', 'weight-store', 'service', 'scorer'] as const;
 
-const table = {
+const settingsTable = {
   kind: { schema: z.enum(kinds), help: `one of ${kinds.join(', ')}` },
   address: { schema: addressSchema, help: 'IP:port to listen on', fallback: '127.0.0.1:0' },
   id: { schema: nameSchema, help: 'the name of an engine or service', fallback: 'standin' },
@@ -51,11 +51,11 @@
   'lag-ms': { schema: integerSchema(0, 60_000), help: 'lag of the membership list', fallback: '500' },
 };
 
-const settings = readSettings(PROGRAM, table, process.argv.slice(2), process.env);
+const settings = readSettings(PROGRAM, settingsTable, process.argv.slice(2), process.env);
 if (!settings.ok) exitWith(PROGRAM, PROGRAM_VERSION, settings.error);
 const values = settings.value;
 
-function make(): StandIn {
+function createStandIn(): StandIn {
   switch (values.kind) {
     case 'key-value':
       return new KeyValueStandIn();
@@ -80,6 +80,6 @@
   }
 }
 
-const address = await make().listen(values.address);
+const address = await createStandIn().listen(values.address);
 process.stdout.write(`${JSON.stringify({ kind: values.kind, id: values.id, address })}\n`);
 process.on('SIGTERM', () => process.exit(0));
--- a/packages/standins/src/memberStandIn.ts
+++ b/packages/standins/src/memberStandIn.ts
@@ -1,5 +1,5 @@
 /**
- * The platform's membership list, with a lag.
+ * The platform's membership list. Changes become visible after a lag.
  */
 import * as z from 'zod';
 import { StandIn } from './standIn.js';
@@ -26,9 +26,7 @@
   remove: z.string().optional(),
 });
 
-/** A host of the list. */
 export type ListedHost = z.infer<typeof hostSchema>;
-/** An endpoint of the list. */
 export type ListedEndpoint = z.infer<typeof endpointSchema>;
 
 interface DomainList {
@@ -41,7 +39,6 @@
   private readonly _domains = new Map<string, DomainList>();
   private readonly _lagMs: number;
 
-  /** `lagMs`: how much later a change shows. */
   constructor(lagMs = 0) {
     super();
     this._lagMs = lagMs;
@@ -55,7 +52,7 @@
     });
   }
 
-  /** Changes the list, after its lag. */
+  /** Applies a change after the lag. */
   change(change: z.infer<typeof changeSchema>): void {
     if (this._lagMs === 0) this._apply(change);
     else setTimeout(() => this._apply(change), this._lagMs).unref();
--- a/packages/standins/src/scorerStandIn.ts
+++ b/packages/standins/src/scorerStandIn.ts
@@ -1,12 +1,12 @@
 /**
- * The service that scores samples, and counts how often it scored each.
+ * A scoring service that counts how often it scored each sample.
  */
 import { hash32 } from '@fuchsiahitch/base';
 import * as z from 'zod';
 import { StandIn } from './standIn.js';
 
 const scoreSchema = z.object({ sample_id: z.string(), prompt: z.string(), text: z.string() });
-const SCORE_STEPS = 1000;
+const SCORE_LEVELS = 1000;
 
 export class ScorerStandIn extends StandIn {
   private readonly _scores = new Map<string, number>();
@@ -16,7 +16,7 @@
     super();
     this.server.post('/score', (request, reply) => {
       const { sample_id: sampleId, text } = scoreSchema.parse(request.body);
-      const score = (hash32(text) % SCORE_STEPS) / SCORE_STEPS;
+      const score = (hash32(text) % SCORE_LEVELS) / SCORE_LEVELS;
       this._runs.set(sampleId, (this._runs.get(sampleId) ?? 0) + 1);
       this._scores.set(sampleId, score);
       if (this.faults.consume('loseAnswers')) {
@@ -33,7 +33,7 @@
     this.server.get('/runs', () => Object.fromEntries(this._runs));
   }
 
-  /** How often each sample was scored. */
+  /** Number of times each sample was scored. */
   get runs(): ReadonlyMap<string, number> {
     return this._runs;
   }
--- a/packages/standins/src/serviceStandIn.ts
+++ b/packages/standins/src/serviceStandIn.ts
@@ -1,5 +1,5 @@
 /**
- * A plain service that takes seat holds and counts the runs of each key: the witness of "at most once".
+ * A plain service for seat holds. It counts executions per idempotency key, so that tests can verify at-most-once execution.
  */
 import type { FastifyReply, FastifyRequest } from 'fastify';
 import { pause } from './faults.js';
@@ -11,7 +11,7 @@
 }
 
 export class ServiceStandIn extends StandIn {
-  /** The headers of each lookup, as they came. */
+  /** Headers of each lookup as received. */
   readonly lookups: Readonly<Record<string, unknown>>[] = [];
   private readonly _runs = new Map<string, number>();
   private readonly _options: ServiceOptions;
@@ -32,7 +32,7 @@
     });
   }
 
-  /** How often each key ran. */
+  /** Number of executions per idempotency key. */
   get runs(): ReadonlyMap<string, number> {
     return this._runs;
   }
--- a/packages/standins/src/standIn.ts
+++ b/packages/standins/src/standIn.ts
@@ -1,5 +1,5 @@
 /**
- * What all stand-ins share: a small HTTP server with faults.
+ * Base class of the stand-ins: an HTTP server with fault injection.
  */
 import Fastify, { type FastifyInstance } from 'fastify';
 import { every, splitAddress, SystemClock } from '@fuchsiahitch/base';
@@ -18,7 +18,7 @@
     this.faults.install(this.server);
   }
 
-  /** Starts to listen on `IP:port`; port 0 takes a free one. */
+  /** Listens on `IP:port`. Port 0 selects a free port. */
   async listen(address: string): Promise<string> {
     const { ip, port } = splitAddress(address);
     await this.server.listen({ host: ip, port });
@@ -27,7 +27,7 @@
     return this._address;
   }
 
-  /** Does something regularly until the stand-in is closed. */
+  /** Runs `step` periodically until the stand-in is closed. */
   protected repeat(periodMs: number, step: () => void): void {
     every(new SystemClock(), periodMs, this._closed.signal, step);
   }
--- a/packages/standins/src/trainer.ts
+++ b/packages/standins/src/trainer.ts
@@ -1,5 +1,5 @@
 /**
- * A trainer that merely asks again: opens steps, takes chunks by cursor, counts what it got.
+ * A trainer that opens steps, fetches chunks by cursor and retries failed calls.
  */
 import { request } from 'undici';
 import {
@@ -12,20 +12,20 @@
 } from '@fuchsiahitch/steps';
 import { pause } from './faults.js';
 
-const RETRY_MS = 100;
+const RETRY_DELAY_MS = 100;
 const TIMEOUT_MS = 10_000;
 
 export interface TrainerOptions {
-  /** Trainers' listeners of entry hosts; each call goes to the next, as a balancer does. */
+  /** Trainer listeners of the entry hosts. Calls go to them in round-robin order, as from a load balancer. */
   readonly urls: readonly string[];
   readonly trainerVersion: () => number;
   readonly maxSamples: number;
-  /** True for a trainer that sends the slots it holds. */
+  /** Whether the trainer sends the slots that it holds. */
   readonly sendsHeld: boolean;
   readonly stepTimeoutMs: number;
 }
 
-/** What one step brought. */
+/** Result of one step. */
 export interface StepReport {
   readonly samples: readonly Sample[];
   readonly failedGroups: number;
@@ -33,40 +33,40 @@
   readonly durationMs: number;
   readonly calls: number;
   readonly failedCalls: number;
-  /** The trainer's version when each sample was handed over. */
+  /** Per sample, the trainer's version at delivery minus the sample's oldest version. */
   readonly versionsBehind: readonly number[];
 }
 
 export class Trainer {
   private readonly _options: TrainerOptions;
-  private _next = 0;
+  private _nextUrl = 0;
   private _calls = 0;
-  private _broken = 0;
+  private _failedCalls = 0;
 
   constructor(options: TrainerOptions) {
     this._options = options;
   }
 
-  /** Runs one step to its end, or until the time is up. */
+  /** Runs one step until it ends or `stepTimeoutMs` has passed. */
   async runStep(spec: StepSpec): Promise<StepReport> {
     const startMs = performance.now();
     this._calls = 0;
-    this._broken = 0;
-    const isLate = (): boolean => performance.now() - startMs > this._options.stepTimeoutMs;
+    this._failedCalls = 0;
+    const hasTimedOut = (): boolean => performance.now() - startMs > this._options.stepTimeoutMs;
     const samples: Sample[] = [];
     const versionsBehind: number[] = [];
     let generation = 0;
     let cursor = 0;
     let end: TakeReply | undefined;
-    await this._open(spec, isLate);
-    while (!end && !isLate()) {
+    await this._open(spec, hasTimedOut);
+    while (!end && !hasTimedOut()) {
       const version = this._options.trainerVersion();
       const reply = await this._take(spec, { cursor, generation, version, samples });
       if (!reply || reply.kind === 'wait') {
-        await pause(reply ? Math.min(RETRY_MS, reply.retryAfterMs) : RETRY_MS);
+        await pause(reply ? Math.min(RETRY_DELAY_MS, reply.retryAfterMs) : RETRY_DELAY_MS);
       } else if (reply.kind === 'chunk') {
         samples.push(...reply.samples);
-        versionsBehind.push(...reply.samples.map(sample => version - oldestOf(sample)));
+        versionsBehind.push(...reply.samples.map(sample => version - oldestVersion(sample)));
         cursor += 1;
         generation = reply.generation;
       } else {
@@ -79,7 +79,7 @@
       isOver: end?.kind === 'over',
       durationMs: performance.now() - startMs,
       calls: this._calls,
-      failedCalls: this._broken,
+      failedCalls: this._failedCalls,
       versionsBehind,
     };
   }
@@ -89,30 +89,30 @@
     return (await this._post('/v1/weights', { pool, version })) !== undefined;
   }
 
-  private async _open(spec: StepSpec, isLate: () => boolean): Promise<void> {
-    while (!isLate()) {
+  private async _open(spec: StepSpec, hasTimedOut: () => boolean): Promise<void> {
+    while (!hasTimedOut()) {
       const parsed = openReplySchema.safeParse(await this._post('/v1/steps', spec));
       const reply: OpenReply | undefined = parsed.success ? parsed.data : undefined;
       if (reply && reply.kind !== 'try-later') return;
-      await pause(RETRY_MS);
+      await pause(RETRY_DELAY_MS);
     }
   }
 
   private async _take(
     spec: StepSpec,
-    at: {
+    position: {
       readonly cursor: number;
       readonly generation: number;
       readonly version: number;
       readonly samples: readonly Sample[];
     },
   ): Promise<TakeReply | undefined> {
-    const held = at.samples.map(sample => ({ from: sample.slot, to: sample.slot + 1 }));
+    const held = position.samples.map(sample => ({ from: sample.slot, to: sample.slot + 1 }));
     const body = {
       key: `${spec.trainer}/${spec.step}`,
-      cursor: at.cursor,
-      generation: at.generation,
-      trainerVersion: at.version,
+      cursor: position.cursor,
+      generation: position.generation,
+      trainerVersion: position.version,
       maxSamples: this._options.maxSamples,
       ...(this._options.sendsHeld ? { held } : {}),
     };
@@ -120,10 +120,10 @@
     return parsed.success ? parsed.data : undefined;
   }
 
-  /** One call to the next host; undefined when it broke or was refused. */
+  /** Calls the next host. Returns undefined if the connection failed or the status was not 200. */
   private async _post(path: string, body: unknown): Promise<unknown> {
     const { urls } = this._options;
-    const url = urls[this._next++ % urls.length] ?? '';
+    const url = urls[this._nextUrl++ % urls.length] ?? '';
     this._calls += 1;
     try {
       const response = await request(`${url}${path}`, {
@@ -135,12 +135,12 @@
       const text = await response.body.text();
       return response.statusCode === 200 ? (JSON.parse(text) as unknown) : undefined;
     } catch {
-      this._broken += 1;
+      this._failedCalls += 1;
       return undefined;
     }
   }
 }
 
-function oldestOf(sample: Sample): number {
+function oldestVersion(sample: Sample): number {
   return Math.min(...sample.spans.map(span => span.version));
 }
--- a/packages/testkit/src/index.ts
+++ b/packages/testkit/src/index.ts
@@ -1,4 +1,4 @@
-/** Fakes at the interfaces for tests and measurements: on a virtual clock, or over real sockets in one process. */
+/** Simulated deployments for tests and measurements: on a virtual clock, or over real sockets in one process. */
 export * from './simFleet.js';
 export * from './simTrainer.js';
 export * from './simulation.js';
--- a/packages/testkit/src/simBackends.ts
+++ b/packages/testkit/src/simBackends.ts
@@ -1,6 +1,5 @@
 /**
- * The outside of a deployment on a virtual clock: key-value service, engines, services, scorer, list. Small
- * fakes at the interfaces; each takes faults and bears witness to what really happened.
+ * Fakes of a deployment's back ends on a virtual clock. Each supports fault injection and records what it executed.
  */
 import { err, ok, type Deadline, type Result } from '@fuchsiahitch/base';
 import type { MemberDocument } from '@fuchsiahitch/membership';
@@ -29,10 +28,10 @@
 } from '@fuchsiahitch/clients';
 import type { SimNet, SimProcess } from './simulation.js';
 
-const CALL_MS = 2000;
-const MS_A_SECOND = 1000;
+const CALL_TIMEOUT_MS = 2000;
+const MS_PER_SECOND = 1000;
 
-/** Tells the test where something is in its life, so that a fault can be caused right there. */
+/** Called when work reaches a stage, so that a test can inject a fault there. */
 export type StageListener = (stage: string) => void;
 
 interface Entry {
@@ -46,7 +45,6 @@
   untilMs: number;
 }
 
-/** The key-value service itself. */
 export class SimStore {
   isDown = false;
   loseAnswers = 0;
@@ -59,7 +57,7 @@
   private readonly _leases = new Map<string, SimLease>();
   private readonly _watches = new Set<{
     readonly prefix: string;
-    readonly tell: (events: readonly WatchEvent[]) => void;
+    readonly notify: (events: readonly WatchEvent[]) => void;
   }>();
   private _version = 0;
 
@@ -93,26 +91,26 @@
     return id;
   }
 
-  renew(leaseId: string): boolean {
+  keep(leaseId: string): boolean {
     this._expire();
     const lease = this._leases.get(leaseId);
     if (lease) lease.untilMs = this.process.nowMs() + lease.ttlMs;
     return lease !== undefined;
   }
 
-  /** Ends all leases now, as when their holders were paused. */
+  /** Expires all leases at once, as if their holders had been paused. */
   expireLeases(): void {
     for (const lease of this._leases.values()) lease.untilMs = -1;
     this._expire();
   }
 
-  watch(prefix: string, tell: (events: readonly WatchEvent[]) => void): () => void {
-    const watch = { prefix, tell };
+  watch(prefix: string, notify: (events: readonly WatchEvent[]) => void): () => void {
+    const watch = { prefix, notify };
     this._watches.add(watch);
     return () => this._watches.delete(watch);
   }
 
-  /** The content, to be put back later as a store restored from an older copy. */
+  /** Returns a copy of the content; `restore` brings it back, as a restore from an old backup does. */
   save(): ReadonlyMap<string, Entry> {
     return new Map(this._entries);
   }
@@ -126,21 +124,21 @@
     if (write.kind === 'put') {
       const { key, value, leaseId } = write;
       this._entries.set(key, { value, version: this._version, leaseId });
-      this._tell({ key, value, version: this._version });
+      this._notify({ key, value, version: this._version });
       for (const listener of this.onPut) listener(key);
       return;
     }
-    const isGone = (key: string): boolean =>
+    const isDeleted = (key: string): boolean =>
       write.kind === 'delete' ? key === write.key : key.startsWith(write.prefix);
-    for (const key of [...this._entries.keys()].filter(isGone)) {
+    for (const key of [...this._entries.keys()].filter(isDeleted)) {
       this._entries.delete(key);
-      this._tell({ key, value: undefined, version: this._version });
+      this._notify({ key, value: undefined, version: this._version });
     }
   }
 
-  private _tell(event: WatchEvent): void {
+  private _notify(event: WatchEvent): void {
     if (this.areWatchesSilent) return;
-    for (const watch of this._watches) if (event.key.startsWith(watch.prefix)) watch.tell([event]);
+    for (const watch of this._watches) if (event.key.startsWith(watch.prefix)) watch.notify([event]);
   }
 
   private _expire(): void {
@@ -153,7 +151,7 @@
   }
 }
 
-/** The key-value service as one host reaches it. */
+/** A host's client of the key-value service. */
 export class SimStoreClient implements KeyValueStore {
   private readonly _store: SimStore;
   private readonly _host: SimProcess;
@@ -166,11 +164,11 @@
   }
 
   async get(key: string, deadline: Deadline): Promise<Result<StoredValue | undefined, StoreError>> {
-    return this._ask(deadline, () => this._store.list(key).find(value => value.key === key));
+    return this._call(deadline, () => this._store.list(key).find(value => value.key === key));
   }
 
   async list(prefix: string, deadline: Deadline): Promise<Result<readonly StoredValue[], StoreError>> {
-    return this._ask(deadline, () => this._store.list(prefix));
+    return this._call(deadline, () => this._store.list(prefix));
   }
 
   async transact(
@@ -178,15 +176,15 @@
     writes: readonly Write[],
     deadline: Deadline,
   ): Promise<Result<TransactionResult, StoreError>> {
-    return this._ask(deadline, () => this._store.transact(compares, writes), true);
+    return this._call(deadline, () => this._store.transact(compares, writes), true);
   }
 
   async grantLease(ttlMs: number, deadline: Deadline): Promise<Result<string, StoreError>> {
-    return this._ask(deadline, () => this._store.grant(ttlMs));
+    return this._call(deadline, () => this._store.grant(ttlMs));
   }
 
   async keepLease(leaseId: string, deadline: Deadline): Promise<Result<boolean, StoreError>> {
-    return this._ask(deadline, () => this._store.renew(leaseId));
+    return this._call(deadline, () => this._store.keep(leaseId));
   }
 
   async watch(
@@ -197,7 +195,7 @@
     if (this._store.isDown || this._net.isCut(this._host, this._store.process)) return 'failed';
     return new Promise(resolve => {
       const stop = this._store.watch(prefix, events => {
-        void this._net.call(this._store.process, this._host, CALL_MS, () => onEvents(events));
+        void this._net.call(this._store.process, this._host, CALL_TIMEOUT_MS, () => onEvents(events));
       });
       signal.addEventListener('abort', () => {
         stop();
@@ -206,11 +204,11 @@
     });
   }
 
-  private async _ask<T>(deadline: Deadline, act: () => T, isWrite = false): Promise<Result<T, StoreError>> {
+  private async _call<T>(deadline: Deadline, act: () => T, isWrite = false): Promise<Result<T, StoreError>> {
     const reply = await this._net.call(
       this._host,
       this._store.process,
-      Math.min(CALL_MS, deadline.remainingMs()),
+      Math.min(CALL_TIMEOUT_MS, deadline.remainingMs()),
       () => {
         this._store.calls += 1;
         if (this._store.isDown) return new Promise<{ readonly value: T }>(() => undefined);
@@ -226,19 +224,19 @@
   }
 }
 
-/** One engine. Its tokens and versions are the truth that samples are checked against. */
+/** An engine. Samples are checked against its record of tokens and versions. */
 export class SimEngine {
   readonly process: SimProcess;
   version = 1;
   startId = 1;
   isLeaving = false;
   failSwaps = 0;
-  /** Milliseconds a token; raised to make a straggler. */
+  /** Milliseconds per token. */
   tokenMs = 20;
   inFlight = 0;
-  /** The version that made each token of each sample. */
+  /** Weight version that generated each token, by sample ID. */
   readonly made = new Map<string, number[]>();
-  /** When the first token of each sample was made. */
+  /** Time of the first token, by sample ID. */
   readonly firstTokenMs = new Map<string, number>();
   readonly orders: { readonly version: number; readonly token: number }[] = [];
   private readonly _swapMs = 300;
@@ -263,7 +261,7 @@
     });
   }
 
-  /** Loads a version, unless the swap fails without a word. */
+  /** Accepts an order and loads the version later. An injected swap failure drops the load without an error. */
   order(version: number, token: number): OrderAnswer {
     this.orders.push({ version, token });
     if (this.failSwaps > 0) {
@@ -282,15 +280,15 @@
   }
 }
 
-/** A process supervisor starts an engine again. */
+/** A process supervisor restarts a crashed engine after this time. */
 const ENGINE_RESTART_MS = 2000;
 
-/** The length of an answer: the same for the same prompt. */
+/** Number of tokens generated for a prompt; deterministic. */
 export function completionLength(prompt: string): number {
   return 4 + (prompt.length % 3) + (prompt.endsWith('tail') ? 60 : 0);
 }
 
-/** The engines as one host reaches them. */
+/** A host's client of the engines. */
 export class SimEngineClient implements EngineClient {
   private readonly _engines: ReadonlyMap<string, SimEngine>;
   private readonly _host: SimProcess;
@@ -336,15 +334,16 @@
     const engine = this._engines.get(url);
     this._onStage('report');
     if (!engine || !this._reaches(engine)) return undefined;
-    return this._net.call(this._host, engine.process, CALL_MS, () => engine.report());
+    return this._net.call(this._host, engine.process, CALL_TIMEOUT_MS, () => engine.report());
   }
 
   async order(url: string, version: number, token: number): Promise<OrderAnswer> {
     const engine = this._engines.get(url);
     if (!engine || !this._reaches(engine)) return 'failed';
     return (
-      (await this._net.call(this._host, engine.process, CALL_MS, () => engine.order(version, token))) ??
-      'unknown'
+      (await this._net.call(this._host, engine.process, CALL_TIMEOUT_MS, () =>
+        engine.order(version, token),
+      )) ?? 'unknown'
     );
   }
 
@@ -377,7 +376,7 @@
   }
 }
 
-/** A plain service that counts the runs of each key, reached without failures of its own. */
+/** A plain service, called without network faults, that counts the executions of each idempotency key. */
 export class SimServices implements ServiceClient {
   readonly runs = new Map<string, number>();
   refuse = 0;
@@ -413,7 +412,7 @@
   }
 }
 
-/** The scorer, which counts how often it scored each sample. */
+/** Counts how often each sample was scored. */
 export class SimScorer {
   readonly process: SimProcess;
   readonly runs = new Map<string, number>();
@@ -424,7 +423,7 @@
   }
 }
 
-/** The scorer as one host reaches it. */
+/** A host's client of the scorer. */
 export class SimScorerClient implements Scorer {
   private readonly _scorer: SimScorer;
   private readonly _host: SimProcess;
@@ -440,7 +439,7 @@
 
   async score(sample: ScoreRequest, deadline: Deadline): Promise<ScoreResult> {
     this._onStage('scoring');
-    return this._ask(deadline, () => {
+    return this._callScorer(deadline, () => {
       this._scorer.runs.set(sample.sampleId, (this._scorer.runs.get(sample.sampleId) ?? 0) + 1);
       this._onStage('scored');
       return { kind: 'scored', score: 1 };
@@ -448,12 +447,12 @@
   }
 
   async find(sampleId: string, deadline: Deadline): Promise<ScoreResult> {
-    return this._ask(deadline, () =>
+    return this._callScorer(deadline, () =>
       this._scorer.runs.has(sampleId) ? { kind: 'scored', score: 1 } : { kind: 'not-scored' },
     );
   }
 
-  private async _ask(deadline: Deadline, act: () => ScoreResult): Promise<ScoreResult> {
+  private async _callScorer(deadline: Deadline, act: () => ScoreResult): Promise<ScoreResult> {
     const reply = await this._net.call(this._host, this._scorer.process, deadline.remainingMs(), () => {
       const result = act();
       if (this._scorer.loseAnswers === 0) return result;
@@ -464,7 +463,7 @@
   }
 }
 
-/** The membership list, which shows changes after its lag. */
+/** The membership list. Changes become visible after `lagMs`. */
 export class SimMemberList {
   lagMs = 1000;
   readonly process: SimProcess;
@@ -492,7 +491,7 @@
   }
 }
 
-/** The list as one host reaches it. */
+/** A host's client of the membership list. */
 export class SimMemberListClient implements MemberList {
   private readonly _list: SimMemberList;
   private readonly _host: SimProcess;
@@ -508,7 +507,7 @@
     const reply = await this._net.call(
       this._host,
       this._list.process,
-      Math.min(MS_A_SECOND, deadline.remainingMs()),
+      Math.min(MS_PER_SECOND, deadline.remainingMs()),
       () => ({
         document: this._list.read(domain),
       }),
--- a/packages/testkit/src/simFleet.ts
+++ b/packages/testkit/src/simFleet.ts
@@ -1,5 +1,5 @@
 /**
- * A deployment of real hosts on a virtual clock: every service of the daemon, over a simulated network.
+ * A deployment on a virtual clock: hosts run the daemon's real services over a simulated network.
  */
 import { setMaxListeners } from 'node:events';
 import {
@@ -37,19 +37,19 @@
   SimStoreClient,
 } from './simBackends.js';
 
-const SILENT: Logger = {
+const NO_OP_LOGGER: Logger = {
   debug: () => undefined,
   info: () => undefined,
   warn: () => undefined,
   error: () => undefined,
 };
-const START_PATIENCE_MS = 60_000;
+const START_TIMEOUT_MS = 60_000;
 const POLL_MS = 100;
 const POOL = 'gen-pool';
 
 type Handler = (body: unknown, context: CallContext) => unknown;
 
-/** One host: its process and, once it has joined, its services. */
+/** A host. `services` is set once the host has joined the fleet. */
 export class SimHost implements CallRegistry, PeerCaller {
   readonly id: string;
   readonly domain: string;
@@ -65,7 +65,7 @@
     this.process = new SimProcess(id, fleet.clock);
   }
 
-  /** Bytes of the inner protocol that this host sent and received, its own calls to itself left out. */
+  /** Bytes of the peer protocol sent and received, without the host's calls to itself. */
   peerBytes = 0;
 
   get ready(): EntryServices {
@@ -89,15 +89,15 @@
     const target = this._fleet.hosts.get(address);
     if (!target) return err({ kind: 'not-sent', text: 'no such host' });
     const body = structuredClone(request);
-    const count = this._fleet.options.countsBytes === true;
-    if (count) this._count(target, encodeFrame({ t: 'call', id: 1, name: call.name, body }).length);
+    const countsBytes = this._fleet.options.countsBytes === true;
+    if (countsBytes) this._count(target, encodeFrame({ t: 'call', id: 1, name: call.name, body }).length);
     const reply = await this._fleet.net.call(this.process, target.process, timeoutMs, async () => {
       const handler = target.handlers.get(call.name);
       if (!handler) return { refused: `no call '${call.name}'` };
       const peer = { hostId: this.id, domain: this.domain, incarnation: '1', programVersion: '0' };
       const value = structuredClone(await handler(body, { peer, trace: undefined }));
       this._fleet.onCallHandled(call.name, value);
-      if (count) target._count(this, encodeFrame({ t: 'reply', id: 1, body: value }).length);
+      if (countsBytes) target._count(this, encodeFrame({ t: 'reply', id: 1, body: value }).length);
       return { value };
     });
     if (!reply) return err({ kind: 'timed-out' });
@@ -113,7 +113,7 @@
 }
 
 export interface SimFleetOptions {
-  /** Counts the bytes of the inner protocol, as they would stand on the wire. */
+  /** Counts the encoded bytes of the peer protocol. */
   readonly countsBytes?: boolean;
   readonly seed: number;
   readonly domains: readonly string[];
@@ -133,9 +133,9 @@
   readonly hosts = new Map<string, SimHost>();
   readonly services: SimServices;
   readonly options: SimFleetOptions;
-  /** Called at each stage of something's life; a test causes its fault there. */
+  /** Called when a step, sample or write reaches a stage; tests inject faults here. */
   onStage: (stage: string) => void = () => undefined;
-  /** Load reports that were asked for. */
+  /** Number of load report requests. */
   loadReportCalls = 0;
   private readonly _stop = new AbortController();
 
@@ -187,7 +187,7 @@
     return fleet;
   }
 
-  /** Starts a host, or its next process. */
+  /** Starts a host, or replaces its process by a new one. */
   async startHost(domain: string, id: string): Promise<void> {
     this.hosts.get(id)?.process.kill();
     const host = new SimHost(this, domain, id);
@@ -223,20 +223,20 @@
     });
   }
 
-  /** Moves time until the condition holds. */
-  async until(what: string, condition: () => boolean, patienceMs = START_PATIENCE_MS): Promise<void> {
+  /** Advances the clock until the condition holds. */
+  async until(description: string, condition: () => boolean, timeoutMs = START_TIMEOUT_MS): Promise<void> {
     for (let waitedMs = 0; !condition(); waitedMs += POLL_MS) {
-      if (waitedMs > patienceMs) throw new Error(`never: ${what}`);
+      if (waitedMs > timeoutMs) throw new Error(`timed out waiting for: ${description}`);
       await this.clock.advance(POLL_MS);
     }
   }
 
-  /** Cuts every connection between two sets of processes. */
+  /** Cuts all connections between two sets of processes. */
   cutBetween(left: readonly string[], right: readonly string[]): void {
     for (const a of left) for (const b of right) this.net.cut(a, b);
   }
 
-  /** Names of the processes of a failure domain: hosts and engines. */
+  /** Names of the hosts and engines in a failure domain. */
   processNames(domain: string): readonly string[] {
     return [...this.hosts.keys(), ...this.engines.keys()].filter(name => name.startsWith(`${domain}-`));
   }
@@ -277,7 +277,7 @@
       incarnation: Math.floor(this.clock.nowMs()) + 1,
       clock,
       random: this.random,
-      log: SILENT,
+      log: NO_OP_LOGGER,
       metrics: new Metrics(),
       tracing: new Tracing(),
       stopped: this._stop.signal,
--- a/packages/testkit/src/simTrainer.ts
+++ b/packages/testkit/src/simTrainer.ts
@@ -1,16 +1,16 @@
 /**
- * A trainer on the virtual clock that merely asks again, or tells what it holds; and the checks of what it got.
+ * A trainer on the virtual clock, and checks of the delivery guarantees against the samples that it received.
  */
 import { SimProcess, type SimNet } from './simulation.js';
 import type { SimFleet, SimHost } from './simFleet.js';
 import type { OpenReply, Sample, StepSpec, TakeReply, TakeRequest } from '@fuchsiahitch/steps';
 
-const CALL_MS = 4000;
-const PAUSE_MS = 200;
+const CALL_TIMEOUT_MS = 4000;
+const RETRY_DELAY_MS = 200;
 
 export interface Delivery {
   readonly sample: Sample;
-  /** The trainer's version, and the time, when the sample was handed over. */
+  /** The trainer's weight version when the sample was delivered. */
   readonly trainerVersion: number;
   readonly deliveredMs: number;
 }
@@ -25,7 +25,7 @@
   private readonly _net: SimNet;
   private readonly _spec: StepSpec;
   private readonly _sendsHeld: boolean;
-  private _next = 0;
+  private _nextHost = 0;
   private _cursor = 0;
   private _generation = 0;
 
@@ -37,7 +37,7 @@
     this.process = new SimProcess(`trainer-${spec.trainer}`, fleet.clock);
   }
 
-  /** Runs the step to its end, while the test moves the clock. */
+  /** Runs the step to its end. The test advances the clock. */
   async run(): Promise<void> {
     let opened: OpenReply | undefined;
     while (!opened || opened.kind === 'try-later') {
@@ -53,24 +53,24 @@
 
   private async _takeOnce(): Promise<void> {
     const request = this._request();
-    const handed = await this._call(async host => {
+    const delivery = await this._call(async host => {
       if (request.cursor > 0) this._fleet.onStage('acknowledged');
       const reply = await host.ready.steps.take(request);
       if (reply.kind === 'chunk') this._fleet.onStage('handed over');
-      return { reply, handedOverMs: this._fleet.clock.nowMs() };
+      return { reply, deliveredMs: this._fleet.clock.nowMs() };
     });
-    if (!handed || handed.reply.kind === 'wait') {
+    if (!delivery || delivery.reply.kind === 'wait') {
       await this._pause();
       return;
     }
-    const { reply, handedOverMs } = handed;
+    const { reply, deliveredMs } = delivery;
     if (reply.kind !== 'chunk') {
       if (reply.kind === 'over' || reply.kind === 'abandoned') this.end = reply;
       await this._pause();
       return;
     }
     for (const sample of reply.samples) {
-      this.deliveries.push({ sample, trainerVersion: request.trainerVersion, deliveredMs: handedOverMs });
+      this.deliveries.push({ sample, trainerVersion: request.trainerVersion, deliveredMs });
     }
     this._cursor += 1;
     this._generation = reply.generation;
@@ -88,23 +88,23 @@
     };
   }
 
-  /** One call to the next host, as a balancer sends it. */
+  /** Calls the next host in round-robin order, as a load balancer does. */
   private async _call<T>(act: (host: SimHost) => Promise<T>): Promise<T | undefined> {
     const hosts = [...this._fleet.hosts.values()];
-    const host = hosts[this._next++ % hosts.length];
+    const host = hosts[this._nextHost++ % hosts.length];
     if (!host?.services) return undefined;
-    const reply = await this._net.call(this.process, host.process, CALL_MS, () => act(host));
+    const reply = await this._net.call(this.process, host.process, CALL_TIMEOUT_MS, () => act(host));
     if (this.loseReplies === 0) return reply;
     this.loseReplies -= 1;
     return undefined;
   }
 
   private async _pause(): Promise<void> {
-    await new Promise<void>(resolve => this.process.after(PAUSE_MS, resolve));
+    await new Promise<void>(resolve => this.process.after(RETRY_DELAY_MS, resolve));
   }
 }
 
-/** Everything that is wrong with what a trainer got; empty when all promises held. */
+/** Returns a description of each violated delivery guarantee; empty if there is none. */
 export function guaranteeViolations(fleet: SimFleet, spec: StepSpec, trainer: SimTrainer): readonly string[] {
   const problems: string[] = [];
   const slots = spec.groups.reduce((sum, group) => sum + group.samples, 0);
@@ -113,27 +113,31 @@
   for (let slot = 0; slot < slots; slot++) {
     if (counts.get(slot) !== 1) problems.push(`slot ${slot} delivered ${counts.get(slot) ?? 0} times`);
   }
-  for (const delivery of trainer.deliveries) problems.push(...problemsOf(fleet, spec, delivery));
+  for (const delivery of trainer.deliveries) problems.push(...deliveryViolations(fleet, spec, delivery));
   return problems;
 }
 
-function problemsOf(fleet: SimFleet, spec: StepSpec, delivery: Delivery): readonly string[] {
-  const { sample, trainerVersion, deliveredMs: handedOverMs } = delivery;
+function deliveryViolations(fleet: SimFleet, spec: StepSpec, delivery: Delivery): readonly string[] {
+  const { sample, trainerVersion, deliveredMs } = delivery;
   const problems: string[] = [];
   const versions = sample.spans.flatMap(span => Array.from({ length: span.tokens }, () => span.version));
   const engines = [...fleet.engines.values()];
-  const isTrue = versions.every((version, i) =>
+  const isProvenanceCorrect = versions.every((version, i) =>
     engines.some(engine => engine.made.get(sample.sampleId)?.[i] === version),
   );
-  if (!isTrue) problems.push(`slot ${sample.slot}: provenance is not what the engines did`);
+  if (!isProvenanceCorrect)
+    problems.push(`slot ${sample.slot}: provenance differs from the versions that generated the tokens`);
   const text = versions.map((_, i) => `${i} `).join('');
-  if (sample.text !== text) problems.push(`slot ${sample.slot}: a token is doubled or lost: ${sample.text}`);
+  if (sample.text !== text)
+    problems.push(`slot ${sample.slot}: a token is duplicated or missing: ${sample.text}`);
   if (trainerVersion - Math.min(...versions) > spec.stalenessVersions)
     problems.push(`slot ${sample.slot}: too many versions old`);
-  const bornMs = Math.min(...engines.map(engine => engine.firstTokenMs.get(sample.sampleId) ?? Infinity));
-  if (handedOverMs - bornMs > spec.stalenessMs)
-    problems.push(`slot ${sample.slot}: ${handedOverMs - bornMs} ms old`);
-  const scored = fleet.scorer.runs.get(sample.sampleId) ?? 0;
-  if (scored !== 1) problems.push(`slot ${sample.slot}: scored ${scored} times`);
+  const firstTokenMs = Math.min(
+    ...engines.map(engine => engine.firstTokenMs.get(sample.sampleId) ?? Infinity),
+  );
+  if (deliveredMs - firstTokenMs > spec.stalenessMs)
+    problems.push(`slot ${sample.slot}: ${deliveredMs - firstTokenMs} ms old`);
+  const scoreRuns = fleet.scorer.runs.get(sample.sampleId) ?? 0;
+  if (scoreRuns !== 1) problems.push(`slot ${sample.slot}: scored ${scoreRuns} times`);
   return problems;
 }
--- a/packages/testkit/src/simulation.ts
+++ b/packages/testkit/src/simulation.ts
@@ -1,14 +1,13 @@
 /**
- * Processes, a network and a store on a virtual clock, for driving the decision packages into failures.
- * A run depends on its seed only.
+ * Simulated processes and a simulated network on a virtual clock, for fault injection. Runs are deterministic per seed.
  */
 import { SeededRandom, VirtualClock, type CancelTimer, type Clock } from '@fuchsiahitch/base';
 
-/** One process. Paused, it neither runs timers nor answers; killed, it never does again. */
+/** A process. While paused, it defers timers and messages until it resumes. Once killed, it drops them. */
 export class SimProcess implements Clock {
   readonly name: string;
   private readonly _clock: VirtualClock;
-  private readonly _held: (() => void)[] = [];
+  private readonly _deferred: (() => void)[] = [];
   private _isPaused = false;
   private _isKilled = false;
 
@@ -43,10 +42,10 @@
     };
   }
 
-  /** Runs something in this process, now or when it wakes. */
+  /** Runs `step` now, or on resume if the process is paused. */
   run(step: () => void): void {
     if (this._isKilled) return;
-    if (this._isPaused) this._held.push(step);
+    if (this._isPaused) this._deferred.push(step);
     else step();
   }
 
@@ -56,7 +55,7 @@
 
   resume(): void {
     this._isPaused = false;
-    for (const step of this._held.splice(0)) this.run(step);
+    for (const step of this._deferred.splice(0)) this.run(step);
   }
 
   kill(): void {
@@ -66,13 +65,13 @@
 
 export interface SimNetOptions {
   readonly maxDelayMs: number;
-  /** Share of messages that are lost, each way. */
+  /** Share of messages lost in each direction. */
   readonly lossShare: number;
 }
 
-const LOSS_STEPS = 1000;
+const LOSS_RESOLUTION = 1000;
 
-/** Calls between processes: delayed, lost, cut off. */
+/** Delivers calls between processes with random delay and loss, and across cut connections not at all. */
 export class SimNet {
   lossShare: number;
   private readonly _clock: VirtualClock;
@@ -100,7 +99,7 @@
     this._cuts.clear();
   }
 
-  /** Runs `handler` at the callee; undefined when no reply came in time, whether or not it ran. */
+  /** Runs `handler` at the callee. Returns undefined if no reply arrived in time, whether or not `handler` ran. */
   async call<T>(
     from: SimProcess,
     to: SimProcess,
@@ -125,6 +124,6 @@
 
   private _isLost(from: SimProcess, to: SimProcess): boolean {
     if (this._cuts.has(`${from.name}|${to.name}`)) return true;
-    return this._random.below(LOSS_STEPS) < this.lossShare * LOSS_STEPS;
+    return this._random.below(LOSS_RESOLUTION) < this.lossShare * LOSS_RESOLUTION;
   }
 }
--- a/packages/testkit/src/testFleet.ts
+++ b/packages/testkit/src/testFleet.ts
@@ -1,5 +1,5 @@
 /**
- * A deployment in one process: stand-ins and entry hosts over real sockets on free ports.
+ * A deployment in one process: stand-ins and entry hosts that communicate over real sockets on free ports.
  */
 import { SystemClock, SystemRandom, readSettings } from '@fuchsiahitch/base';
 import { EntryHost, entrySettings } from '@fuchsiahitch/entry';
@@ -16,7 +16,7 @@
 const OPERATOR_TOKEN = 'operator-token-for-tests';
 const FLEET_KEY = 'fleet-key-for-tests-only';
 const POLL_MS = 20;
-const PATIENCE_MS = 30_000;
+const TIMEOUT_MS = 30_000;
 
 export interface FleetOptions {
   readonly domains: readonly string[];
@@ -24,7 +24,7 @@
   readonly enginesPerDomain: number;
   readonly servicesPerDomain: number;
   readonly engine?: Partial<EngineOptions>;
-  /** A file of client accounts; callers need no keys without it. */
+  /** File of client accounts. Without it, callers need no keys. */
   readonly accountsFile?: string;
 }
 
@@ -174,11 +174,14 @@
   }
 }
 
-/** Waits until the condition holds; fails after a long patience, which no passing run comes near. */
-export async function eventually(what: string, condition: () => boolean | Promise<boolean>): Promise<void> {
-  const endMs = performance.now() + PATIENCE_MS;
+/** Polls until the condition holds. Throws after a timeout. */
+export async function eventually(
+  description: string,
+  condition: () => boolean | Promise<boolean>,
+): Promise<void> {
+  const endMs = performance.now() + TIMEOUT_MS;
   while (!(await condition())) {
-    if (performance.now() > endMs) throw new Error(`never: ${what}`);
+    if (performance.now() > endMs) throw new Error(`timed out waiting for: ${description}`);
     await new Promise<void>(resolve => setTimeout(resolve, POLL_MS));
   }
 }
