--- a/packages/measure/src/controlSim.ts
+++ b/packages/measure/src/controlSim.ts
@@ -1,8 +1,8 @@
 /**
- * Control at the target's sizes: real services of each host over a simulated network on a virtual clock.
+ * Control traffic at the target sizes: the real services of each host over a simulated network on a virtual clock.
  *
- * The processor time includes the simulation's own work and the encoding of every message, so it is an upper
- * bound of what the decisions cost; real sockets are measured by `sockets`.
+ * CPU time includes the simulation and the encoding of every message, so it is an upper bound. `sockets` measures real
+ * sockets.
  */
 import { SimFleet } from '@fuchsiahitch/testkit';
 import type { Figure, Measurement } from './figure.js';
@@ -22,7 +22,7 @@
   { domains: 10, hostsPerDomain: 33, enginesPerDomain: 130 },
 ];
 const IDLE_MS = 30_000;
-/** Word of the start rides on pings for a while; what is measured is the time after it. */
+/** Time until pings no longer carry announcements from the start. */
 const SETTLE_MS = 90_000;
 const EDITS = 5;
 const STEP_MS = 20;
@@ -36,18 +36,18 @@
   about:
     'control at 9, 33, 110 and 330 hosts on a virtual clock: spread, weights, bytes, store calls, CPU, memory',
   async run(print) {
-    const bytesAPoll = await pollBytes();
-    print({ figure: 'load report over HTTP, both ways', value: bytesAPoll, unit: 'bytes' });
-    for (const size of SIZES) await measureSize(size, bytesAPoll, print);
+    const bytesPerPoll = await pollBytes();
+    print({ figure: 'load report over HTTP, both ways', value: bytesPerPoll, unit: 'bytes' });
+    for (const size of SIZES) await measureSize(size, bytesPerPoll, print);
   },
 };
 
-async function measureSize(size: Size, bytesAPoll: number, print: (figure: Figure) => void): Promise<void> {
-  const nodes = size.domains * size.hostsPerDomain;
-  const isTarget = nodes === 330;
-  const tell = (name: string, value: number, unit: string, bound?: string): void =>
+async function measureSize(size: Size, bytesPerPoll: number, print: (figure: Figure) => void): Promise<void> {
+  const hostCount = size.domains * size.hostsPerDomain;
+  const isTarget = hostCount === 330;
+  const reportFigure = (name: string, value: number, unit: string, bound?: string): void =>
     print({
-      figure: `${name}, ${nodes} hosts`,
+      figure: `${name}, ${hostCount} hosts`,
       value,
       unit,
       ...(bound !== undefined && isTarget ? { bound } : {}),
@@ -62,16 +62,16 @@
     countsBytes: true,
   });
   await fleet.clock.advance(SETTLE_MS);
-  await measureIdle(fleet, nodes, bytesAPoll, tell);
+  await measureIdle(fleet, hostCount, bytesPerPoll, reportFigure);
   globalThis.gc?.();
-  tell(
+  reportFigure(
     'memory of control a host',
-    (process.memoryUsage().heapUsed - heapBefore) / nodes / 1024 / 1024,
+    (process.memoryUsage().heapUsed - heapBefore) / hostCount / 1024 / 1024,
     'MB',
     '<= 32',
   );
-  await measureEdits(fleet, tell);
-  await measureWeights(fleet, tell);
+  await measureEdits(fleet, reportFigure);
+  await measureWeights(fleet, reportFigure);
   await fleet.stop();
 }
 
@@ -79,9 +79,9 @@
 
 async function measureIdle(
   fleet: SimFleet,
-  nodes: number,
-  bytesAPoll: number,
-  tell: ReportFigure,
+  hostCount: number,
+  bytesPerPoll: number,
+  reportFigure: ReportFigure,
 ): Promise<void> {
   const hosts = [...fleet.hosts.values()];
   const before = hosts.map(host => host.peerBytes);
@@ -92,15 +92,15 @@
   const spent = process.cpuUsage(cpu);
   const seconds = IDLE_MS / MS_PER_SECOND;
   const peer = hosts.map((host, i) => (host.peerBytes - (before[i] ?? 0)) / seconds);
-  const polls = ((fleet.loadReportCalls - reportsBefore) * bytesAPoll) / nodes / seconds;
-  tell('control bytes a host and second, mean', mean(peer) + polls, 'bytes/s', '<= 2048');
-  tell('inner protocol bytes a host and second, most', Math.max(...peer), 'bytes/s');
-  tell('store calls of the fleet', (fleet.store.calls - callsBefore) / seconds, 'calls/s', '<= 600');
-  const core = (spent.user + spent.system) / MICROSECONDS_PER_SECOND / nodes / seconds;
-  tell('control CPU a host, simulation included', core * 100, '% of a core', '<= 3.8');
+  const polls = ((fleet.loadReportCalls - reportsBefore) * bytesPerPoll) / hostCount / seconds;
+  reportFigure('control bytes a host and second, mean', mean(peer) + polls, 'bytes/s', '<= 2048');
+  reportFigure('inner protocol bytes a host and second, most', Math.max(...peer), 'bytes/s');
+  reportFigure('store calls of the fleet', (fleet.store.calls - callsBefore) / seconds, 'calls/s', '<= 600');
+  const core = (spent.user + spent.system) / MICROSECONDS_PER_SECOND / hostCount / seconds;
+  reportFigure('control CPU a host, simulation included', core * 100, '% of a core', '<= 3.8');
 }
 
-async function measureEdits(fleet: SimFleet, tell: ReportFigure): Promise<void> {
+async function measureEdits(fleet: SimFleet, reportFigure: ReportFigure): Promise<void> {
   const hosts = fleet.liveHosts();
   const spreads: number[] = [];
   for (let i = 0; i < EDITS; i++) {
@@ -122,11 +122,11 @@
     spreads.push(fleet.clock.nowMs() - startMs);
   }
   spreads.sort((a, b) => a - b);
-  tell('edit in force everywhere, p50', (spreads[Math.floor(EDITS / 2)] ?? 0) / MS_PER_SECOND, 's');
-  tell('edit in force everywhere, most', Math.max(...spreads) / MS_PER_SECOND, 's', '<= 11');
+  reportFigure('edit in force everywhere, p50', (spreads[Math.floor(EDITS / 2)] ?? 0) / MS_PER_SECOND, 's');
+  reportFigure('edit in force everywhere, most', Math.max(...spreads) / MS_PER_SECOND, 's', '<= 11');
 }
 
-async function measureWeights(fleet: SimFleet, tell: ReportFigure): Promise<void> {
+async function measureWeights(fleet: SimFleet, reportFigure: ReportFigure): Promise<void> {
   await fleet.clock.advance(IDLE_MS);
   const startMs = fleet.clock.nowMs();
   void fleet.liveHosts()[0]?.ready.orders.setTarget('gen-pool', 2);
@@ -134,7 +134,7 @@
   while (!engines.every(engine => engine.version === 2) && fleet.clock.nowMs() - startMs < EDIT_LIMIT_MS) {
     await fleet.clock.advance(STEP_MS);
   }
-  tell('weights on all servers', (fleet.clock.nowMs() - startMs) / MS_PER_SECOND, 's', '<= 10');
+  reportFigure('weights on all servers', (fleet.clock.nowMs() - startMs) / MS_PER_SECOND, 's', '<= 10');
 }
 
 function mean(values: readonly number[]): number {
--- a/packages/measure/src/controlSockets.ts
+++ b/packages/measure/src/controlSockets.ts
@@ -1,7 +1,7 @@
 /**
- * Control of real hosts over real sockets, without any traffic: processor time, bytes and heap a host.
+ * Control traffic of idle hosts over real sockets: CPU time, bytes and heap per host.
  *
- * All hosts and their stand-ins share this process, so the processor time is an upper bound for a host.
+ * All hosts and stand-ins share this process, so CPU time per host is an upper bound.
  */
 import { TestFleet } from '@fuchsiahitch/testkit';
 import type { Measurement } from './figure.js';
--- a/packages/measure/src/figure.ts
+++ b/packages/measure/src/figure.ts
@@ -1,17 +1,16 @@
 /**
- * What a measurement prints: one JSON line a figure, with its bound where there is one.
+ * Output of measurements: one JSON line per figure.
  */
 
-/** One measured figure. */
 export interface Figure {
   readonly figure: string;
   readonly value: number;
   readonly unit: string;
-  /** What the figure must keep to, such as `<= 1.5`; absent for figures that are only told. */
+  /** Required bound, such as `<= 1.5`; absent for informational figures. */
   readonly bound?: string;
 }
 
-/** A named measurement. It bounds its load and ends by itself. */
+/** A measurement that terminates by itself. */
 export interface Measurement {
   readonly name: string;
   readonly about: string;
@@ -20,13 +19,12 @@
 
 const DIGITS = 4;
 
-/** Prints a figure as one JSON line. */
 export function printFigure(figure: Figure): void {
   const value = Number(figure.value.toPrecision(DIGITS));
   process.stdout.write(`${JSON.stringify({ ...figure, value })}\n`);
 }
 
-/** True if the value keeps to a bound `<= x` or `>= x`; true without a bound. */
+/** Whether the value satisfies its bound, `<= x` or `>= x`. True without a bound. */
 export function isWithin(figure: Figure): boolean {
   const match = /^(<=|>=) ([\d.]+)$/.exec(figure.bound ?? '');
   if (!match) return true;
--- a/packages/measure/src/hop.ts
+++ b/packages/measure/src/hop.ts
@@ -1,8 +1,8 @@
 /**
- * What an entry host costs as a hop, against a bare pass-through of the same libraries in the same run.
+ * Cost of an entry host as a proxy hop, compared with a bare pass-through proxy on the same libraries in the same run.
  *
- * Client, hop and endpoint share this process, so the hop's cost is the processor time of a request through it
- * less that of a request without it; on one thread the ratio of costs is the ratio of throughputs.
+ * Client, hop and endpoint share this process. The cost of a hop is the CPU time of a request through it minus that of a
+ * direct request; on one thread, the ratio of costs is the ratio of throughputs.
  */
 import http from 'node:http';
 import Fastify, { type FastifyInstance } from 'fastify';
@@ -105,7 +105,7 @@
 
 type Urls = Readonly<Record<'direct' | 'bare' | 'entry', string>>;
 
-/** Processor time of one call each way, in microseconds: the least of some rounds, taken in turns. */
+/** CPU time per call and route in microseconds: the minimum over interleaved rounds. */
 async function measureCosts(
   call: (url: string) => Promise<void>,
   urls: Urls,
@@ -166,7 +166,7 @@
     dispatcher: agent,
   });
   const text = await response.body.text();
-  if (!text.includes('[DONE]')) throw new Error(`${url}: a stream was not whole`);
+  if (!text.includes('[DONE]')) throw new Error(`${url}: stream ended without [DONE]`);
 }
 
 async function waitForPool(host: string, agent: Dispatcher): Promise<void> {
@@ -185,7 +185,7 @@
   readonly server: S;
 }
 
-/** An engine that writes all tokens at once, so that the hop is what limits. */
+/** An engine that writes all tokens at once, so that the hop is the bottleneck. */
 async function startFastEngine(): Promise<Started<http.Server>> {
   const events = Array.from({ length: STREAM_TOKENS }, (_, i) => {
     const event = { choices: [{ index: 0, text: `token${i} ` }], tokens: 1, weight_version: 1 };
@@ -211,7 +211,7 @@
   return { url: urlOf(server), server };
 }
 
-/** The same libraries with nothing in between. */
+/** A minimal proxy on the same HTTP libraries. */
 async function startPassThrough(serviceUrl: string, engineUrl: string): Promise<Started<FastifyInstance>> {
   const server = Fastify();
   const agent = new Agent();
--- a/packages/measure/src/main.ts
+++ b/packages/measure/src/main.ts
@@ -1,5 +1,5 @@
 /**
- * `npm run measure`: all measurements, or those named. Benchmarks are no tests: they compare within one run.
+ * `npm run measure`: runs all measurements, or those named.
  */
 import { isWithin, printFigure, type Figure, type Measurement } from './figure.js';
 import { controlSockets } from './controlSockets.js';
--- a/packages/measure/src/placement.ts
+++ b/packages/measure/src/placement.ts
@@ -1,8 +1,8 @@
 /**
- * How long a trainer's steps take under each way of placing their items, in a model of the endpoints.
+ * Duration of a trainer's steps under each placement strategy, in a model of the endpoints.
  *
- * The placement and the moves are the product's own. Endpoints differ in pace only; a batch has groups of items whose lengths have a
- * long tail and whose estimates err, and a step begins every few seconds. Both ways see the same steps.
+ * The placement and move decisions are the product's code. Endpoints differ only in pace. Item lengths have a long tail and
+ * their estimates have errors. All strategies run on the same steps.
  */
 import {
   placeItem,
@@ -19,14 +19,14 @@
 const STEPS = 12;
 const TICK_MS = 25;
 const MOVE_MS = 250;
-/** A step must be whole by then: its due time, what is forgiven, less acceptance and listing. */
+/** Time limit for a step: its due time plus tolerance, minus acceptance and listing. */
 const COMPLETION_LIMIT_MS = 7900;
-/** Events after which an owner knows an endpoint's pace. */
+/** Number of events after which an owner has an estimate of an endpoint's pace. */
 const MIN_OBSERVED_EVENTS = 16;
 const LONG_SHARE = 0.25;
 const RANDOM_RESOLUTION = 1_000_000;
 
-/** A trainer's work, and the endpoints that its model has. */
+/** A trainer's steps and the endpoints of its model. */
 interface Workload {
   readonly name: string;
   readonly groups: number;
@@ -35,7 +35,7 @@
   readonly intervalMs: number;
   readonly meanEvents: number;
   readonly maxEvents: number;
-  /** Milliseconds an event of each endpoint. */
+  /** Milliseconds per event, by endpoint. */
   readonly pacesMs: readonly number[];
   readonly places: number;
 }
@@ -71,7 +71,7 @@
   };
 }
 
-/** A way to place items. `isTold`: an owner knows the paces that owners before it have seen; else only those that it sees itself. */
+/** `hasSharedPaces`: an owner also uses paces that earlier owners observed, not only its own observations. */
 interface Strategy {
   readonly name: string;
   readonly policy: PlacementPolicy;
@@ -100,19 +100,21 @@
   readonly items: readonly ModelItem[];
   readonly longThreshold: number;
   readonly groupEndpoints: Map<string, string>;
-  /** Events that the step's owner has seen of each endpoint. */
+  /** Number of events that the step's owner has observed, by endpoint. */
   readonly observedEvents: Map<number, number>;
   completedMs: number | undefined;
 }
 
 export const placement: Measurement = {
   name: 'placement',
-  about: 'steps that are whole in time under each way of placing items, in a model',
+  about: 'steps completed in time under each placement strategy, in a model',
   async run(print) {
     for (const work of WORKLOADS) {
-      for (const way of STRATEGIES) {
-        const { name } = way;
-        const stepTimesMs = Array.from({ length: SEEDS }, (_, seed) => runSteps(work, way, seed + 1)).flat();
+      for (const strategy of STRATEGIES) {
+        const { name } = strategy;
+        const stepTimesMs = Array.from({ length: SEEDS }, (_, seed) =>
+          runSteps(work, strategy, seed + 1),
+        ).flat();
         const inTime = stepTimesMs.filter(ms => ms <= COMPLETION_LIMIT_MS).length / stepTimesMs.length;
         const mean = stepTimesMs.reduce((a, b) => a + b, 0) / stepTimesMs.length;
         print({ figure: `${work.name}, ${name}: steps whole in time`, value: inTime, unit: 'share' });
@@ -123,8 +125,8 @@
   },
 };
 
-/** The time that each step takes until the groups that its trainer waits for are whole. */
-function runSteps(work: Workload, way: Strategy, seed: number): readonly number[] {
+/** Returns the time that each step takes until the groups that its trainer waits for are complete. */
+function runSteps(work: Workload, strategy: Strategy, seed: number): readonly number[] {
   const random = new SeededRandom(seed);
   const steps = Array.from({ length: STEPS }, (_, i) => newStep(work, random, i * work.intervalMs));
   const used = work.pacesMs.map(() => 0);
@@ -132,8 +134,8 @@
     const open = steps.filter(step => step.startMs <= nowMs && step.completedMs === undefined);
     for (const step of open) {
       advanceItems(step, work, used, nowMs);
-      placeWaitingItems(step, work, way, used, nowMs);
-      if (nowMs % MOVE_MS === 0) moveSlowItems(step, work, way, used, nowMs);
+      placeWaitingItems(step, work, strategy, used, nowMs);
+      if (nowMs % MOVE_MS === 0) moveSlowItems(step, work, strategy, used, nowMs);
       if (countCompleteGroups(step, work) >= work.wantedGroups) finishStep(step, used, nowMs);
     }
   }
@@ -165,7 +167,7 @@
   };
 }
 
-/** Lengths around the mean, a tenth of them five times as long, up to a bound. */
+/** Draws a log-normal length; about one in ten is five times as long. */
 function drawEventCount({ meanEvents, maxEvents }: Workload, random: SeededRandom): number {
   const spread = 0.84;
   const isTail = random.below(RANDOM_RESOLUTION) < 0.104 * RANDOM_RESOLUTION;
@@ -197,7 +199,7 @@
 function placeWaitingItems(
   step: ModelStep,
   work: Workload,
-  way: Strategy,
+  strategy: Strategy,
   used: number[],
   nowMs: number,
 ): void {
@@ -211,7 +213,7 @@
       ownDomain: '',
       avoid: new Set<string>(),
     };
-    const found = placeItem(placementEndpoints(step, work, way, used), request, way.policy);
+    const found = placeItem(placementEndpoints(step, work, strategy, used), request, strategy.policy);
     if (!found) return;
     step.groupEndpoints.set(item.group, found.id);
     startItem(item, Number(found.id), used, nowMs);
@@ -221,14 +223,14 @@
 function placementEndpoints(
   step: ModelStep,
   work: Workload,
-  way: Strategy,
+  strategy: Strategy,
   used: readonly number[],
 ): readonly PlacementEndpoint[] {
   return work.pacesMs.map((paceMs, i) => ({
     id: String(i),
     domain: '',
     freePlaces: work.places - (used[i] ?? 0),
-    paceMs: isPaceKnown(step, way, i) ? paceMs : undefined,
+    paceMs: isPaceKnown(step, strategy, i) ? paceMs : undefined,
   }));
 }
 
@@ -236,15 +238,21 @@
   return isTold || (step.observedEvents.get(endpoint) ?? 0) >= MIN_OBSERVED_EVENTS;
 }
 
-function moveSlowItems(step: ModelStep, work: Workload, way: Strategy, used: number[], nowMs: number): void {
+function moveSlowItems(
+  step: ModelStep,
+  work: Workload,
+  strategy: Strategy,
+  used: number[],
+  nowMs: number,
+): void {
   for (const item of step.items) {
     if (item.endpoint === undefined || !isOpen(item)) continue;
-    if (!isPaceKnown(step, way, item.endpoint)) continue;
+    if (!isPaceKnown(step, strategy, item.endpoint)) continue;
     const paceMs = work.pacesMs[item.endpoint] ?? FAST_PACE_MS;
     const runMs = nowMs - item.runningSinceMs;
     const other = work.pacesMs.findIndex(
       (otherMs, i) =>
-        (used[i] ?? 0) < work.places && isPaceKnown(step, way, i) && shouldMove(runMs, paceMs, otherMs),
+        (used[i] ?? 0) < work.places && isPaceKnown(step, strategy, i) && shouldMove(runMs, paceMs, otherMs),
     );
     if (other < 0) continue;
     releaseItem(item, used);
@@ -268,7 +276,7 @@
   return work.groups - open.size;
 }
 
-/** What still runs of a step that is whole ends with it. */
+/** Ends a step and releases its running items. */
 function finishStep(step: ModelStep, used: number[], nowMs: number): void {
   step.completedMs = nowMs;
   for (const item of step.items) releaseItem(item, used);
--- a/packages/measure/src/pollBytes.ts
+++ b/packages/measure/src/pollBytes.ts
@@ -1,5 +1,5 @@
 /**
- * The bytes of one load report over HTTP, counted at the socket.
+ * Bytes of one load report over HTTP, counted at the socket.
  */
 import type net from 'node:net';
 import { EngineStandIn } from '@fuchsiahitch/standins';
--- a/packages/measure/src/requests.ts
+++ b/packages/measure/src/requests.ts
@@ -1,5 +1,5 @@
 /**
- * Customers beside rollouts, and routing under failures against two baselines of our own in the same run.
+ * Customer latency under rollout load, and routing under endpoint failures compared with two baselines in the same run.
  */
 import { SeededRandom, VirtualClock } from '@fuchsiahitch/base';
 import { SimFleet, SimTrainer } from '@fuchsiahitch/testkit';
@@ -117,16 +117,16 @@
   const policy = make(clock, random);
   const result = await runRouting(policy, clock, random);
   const isProduct = policy instanceof ProductPolicy;
-  const tell = (name: string, value: number, unit: string, bound?: string): void =>
+  const reportFigure = (name: string, value: number, unit: string, bound?: string): void =>
     print({
       figure: `${name}, ${policy.name}`,
       value,
       unit,
       ...(bound !== undefined && isProduct ? { bound } : {}),
     });
-  tell('p99, all endpoints well', result.healthyP99Ms, 'ms');
-  tell('busiest endpoint to the mean, all well', result.spread, 'ratio');
-  tell('p99, a third of the endpoints fail', result.faultP99Ms, 'ms');
-  tell('requests without a whole answer, a third fail', result.lostShare, 'share');
-  tell('extra attempts, a third fail', result.extraAttempts, 'share', '<= 0.1');
+  reportFigure('p99, all endpoints well', result.healthyP99Ms, 'ms');
+  reportFigure('busiest endpoint to the mean, all well', result.spread, 'ratio');
+  reportFigure('p99, a third of the endpoints fail', result.faultP99Ms, 'ms');
+  reportFigure('requests without a whole answer, a third fail', result.lostShare, 'share');
+  reportFigure('extra attempts, a third fail', result.extraAttempts, 'share', '<= 0.1');
 }
--- a/packages/measure/src/routingSimulation.ts
+++ b/packages/measure/src/routingSimulation.ts
@@ -1,5 +1,5 @@
 /**
- * A pool of endpoints on a virtual clock, some of which fail fast for a while, and ways to route to them.
+ * A pool of endpoints on a virtual clock, some of which fail fast, and routing policies to compare.
  */
 import type { SeededRandom, VirtualClock } from '@fuchsiahitch/base';
 import {
@@ -26,10 +26,10 @@
 const RETRY_WAIT_MS = 10;
 const MAX_ATTEMPTS = 4;
 
-/** What a policy is told and asked. Endpoints and hosts are numbers. */
+/** A routing policy. Endpoints and hosts are identified by index. */
 export interface RoutingPolicy {
   readonly name: string;
-  /** The endpoint for a host's request, or undefined to wait. */
+  /** Returns the endpoint for a host's request, or undefined to wait. */
   choose(host: number, tried: ReadonlySet<number>): number | undefined;
   began(host: number, endpoint: number): void;
   ended(host: number, endpoint: number, isFailure: boolean): void;
@@ -40,7 +40,7 @@
 
 const BASE_VIEW = { domain: 'd', pool: 'p', isLeaving: false, version: '' };
 
-/** The product's own decisions. */
+/** The product's routing decisions. */
 export class ProductPolicy implements RoutingPolicy {
   readonly name = 'ours';
   private readonly _pickers: readonly EndpointPicker[];
@@ -102,7 +102,7 @@
   }
 }
 
-/** Baseline: one after the other, with plain retries. */
+/** Baseline: round robin with unlimited retries. */
 export class RoundRobin implements RoutingPolicy {
   readonly name: string = 'round robin';
   private readonly _next = Array.from({ length: HOSTS }, (_, i) => i);
@@ -114,19 +114,19 @@
   }
 
   began(): void {
-    // Round robin keeps no counts.
+    // No state.
   }
 
   ended(): void {
-    // Nor does it learn from failures.
+    // No state.
   }
 
   onReport(): void {
-    // Nor from reports.
+    // No state.
   }
 
   onRequestStart(): void {
-    // It has no budget.
+    // No retry budget.
   }
 
   mayRetry(): boolean {
@@ -134,7 +134,7 @@
   }
 }
 
-/** Baseline: the endpoint with the least load in the last report, with plain retries. */
+/** Baseline: the endpoint with the lowest load in the last report, with unlimited retries. */
 export class LeastReported extends RoundRobin {
   override readonly name = 'least reported load';
   private readonly _loads = new Array<number>(ENDPOINTS).fill(0);
@@ -172,7 +172,7 @@
   readonly waiting: (() => void)[] = [];
 }
 
-/** Runs one policy: first all endpoints well, then a third failing fast. */
+/** Runs a policy, first with all endpoints healthy, then with a third failing fast. */
 export async function runRouting(
   policy: RoutingPolicy,
   clock: VirtualClock,
--- a/packages/measure/src/ruleDecisions.ts
+++ b/packages/measure/src/ruleDecisions.ts
@@ -1,5 +1,5 @@
 /**
- * How long a decision takes, at 10, 100 and 1,000 rules.
+ * Duration of a rule decision with 10, 100 and 1,000 rules.
  */
 import { SeededRandom, SystemClock } from '@fuchsiahitch/base';
 import { RuleEvaluator, type RequestFacts, type Rule } from '@fuchsiahitch/rules';
--- a/packages/measure/src/steps.ts
+++ b/packages/measure/src/steps.ts
@@ -1,5 +1,5 @@
 /**
- * Steps: what the ledger costs, and how long trainers wait, against simpler schedules in the same run.
+ * Cost of the step ledger, and idle time of trainers compared with a simpler schedule in the same run.
  */
 import { SeededRandom, VirtualClock, type Random } from '@fuchsiahitch/base';
 import {
@@ -57,7 +57,7 @@
   };
 }
 
-/** A store that takes everything and counts the calls. */
+/** A store that accepts every write and counts calls and bytes. */
 class CountingStore implements StepStore {
   calls = 0;
   bytes = 0;
@@ -163,7 +163,7 @@
 const PRODUCT_POLICY: Policy = { name: 'fair, hedged', isFair: true, hedgeShare: 0.05 };
 const BASELINE_POLICY: Policy = { name: 'first come, first served', isFair: false, hedgeShare: 0 };
 
-/** Two houses: one opens large steps, the other small ones. Lengths have a heavy tail, one engine is slow. */
+/** One house opens large steps, the other small ones. */
 const HOUSES = [
   { house: 'large', groups: 40, samples: 8 },
   { house: 'small', groups: 8, samples: 8 },
@@ -208,7 +208,7 @@
   readonly stepMs: Readonly<Record<string, number>>;
 }
 
-/** Runs steps on eight engines; `engineShare` gives a house alone its share of them. */
+/** Runs steps on a share of the engines; with a share below 1, a house runs alone on its fair share. */
 async function runPolicy(policy: Policy, houses: readonly House[], engineShare = 1): Promise<PolicyResult> {
   const clock = new VirtualClock();
   const random = new SeededRandom(SEED);
@@ -259,7 +259,7 @@
   readonly finish: (step: RunningStep) => void;
 }
 
-/** One place of an engine: takes a sample, makes it, takes the next. */
+/** Simulates one engine slot, which generates one sample after the other. */
 function runSlot(context: SlotContext): void {
   const { clock, running, policy, schedule, random, slot } = context;
   const servable = running
@@ -276,7 +276,7 @@
   const { step } = chosen;
   const tokens = drawTokenCount(random);
   schedule.charge(step.plan.house, 0.5, tokens);
-  // One engine is six times slower than the others, as one that swaps to disk would be.
+  // The first engine is a straggler.
   const tokenMs = slot < SLOTS ? TOKEN_MS * SLOW_ENGINE_FACTOR : TOKEN_MS;
   clock.after(tokens * tokenMs, () => {
     if (step.ledger.sampleDone({ ...sampleOf(assignment), text: '' }) === 'taken')
@@ -291,7 +291,7 @@
   if (step.ledger.isOver()) finish(step);
 }
 
-/** Between 50 and 2,000 tokens; one in twenty is ten times as long as most. */
+/** Draws 50 to 2,000 tokens; one sample in twenty is ten times as long. */
 function drawTokenCount(random: Random): number {
   const base = 50 + random.below(150);
   return random.below(20) === 0 ? base * 10 : base;
