--- a/utils/bundle.mjs
+++ b/utils/bundle.mjs
@@ -1,4 +1,4 @@
-// Bundles each program into one file under dist/bin, so that a host needs Node.js and nothing else.
+// Bundles each program into one file under dist/bin, so that a host needs only Node.js.
 import fs from 'node:fs';
 import { build } from 'esbuild';
 import { BANNER, UNUSED } from './bundleOptions.mjs';
--- a/utils/bundleOptions.mjs
+++ b/utils/bundleOptions.mjs
@@ -1,6 +1,6 @@
-// What the bundles of all programs share.
+// Build options of the bundles.
 
-/** Nest loads these only when a project uses them; this one does not. */
+/** Optional dependencies that this project does not use. */
 export const UNUSED = [
   '@nestjs/platform-express',
   '@nestjs/microservices',
@@ -15,7 +15,7 @@
   'cbor-extract',
 ];
 
-/** Some libraries are CommonJS and call require at run time. */
+/** Some CommonJS libraries call `require` at run time. */
 export const BANNER = [
   '#!/usr/bin/env node',
   "import { createRequire as makeRequire } from 'node:module';",
@@ -23,8 +23,8 @@
 ].join('\n');
 
 /**
- * The programs that run on the users' platform, for esbuild. What a program loads on demand only, such as the application that
- * serves metrics, stands in files of its own, which a start neither reads nor compiles.
+ * Build of the programs that run on the users' platform. Modules that are imported on demand, such as the metrics server, go
+ * into separate files, so that startup neither reads nor compiles them.
  */
 export const TARGET_BUILD = {
   entryPoints: {
--- a/utils/checkDeps.mjs
+++ b/utils/checkDeps.mjs
@@ -1,5 +1,5 @@
 // Checks that every package imports only what its DEPS.list allows, and that package.json agrees.
-// A line of a DEPS.list is one allowed module: another package, a library, or a Node module.
+// Each line of a DEPS.list names one allowed module: another package, a library, or a Node module.
 import fs from 'node:fs';
 import path from 'node:path';
 
@@ -59,4 +59,4 @@
   console.error(`${problems} import problems`);
   process.exit(1);
 }
-console.log('imports: every package keeps to its DEPS.list');
+console.log('imports: every package conforms to its DEPS.list');
--- a/utils/lostSteps.mjs
+++ b/utils/lostSteps.mjs
@@ -1,9 +1,9 @@
-// Reads logs of entry hosts and tells which steps were late or never whole, and what held up the items that they
-// waited for. Usage: node utils/lostSteps.mjs [--due-ms N] [--all] FILE...   (lines may have anything before their JSON)
+// Reads logs of entry hosts and reports which steps were late or incomplete, and what delayed their items.
+// Usage: node utils/lostSteps.mjs [--due-ms N] [--all] FILE...   (a line may have a prefix before its JSON)
 import fs from 'node:fs';
 import { parseArgs } from 'node:util';
 
-/** Trainers take a step for late after this long, unless --due-ms says otherwise. */
+/** Default of --due-ms: steps that take longer count as late. */
 const DEFAULT_DUE_MS = 7500;
 
 const { values: flags, positionals: files } = parseArgs({
@@ -74,14 +74,14 @@
     try {
       entry = JSON.parse(line.slice(start));
     } catch {
-      continue; // A line that was cut off in the middle tells nothing.
+      continue; // A truncated line.
     }
     const reader = READERS[entry.message];
     if (reader && entry.context.batchId) reader(batchOf(entry.context.batchId), entry.context, entry.time);
   }
 }
 
-/** Where the time of one item went, from its batch's acceptance on. */
+/** Breaks down an item's time since its batch was accepted, by kind. */
 function timesOf(batch, item) {
   const times = { queued: 0, ran: 0, silent: 0, broken: 0, refused: 0, moved: 0, outdated: 0, scoring: 0 };
   const kinds = {
--- a/utils/setup.mjs
+++ b/utils/setup.mjs
@@ -1,4 +1,4 @@
-// Makes a fresh machine ready: installs what the lock file names, when it is not there yet, and builds.
+// Installs dependencies if they are missing or older than the lock file, then builds.
 import fs from 'node:fs';
 import { execSync } from 'node:child_process';
 
--- a/utils/testVerdict.mjs
+++ b/utils/testVerdict.mjs
@@ -1,30 +1,30 @@
-// What a run of the tests says, with the failures that KNOWN-RED.txt lists passed over and printed.
+// Evaluates a test run. Failures listed in KNOWN-RED.txt are printed but do not fail the run.
 //
-// As a program it reads the runner's TAP output from standard input: node utils/testVerdict.mjs KNOWN-RED.txt < OUTPUT
+// Usage: node utils/testVerdict.mjs KNOWN-RED.txt < OUTPUT   (OUTPUT: TAP output of the runner)
 import fs from 'node:fs';
 import { pathToFileURL } from 'node:url';
 
-/** More open faults than this are no exceptions any more. */
+/** Maximum number of entries in KNOWN-RED.txt. */
 const MAX_KNOWN_RED = 3;
-/** A line holds the test, the command with its seed, what was seen, and the open issue. */
+/** Fields of a line: the test, the command with its seed, the observed failure, and the issue. */
 const FIELDS = 4;
 
-/** The failures that may stand, from the text of KNOWN-RED.txt: `FILE: TITLE | COMMAND | SEEN | ISSUE`, a line each. */
+/** Parses KNOWN-RED.txt. Each line has the form `FILE: TITLE | COMMAND | SEEN | ISSUE`. */
 export function parseKnownRed(text) {
   const lines = text.split('\n').filter(line => line.trim() !== '' && !line.startsWith('#'));
   if (lines.length > MAX_KNOWN_RED)
-    throw new Error(`KNOWN-RED.txt holds ${lines.length} lines, ${MAX_KNOWN_RED} at most`);
+    throw new Error(`KNOWN-RED.txt has ${lines.length} entries, expected at most ${MAX_KNOWN_RED}`);
   return lines.map(line => {
     const fields = line.split('|').map(field => field.trim());
     if (fields.length !== FIELDS || fields.includes(''))
-      throw new Error(`KNOWN-RED.txt: not four fields: ${line}`);
+      throw new Error(`KNOWN-RED.txt: expected four fields separated by '|': ${line}`);
     return { test: fields[0], line };
   });
 }
 
 /**
- * The tests of a TAP output, each named `FILE: TITLE`, and the files that failed without a failed test or ended before
- * their plan: a file that ends in the middle prints no plan, and its last tests never ran.
+ * Returns the tests of a TAP output, named `FILE: TITLE`, and the files that failed without a failed test or before printing
+ * their plan. A file without a plan exited early, so its remaining tests did not run.
  */
 function readTap(output) {
   const tests = [];
@@ -45,7 +45,7 @@
   return { tests, brokenFiles };
 }
 
-/** `status`: how the runner ended; other than 0 it is a failure of its own unless a failed test explains it. */
+/** `status`: exit status of the runner. A status other than 0 without a failed test or file counts as one failure. */
 export function verdictOf(output, knownRed, status) {
   const { tests, brokenFiles } = readTap(output);
   const failed = tests.filter(test => test.isFailed);
