--- a/packages/demo/src/customers.ts
+++ b/packages/demo/src/customers.ts
@@ -1,6 +1,6 @@
 /**
  * Customer load of the demo: lookups, completions and seat holds, sent to the entry hosts in round-robin order as by a
- * load balancer. After a broken connection, the request is retried at another host with the same idempotency key.
+ * load balancer. Requests are retried at the next host; a hold keeps its idempotency key.
  */
 import hdr, { type Histogram } from 'hdr-histogram-js';
 import { request } from 'undici';
