--- a/packages/measure/src/controlSockets.ts
+++ b/packages/measure/src/controlSockets.ts
@@ -1,7 +1,7 @@
 /**
- * Control of real hosts over real sockets, without any traffic: processor time, bytes and heap a host.
+ * Control traffic of idle hosts over real sockets: CPU time, bytes and heap per host.
  *
- * All hosts and their stand-ins share this process, so the processor time is an upper bound for a host.
+ * All hosts and stand-ins share this process, so CPU time per host is an upper bound.
  */
 import { TestFleet } from '@fuchsiahitch/testkit';
 import type { Measurement } from './figure.js';
@@ -9,8 +9,8 @@
 const SIZES = [3, 9, 18];
 const SETTLE_MS = 20_000;
 const MEASURE_MS = 15_000;
-const MICROSECONDS = 1_000_000;
-const MS_A_SECOND = 1000;
+const MICROSECONDS_PER_SECOND = 1_000_000;
+const MS_PER_SECOND = 1000;
 
 export const controlSockets: Measurement = {
   name: 'sockets',
@@ -30,8 +30,8 @@
       const cpu = process.cpuUsage();
       await pause(MEASURE_MS);
       const spent = process.cpuUsage(cpu);
-      const seconds = MEASURE_MS / MS_A_SECOND;
-      const core = (spent.user + spent.system) / MICROSECONDS / seconds / hosts;
+      const seconds = MEASURE_MS / MS_PER_SECOND;
+      const core = (spent.user + spent.system) / MICROSECONDS_PER_SECOND / seconds / hosts;
       print({
         figure: `control CPU a host, ${hosts} real hosts`,
         value: core * 100,
--- a/packages/measure/src/routingWorld.ts
+++ b/packages/measure/src/routingSimulation.ts
@@ -1,5 +1,5 @@
 /**
- * A pool of endpoints on a virtual clock, some of which fail fast for a while, and ways to route to them.
+ * A pool of endpoints on a virtual clock, some of which fail fast, and routing policies to compare.
  */
 import type { SeededRandom, VirtualClock } from '@fuchsiahitch/base';
 import {
@@ -17,31 +17,31 @@
 const SLOTS = 8;
 const MIN_SERVICE_MS = 40;
 const SERVICE_SPREAD_MS = 80;
-const FAIL_MS = 2;
+const FAILURE_LATENCY_MS = 2;
 const REPORT_MS = 2000;
 const ARRIVAL_GAP_MS = 2;
-const WELL_MS = 15_000;
+const HEALTHY_MS = 15_000;
 const FAULT_MS = 15_000;
 const DEADLINE_MS = 3000;
 const RETRY_WAIT_MS = 10;
-const MAX_TRIES = 4;
+const MAX_ATTEMPTS = 4;
 
-/** What a policy is told and asked. Endpoints and hosts are numbers. */
+/** A routing policy. Endpoints and hosts are identified by index. */
 export interface RoutingPolicy {
   readonly name: string;
-  /** The endpoint for a host's request, or undefined to wait. */
+  /** Returns the endpoint for a host's request, or undefined to wait. */
   choose(host: number, tried: ReadonlySet<number>): number | undefined;
   began(host: number, endpoint: number): void;
   ended(host: number, endpoint: number, isFailure: boolean): void;
-  reported(endpoint: number, inFlight: number, queued: number): void;
-  requestBegan(host: number): void;
+  onReport(endpoint: number, inFlight: number, queued: number): void;
+  onRequestStart(host: number): void;
   mayRetry(host: number): boolean;
 }
 
-const VIEW = { domain: 'd', pool: 'p', isLeaving: false, version: '' };
+const BASE_VIEW = { domain: 'd', pool: 'p', isLeaving: false, version: '' };
 
-/** The product's own decisions. */
-export class Ours implements RoutingPolicy {
+/** The product's routing decisions. */
+export class ProductPolicy implements RoutingPolicy {
   readonly name = 'ours';
   private readonly _pickers: readonly EndpointPicker[];
   private readonly _views: readonly (readonly EndpointView[])[];
@@ -53,7 +53,7 @@
     this._budgets = hosts.map(() => new RetryBudget(0.1, 20));
     this._views = hosts.map(() =>
       Array.from({ length: ENDPOINTS }, (_, i) => ({
-        ...VIEW,
+        ...BASE_VIEW,
         id: String(i),
         stats: new EndpointStats(clock),
         limit: new ConcurrencyLimit(SLOTS, HOSTS),
@@ -86,14 +86,14 @@
     this._views[host]?.[endpoint]?.stats.ended(false, isFailure);
   }
 
-  reported(endpoint: number, inFlight: number, queued: number): void {
+  onReport(endpoint: number, inFlight: number, queued: number): void {
     for (const views of this._views) {
       views[endpoint]?.limit.onLoadReport(queued, inFlight);
       views[endpoint]?.stats.onLoadReport({ inFlight, queued, version: '', startId: 's', isLeaving: false });
     }
   }
 
-  requestBegan(host: number): void {
+  onRequestStart(host: number): void {
     this._budgets[host]?.requestStarted();
   }
 
@@ -102,7 +102,7 @@
   }
 }
 
-/** Baseline: one after the other, with plain retries. */
+/** Baseline: round robin with unlimited retries. */
 export class RoundRobin implements RoutingPolicy {
   readonly name: string = 'round robin';
   private readonly _next = Array.from({ length: HOSTS }, (_, i) => i);
@@ -114,19 +114,19 @@
   }
 
   began(): void {
-    // Round robin keeps no counts.
+    // No state.
   }
 
   ended(): void {
-    // Nor does it learn from failures.
+    // No state.
   }
 
-  reported(): void {
-    // Nor from reports.
+  onReport(): void {
+    // No state.
   }
 
-  requestBegan(): void {
-    // It has no budget.
+  onRequestStart(): void {
+    // No retry budget.
   }
 
   mayRetry(): boolean {
@@ -134,7 +134,7 @@
   }
 }
 
-/** Baseline: the endpoint with the least load in the last report, with plain retries. */
+/** Baseline: the endpoint with the lowest load in the last report, with unlimited retries. */
 export class LeastReported extends RoundRobin {
   override readonly name = 'least reported load';
   private readonly _loads = new Array<number>(ENDPOINTS).fill(0);
@@ -143,13 +143,13 @@
     return this._loads.indexOf(Math.min(...this._loads));
   }
 
-  override reported(...[endpoint, inFlight, queued]: readonly number[]): void {
+  override onReport(...[endpoint, inFlight, queued]: readonly number[]): void {
     this._loads[endpoint ?? 0] = (inFlight ?? 0) + (queued ?? 0);
   }
 }
 
 export interface RoutingResult {
-  readonly wellP99Ms: number;
+  readonly healthyP99Ms: number;
   readonly faultP99Ms: number;
   readonly spread: number;
   readonly lostShare: number;
@@ -172,23 +172,23 @@
   readonly waiting: (() => void)[] = [];
 }
 
-/** Runs one policy: first all endpoints well, then a third failing fast. */
+/** Runs a policy, first with all endpoints healthy, then with a third failing fast. */
 export async function runRouting(
   policy: RoutingPolicy,
   clock: VirtualClock,
   random: SeededRandom,
 ): Promise<RoutingResult> {
   const endpoints = Array.from({ length: ENDPOINTS }, () => new SimEndpoint());
-  const world = new RoutingWorld(policy, clock, random, endpoints);
-  const well = newPhase();
-  await world.run(well, WELL_MS);
+  const simulation = new RoutingSimulation(policy, clock, random, endpoints);
+  const healthy = newPhase();
+  await simulation.run(healthy, HEALTHY_MS);
   const served = endpoints.map(endpoint => endpoint.served);
   const spread = Math.max(...served) / (served.reduce((a, b) => a + b, 0) / ENDPOINTS);
   for (const endpoint of endpoints.slice(0, FAILING)) endpoint.isFailing = true;
   const fault = newPhase();
-  await world.run(fault, FAULT_MS);
+  await simulation.run(fault, FAULT_MS);
   return {
-    wellP99Ms: p99(well.timesMs),
+    healthyP99Ms: p99(healthy.timesMs),
     faultP99Ms: p99(fault.timesMs),
     spread,
     lostShare: fault.lost / fault.requests,
@@ -200,7 +200,7 @@
   return times.toSorted((a, b) => a - b)[Math.floor(0.99 * times.length)] ?? 0;
 }
 
-class RoutingWorld {
+class RoutingSimulation {
   private readonly _policy: RoutingPolicy;
   private readonly _clock: VirtualClock;
   private readonly _random: SeededRandom;
@@ -228,25 +228,31 @@
 
   private _report(): void {
     for (const [i, endpoint] of this._endpoints.entries())
-      this._policy.reported(i, endpoint.running, endpoint.waiting.length);
+      this._policy.onReport(i, endpoint.running, endpoint.waiting.length);
     this._clock.after(REPORT_MS, () => this._report());
   }
 
   private _arrive(phase: Phase): void {
     phase.requests += 1;
     const host = this._random.below(HOSTS);
-    this._policy.requestBegan(host);
-    this._try(phase, host, this._clock.nowMs(), new Set(), 1);
+    this._policy.onRequestStart(host);
+    this._attempt(phase, host, this._clock.nowMs(), new Set(), 1);
   }
 
-  private _try(phase: Phase, host: number, startMs: number, tried: ReadonlySet<number>, tries: number): void {
+  private _attempt(
+    phase: Phase,
+    host: number,
+    startMs: number,
+    tried: ReadonlySet<number>,
+    tries: number,
+  ): void {
     if (this._clock.nowMs() - startMs > DEADLINE_MS) {
       phase.lost += 1;
       return;
     }
     const chosen = this._policy.choose(host, tried);
     if (chosen === undefined) {
-      this._clock.after(RETRY_WAIT_MS, () => this._try(phase, host, startMs, tried, tries));
+      this._clock.after(RETRY_WAIT_MS, () => this._attempt(phase, host, startMs, tried, tries));
       return;
     }
     phase.attempts += 1;
@@ -254,8 +260,8 @@
     this._serve(chosen, isFailure => {
       this._policy.ended(host, chosen, isFailure);
       if (!isFailure) phase.timesMs.push(this._clock.nowMs() - startMs);
-      else if (tries < MAX_TRIES && this._policy.mayRetry(host)) {
-        this._try(phase, host, startMs, new Set([...tried, chosen]), tries + 1);
+      else if (tries < MAX_ATTEMPTS && this._policy.mayRetry(host)) {
+        this._attempt(phase, host, startMs, new Set([...tried, chosen]), tries + 1);
       } else phase.lost += 1;
     });
   }
@@ -265,7 +271,7 @@
     if (!endpoint) return;
     endpoint.served += 1;
     if (endpoint.isFailing) {
-      this._clock.after(FAIL_MS, () => done(true));
+      this._clock.after(FAILURE_LATENCY_MS, () => done(true));
       return;
     }
     const begin = (): void => {
--- a/packages/standins/src/serviceStandIn.ts
+++ b/packages/standins/src/serviceStandIn.ts
@@ -1,5 +1,5 @@
 /**
- * A plain service that takes seat holds and counts the runs of each key: the witness of "at most once".
+ * A plain service for seat holds. It counts executions per idempotency key, so that tests can verify at-most-once execution.
  */
 import type { FastifyReply, FastifyRequest } from 'fastify';
 import { pause } from './faults.js';
@@ -11,7 +11,7 @@
 }
 
 export class ServiceStandIn extends StandIn {
-  /** The headers of each lookup, as they came. */
+  /** Headers of each lookup as received. */
   readonly lookups: Readonly<Record<string, unknown>>[] = [];
   private readonly _runs = new Map<string, number>();
   private readonly _options: ServiceOptions;
@@ -32,13 +32,13 @@
     });
   }
 
-  /** How often each key ran. */
+  /** Number of executions per idempotency key. */
   get runs(): ReadonlyMap<string, number> {
     return this._runs;
   }
 
   private async _hold(request: FastifyRequest, reply: FastifyReply): Promise<void> {
-    if (this._isLeaving || this.faults.take('refuse')) {
+    if (this._isLeaving || this.faults.consume('refuse')) {
       const leaving = this._isLeaving ? { 'x-leaving': '1' } : {};
       await reply
         .status(503)
@@ -49,7 +49,7 @@
     const key = String(request.headers['idempotency-key'] ?? 'none');
     this._runs.set(key, (this._runs.get(key) ?? 0) + 1);
     await pause(this._options.holdMs);
-    if (this.faults.take('loseAnswers')) {
+    if (this.faults.consume('loseAnswers')) {
       reply.raw.socket?.destroy();
       return;
     }
--- a/packages/testkit/src/simFleet.ts
+++ b/packages/testkit/src/simFleet.ts
@@ -1,5 +1,5 @@
 /**
- * A deployment of real hosts on a virtual clock: every service of the daemon, over a simulated network.
+ * A deployment on a virtual clock: hosts run the daemon's real services over a simulated network.
  */
 import { setMaxListeners } from 'node:events';
 import {
@@ -28,28 +28,28 @@
 import {
   SimEngine,
   SimEngineClient,
-  SimList,
-  SimListClient,
+  SimMemberList,
+  SimMemberListClient,
   SimScorer,
   SimScorerClient,
   SimServices,
   SimStore,
   SimStoreClient,
-} from './simWorld.js';
+} from './simBackends.js';
 
-const SILENT: Logger = {
+const NO_OP_LOGGER: Logger = {
   debug: () => undefined,
   info: () => undefined,
   warn: () => undefined,
   error: () => undefined,
 };
-const START_PATIENCE_MS = 60_000;
+const START_TIMEOUT_MS = 60_000;
 const POLL_MS = 100;
 const POOL = 'gen-pool';
 
 type Handler = (body: unknown, context: CallContext) => unknown;
 
-/** One host: its process and, once it has joined, its services. */
+/** A host. `services` is set once the host has joined the fleet. */
 export class SimHost implements CallRegistry, PeerCaller {
   readonly id: string;
   readonly domain: string;
@@ -65,8 +65,8 @@
     this.process = new SimProcess(id, fleet.clock);
   }
 
-  /** Bytes of the inner protocol that this host sent and received, its own calls to itself left out. */
-  bytes = 0;
+  /** Bytes of the peer protocol sent and received, without the host's calls to itself. */
+  peerBytes = 0;
 
   get ready(): EntryServices {
     if (!this.services) throw new Error(`host ${this.id} has not started`);
@@ -89,15 +89,15 @@
     const target = this._fleet.hosts.get(address);
     if (!target) return err({ kind: 'not-sent', text: 'no such host' });
     const body = structuredClone(request);
-    const count = this._fleet.options.countsBytes === true;
-    if (count) this._count(target, encodeFrame({ t: 'call', id: 1, name: call.name, body }).length);
+    const countsBytes = this._fleet.options.countsBytes === true;
+    if (countsBytes) this._count(target, encodeFrame({ t: 'call', id: 1, name: call.name, body }).length);
     const reply = await this._fleet.net.call(this.process, target.process, timeoutMs, async () => {
       const handler = target.handlers.get(call.name);
       if (!handler) return { refused: `no call '${call.name}'` };
       const peer = { hostId: this.id, domain: this.domain, incarnation: '1', programVersion: '0' };
       const value = structuredClone(await handler(body, { peer, trace: undefined }));
-      this._fleet.noteCall(call.name, value);
-      if (count) target._count(this, encodeFrame({ t: 'reply', id: 1, body: value }).length);
+      this._fleet.onCallHandled(call.name, value);
+      if (countsBytes) target._count(this, encodeFrame({ t: 'reply', id: 1, body: value }).length);
       return { value };
     });
     if (!reply) return err({ kind: 'timed-out' });
@@ -107,13 +107,13 @@
 
   private _count(other: SimHost, sizeBytes: number): void {
     if (other === this) return;
-    this.bytes += sizeBytes;
-    other.bytes += sizeBytes;
+    this.peerBytes += sizeBytes;
+    other.peerBytes += sizeBytes;
   }
 }
 
 export interface SimFleetOptions {
-  /** Counts the bytes of the inner protocol, as they would stand on the wire. */
+  /** Counts the encoded bytes of the peer protocol. */
   readonly countsBytes?: boolean;
   readonly seed: number;
   readonly domains: readonly string[];
@@ -127,16 +127,16 @@
   readonly random: SeededRandom;
   readonly net: SimNet;
   readonly store: SimStore;
-  readonly list: SimList;
+  readonly list: SimMemberList;
   readonly scorer: SimScorer;
   readonly engines = new Map<string, SimEngine>();
   readonly hosts = new Map<string, SimHost>();
   readonly services: SimServices;
   readonly options: SimFleetOptions;
-  /** Called at each stage of something's life; a test causes its fault there. */
+  /** Called when a step, sample or write reaches a stage; tests inject faults here. */
   onStage: (stage: string) => void = () => undefined;
-  /** Load reports that were asked for. */
-  reports = 0;
+  /** Number of load report requests. */
+  loadReportCalls = 0;
   private readonly _stop = new AbortController();
 
   constructor(options: SimFleetOptions) {
@@ -145,7 +145,7 @@
     this.random = new SeededRandom(options.seed);
     this.net = new SimNet(this.clock, this.random, { maxDelayMs: 4, lossShare: 0 });
     this.store = new SimStore(new SimProcess('store', this.clock));
-    this.list = new SimList(new SimProcess('list', this.clock));
+    this.list = new SimMemberList(new SimProcess('list', this.clock));
     this.scorer = new SimScorer(new SimProcess('scorer', this.clock));
     this.services = new SimServices(new SimProcess('service', this.clock));
     this.store.onPut.push(key => {
@@ -187,7 +187,7 @@
     return fleet;
   }
 
-  /** Starts a host, or its next process. */
+  /** Starts a host, or replaces its process by a new one. */
   async startHost(domain: string, id: string): Promise<void> {
     this.hosts.get(id)?.process.kill();
     const host = new SimHost(this, domain, id);
@@ -223,25 +223,25 @@
     });
   }
 
-  /** Moves time until the condition holds. */
-  async until(what: string, condition: () => boolean, patienceMs = START_PATIENCE_MS): Promise<void> {
+  /** Advances the clock until the condition holds. */
+  async until(description: string, condition: () => boolean, timeoutMs = START_TIMEOUT_MS): Promise<void> {
     for (let waitedMs = 0; !condition(); waitedMs += POLL_MS) {
-      if (waitedMs > patienceMs) throw new Error(`never: ${what}`);
+      if (waitedMs > timeoutMs) throw new Error(`timed out waiting for: ${description}`);
       await this.clock.advance(POLL_MS);
     }
   }
 
-  /** Cuts every connection between two sets of processes. */
+  /** Cuts all connections between two sets of processes. */
   cutBetween(left: readonly string[], right: readonly string[]): void {
     for (const a of left) for (const b of right) this.net.cut(a, b);
   }
 
-  /** Names of the processes of a failure domain: hosts and engines. */
-  namesOf(domain: string): readonly string[] {
+  /** Names of the hosts and engines in a failure domain. */
+  processNames(domain: string): readonly string[] {
     return [...this.hosts.keys(), ...this.engines.keys()].filter(name => name.startsWith(`${domain}-`));
   }
 
-  noteCall(name: string, reply: unknown): void {
+  onCallHandled(name: string, reply: unknown): void {
     if (name === 'workPull' && JSON.stringify(reply).includes('sampleId')) this.onStage('assigned');
     if (name === 'sampleDone') this.onStage('copied');
   }
@@ -277,7 +277,7 @@
       incarnation: Math.floor(this.clock.nowMs()) + 1,
       clock,
       random: this.random,
-      log: SILENT,
+      log: NO_OP_LOGGER,
       metrics: new Metrics(),
       tracing: new Tracing(),
       stopped: this._stop.signal,
@@ -287,13 +287,13 @@
   private _portsOf(host: SimHost): Parameters<typeof startServices>[1] {
     const { process } = host;
     const onStage = (stage: string): void => {
-      if (stage === 'report') this.reports += 1;
+      if (stage === 'report') this.loadReportCalls += 1;
       else this.onStage(stage);
     };
     return {
       peers: host,
       registry: host,
-      list: new SimListClient(this.list, process, this.net),
+      list: new SimMemberListClient(this.list, process, this.net),
       store: new SimStoreClient(this.store, process, this.net),
       engines: new SimEngineClient(this.engines, process, this.net, onStage),
       services: this.services,
