--- a/tests/accountFlood.spec.ts
+++ b/tests/accountFlood.spec.ts
@@ -6,7 +6,7 @@
 import type { EndpointReply } from '@fuchsiahitch/gateway';
 import { maxMinFairShare, FairAdmission } from '@fuchsiahitch/requests';
 import { GatewayFleet } from './gatewayFleet.js';
-import { answer, endpointRecord, keys } from './gatewayWorld.js';
+import { answer, endpointRecord, keys } from './gatewayFixtures.js';
 import { lookupRequest, LOOKUP_ROUTE, NEVER_ABORTED } from './lookupRequests.js';
 
 const ACCOUNTS = 76;
@@ -43,7 +43,7 @@
 }
 
 async function runFlood(seed: number): Promise<Served> {
-  const fleet = new GatewayFleet({ hosts: 9, domains: 3, endpoints: 3, isQuiet: true });
+  const fleet = new GatewayFleet({ hosts: 9, domains: 3, endpoints: 3, isHeartbeatDisabled: true });
   for (let i = 0; i < SERVERS; i++)
     fleet.store.put(
       `${keys.endpointPrefix}s${i}`,
--- a/tests/accounts.spec.ts
+++ b/tests/accounts.spec.ts
@@ -10,7 +10,7 @@
 import { PlatformRecords, recordKeys } from '@fuchsiahitch/platform';
 import { FakeStore } from './fakeStore.js';
 import { GatewayWorld } from './gatewayHosts.js';
-import { batch, item, testContext } from './gatewayWorld.js';
+import { batch, item, testContext } from './gatewayFixtures.js';
 import { PlatformHost } from './platformHost.js';
 import { chunk, genuine, LAST_CHUNK, streamHead } from './platformStandIns.js';
 
@@ -309,7 +309,7 @@
   await world.until(a.batches.submit(work, Deadline.after(world.clock, 3000)));
   await world.clock.advance(300);
   a.kill();
-  world.expire('a');
+  world.expireLease('a');
   t.match(await world.until(b.batches.read(id, 0, 0)), { kind: 'page' });
   await world.clock.advance(300);
   const accounts = world.client.items.map(({ accountName }) => accountName);
--- a/tests/batchCalls.ts
+++ b/tests/batchCalls.ts
@@ -3,7 +3,7 @@
  */
 import { Deadline } from '@fuchsiahitch/base';
 import { GatewayWorld, type GatewayHost } from './gatewayHosts.js';
-import { batch, item } from './gatewayWorld.js';
+import { batch, item } from './gatewayFixtures.js';
 
 export const BATCH = batch('b1', [item('x'), item('y'), item('z', { group: 'g2' })]);
 
--- a/tests/batchEnds.spec.ts
+++ b/tests/batchEnds.spec.ts
@@ -7,7 +7,7 @@
 import type { Batch } from '@fuchsiahitch/batches';
 import { BATCH, read, startHosts } from './batchCalls.js';
 import type { GatewayHost, GatewayWorld } from './gatewayHosts.js';
-import { answer, batch, scoredItem } from './gatewayWorld.js';
+import { answer, batch, scoredItem } from './gatewayFixtures.js';
 
 /** The users' bound: nothing of a batch is sent later than this after its end was confirmed. */
 const AFTER_END_MS = 3000;
@@ -20,8 +20,8 @@
 
 /** The lease of a batch's owner ends, another host takes the batch over and ends it: when that was confirmed. */
 async function endElsewhere(world: GatewayWorld, owner: GatewayHost, other: GatewayHost): Promise<number> {
-  world.cuts.add(`${other.context.hostId}-${owner.context.hostId}`);
-  world.expire(owner.context.hostId);
+  world.blockedLinks.add(`${other.context.hostId}-${owner.context.hostId}`);
+  world.expireLease(owner.context.hostId);
   await read(world, other, 0, 100);
   const end = await world.until(other.batches.end('b1'));
   if (end !== 'ended') throw new Error(`the batch was not ended: ${end}`);
@@ -80,7 +80,7 @@
           t.ok(sentMs.length > 0, 'items are sent before');
           await world.clock.advance(backMs);
           a.storeClient.mode = 'well';
-          a.storeClient.slowMs = slowMs;
+          a.storeClient.callDelayMs = slowMs;
           await world.clock.advance(AFTER_END_MS + WATCHED_MS - backMs);
           const lateCalls = late(sentMs, endMs);
           const when = `silent from ${silentMs} ms before the end to ${backMs} after, then ${slowMs} ms a call`;
@@ -102,7 +102,7 @@
       const sentMs = breakOff(world);
       await submitAt(world, a, BATCH);
       await world.clock.advance(900);
-      a.storeClient.slowMs = 950;
+      a.storeClient.callDelayMs = 950;
       await world.clock.advance(slowForMs);
       const endMs = await endElsewhere(world, a, b);
       await world.clock.advance(AFTER_END_MS + WATCHED_MS);
@@ -161,13 +161,13 @@
     await world.clock.advance(200);
     if (silentMs > 0) a.storeClient.mode = 'silent';
     await world.clock.advance(silentMs);
-    world.cuts.add('b-a');
-    world.expire('a');
+    world.blockedLinks.add('b-a');
+    world.expireLease('a');
     await read(world, b, 0, 100);
     t.equal(b.batches.ownedCount(), 1, 'another host has taken it over');
     const other = b.self();
     b.kill();
-    world.expire('b');
+    world.expireLease('b');
     a.storeClient.mode = 'well';
     await world.until(a.batches.adoptFrom('b1', other));
     await world.clock.advance(100);
--- a/tests/batchService.spec.ts
+++ b/tests/batchService.spec.ts
@@ -4,7 +4,7 @@
 import tap from 'tap';
 import { Deadline } from '@fuchsiahitch/base';
 import { BATCH, read, startHosts, submit } from './batchCalls.js';
-import { batch, item } from './gatewayWorld.js';
+import { batch, item } from './gatewayFixtures.js';
 
 await tap.test('should run a batch once and show its results at every host', async t => {
   const [world, a, b] = await startHosts('a', 'b');
@@ -45,7 +45,7 @@
   await submit(world, a);
   await world.clock.advance(600);
   a.kill();
-  world.expire('a');
+  world.expireLease('a');
   const page = await read(world, b, 0, 5000);
   t.ok(page.kind === 'page' && page.page.results[0]?.id === 'x', 'what was listed stays where it was');
   t.equal(b.batches.ownedCount(), 1);
@@ -67,7 +67,7 @@
     await submit(world, a);
     await world.clock.advance(2600);
     a.kill();
-    world.expire('a');
+    world.expireLease('a');
     const before = world.client.items.length;
     await read(world, b);
     const resumed = world.client.items.slice(before).map(call => call.afterEvent);
@@ -136,7 +136,7 @@
   a.storeClient.mode = 'well';
   await world.clock.advance(1300);
   a.kill();
-  world.expire('a');
+  world.expireLease('a');
   const before = world.client.items.length;
   await read(world, b);
   const resumed = world.client.items.slice(before).map(call => call.afterEvent);
@@ -157,10 +157,10 @@
   await submit(world, a);
   await world.clock.advance(300);
   a.kill();
-  world.silent.add('a');
+  world.unresponsive.add('a');
   const reading = b.batches.read('b1', 0, 3000);
   await world.clock.advance(500);
-  world.expire('a');
+  world.expireLease('a');
   await world.clock.advance(500);
   t.equal(b.batches.ownedCount(), 1, 'within half a second of the end of its lease');
   await world.clock.advance(3000);
@@ -176,7 +176,7 @@
   await world.clock.advance(300);
   const reading = b.batches.read('b1', 0, 1000);
   await world.clock.advance(100);
-  world.expire('a');
+  world.expireLease('a');
   await world.clock.advance(1500);
   t.equal((await reading).kind, 'page');
   t.same([a.batches.ownedCount(), b.batches.ownedCount()], [1, 0]);
@@ -207,8 +207,8 @@
   await submit(world, a);
   await world.clock.advance(500);
   a.kill();
-  world.expire('a');
-  for (const host of [b, c]) host.storeClient.slowMs = 250;
+  world.expireLease('a');
+  for (const host of [b, c]) host.storeClient.callDelayMs = 250;
   const reading: Promise<unknown>[] = [];
   for (let i = 0; i < 10; i++) {
     for (const host of [b, c]) reading.push(host.batches.read('b1', 0, 500));
@@ -230,7 +230,7 @@
   if (!a || !b) return;
   await submit(world, a);
   await world.clock.advance(800);
-  world.cuts.add('b-a');
+  world.blockedLinks.add('b-a');
   const page = await read(world, b);
   t.ok(page.kind === 'page' && page.page.results.length === 3, 'its results come from the store');
   t.equal(b.batches.ownedCount(), 0);
@@ -247,7 +247,7 @@
   a.storeClient.mode = 'away';
   await world.clock.advance(1500);
   t.equal((await read(world, b)).kind, 'unsure', 'its lease stands');
-  world.expire('a');
+  world.expireLease('a');
   await read(world, b);
   t.equal(b.batches.ownedCount(), 1);
   await world.clock.advance(4000);
@@ -264,8 +264,8 @@
   world.client.script = () => ({ events: 400, end: { kind: 'done' }, eventMs: 20 });
   await submit(world, a);
   a.storeClient.mode = 'away';
-  world.expire('a');
-  world.cuts.add('b-a');
+  world.expireLease('a');
+  world.blockedLinks.add('b-a');
   await world.clock.advance(1000);
   await read(world, b);
   t.equal(b.batches.ownedCount(), 1);
@@ -284,8 +284,8 @@
   if (!a || !b) return;
   world.client.script = () => ({ events: 0, end: { kind: 'not-run', reason: 'refused', load: undefined } });
   await submit(world, a);
-  world.cuts.add('b-a');
-  world.expire('a');
+  world.blockedLinks.add('b-a');
+  world.expireLease('a');
   await read(world, b);
   t.equal(await world.until(b.batches.end('b1')), 'ended');
   await world.clock.advance(1500);
@@ -328,7 +328,7 @@
   t.equal(world.client.cancelled.length, 3);
   const ran = world.client.items.length;
   a.kill();
-  world.expire('a');
+  world.expireLease('a');
   await read(world, b);
   await world.clock.advance(2000);
   t.equal(world.client.items.length, ran, 'no host goes on with it');
--- a/tests/batchStore.spec.ts
+++ b/tests/batchStore.spec.ts
@@ -6,7 +6,7 @@
 import { claimKey, type ItemResult, type Owner } from '@fuchsiahitch/batches';
 import { BatchStore, BatchSweeper } from '@fuchsiahitch/gateway';
 import { FakeStore } from './fakeStore.js';
-import { batch, item, testContext } from './gatewayWorld.js';
+import { batch, item, testContext } from './gatewayFixtures.js';
 
 const A: Owner = { hostId: 'a', incarnation: '1', address: '10.0.0.1:1' };
 const B: Owner = { hostId: 'b', incarnation: '1', address: '10.0.0.2:1' };
@@ -56,7 +56,7 @@
   const { clock, store, deadline } = world();
   const client = store.client();
   const batches = new BatchStore(testContext(clock), client);
-  store.lateMs = 3000;
+  store.delayNextWriteMs = 3000;
   const pending = batches.accept(BATCH, A, deadline(1000));
   client.mode = 'well';
   await clock.advance(50);
@@ -109,7 +109,7 @@
   const { clock, store, batches, deadline } = world();
   const accepted = await batches.accept(BATCH, A, deadline());
   if (accepted.kind !== 'accepted') return t.fail('accepted');
-  store.lateMs = 2000;
+  store.delayNextWriteMs = 2000;
   t.equal((await batches.append('b1', accepted.held, 0, [ONE], deadline())).kind, 'out-of-reach');
   await batches.changeClaim('b1', accepted.held, { owner: B, takeovers: 1 }, deadline());
   await clock.advance(3000);
--- a/tests/batches.spec.ts
+++ b/tests/batches.spec.ts
@@ -31,7 +31,7 @@
   type LoadCandidate,
 } from '@fuchsiahitch/orders';
 import { VirtualClock } from '@fuchsiahitch/base';
-import { batch, item } from './gatewayWorld.js';
+import { batch, item } from './gatewayFixtures.js';
 
 const RULES = { maxAttempts: 3, isSingleVersion: false };
 
--- a/tests/capacity.spec.ts
+++ b/tests/capacity.spec.ts
@@ -13,7 +13,7 @@
 import { VirtualClock } from '@fuchsiahitch/base';
 import { PlatformRecords } from '@fuchsiahitch/platform';
 import { GatewayFleet, type FleetHost } from './gatewayFleet.js';
-import { endpointRecord, keys, route } from './gatewayWorld.js';
+import { endpointRecord, keys, route } from './gatewayFixtures.js';
 
 const PRICES = { 'domain-0': 1, 'domain-1': 0.8, 'domain-2': 1.25 };
 const SCALING = { min: 1, max: 22, bootMs: 4000, prices: new Map(Object.entries(PRICES)) };
@@ -91,7 +91,7 @@
 });
 
 async function startedFleet(capacity: CapacityPolicy): Promise<GatewayFleet> {
-  const fleet = new GatewayFleet({ hosts: 9, domains: 3, endpoints: 6, isQuiet: true, capacity });
+  const fleet = new GatewayFleet({ hosts: 9, domains: 3, endpoints: 6, isHeartbeatDisabled: true, capacity });
   const { bootMs, min, max } = SCALING;
   const scaling = { bootMs, min, max, prices: PRICES };
   fleet.store.put(
@@ -103,7 +103,7 @@
 }
 
 function holderOf(fleet: GatewayFleet): FleetHost {
-  const host = fleet.at(fleet.store.value('fuchsiahitch/live/capacity') ?? '');
+  const host = fleet.hostAt(fleet.store.value('fuchsiahitch/live/capacity') ?? '');
   if (!host) throw new Error('nobody orders');
   return host;
 }
--- a/tests/claimLease.spec.ts
+++ b/tests/claimLease.spec.ts
@@ -5,7 +5,7 @@
 import type { ItemCall, ItemEnd, ItemListener } from '@fuchsiahitch/gateway';
 import { read, startHosts, submit } from './batchCalls.js';
 import type { GatewayWorld } from './gatewayHosts.js';
-import { answer, batch, scoredItem } from './gatewayWorld.js';
+import { answer, batch, scoredItem } from './gatewayFixtures.js';
 import { Deadline } from '@fuchsiahitch/base';
 
 /** How old the store's last confirmation may be when something is sent, and one look at it more. */
@@ -86,7 +86,7 @@
   world.client.script = () => ({ events: 400, end: { kind: 'done' }, eventMs: 20 });
   await submit(world, a);
   a.kill();
-  world.expire('a');
+  world.expireLease('a');
   const sent = world.client.items.length;
   t.equal(await world.until(b.batches.end('b1')), 'ended');
   t.equal(world.client.items.length, sent);
@@ -125,10 +125,10 @@
       world.client.script = () => ({ events: 400, end: { kind: 'done' }, eventMs: 20 });
       await submit(world, a);
       await world.clock.advance(1500);
-      a.storeClient.slowMs = slowMs;
+      a.storeClient.callDelayMs = slowMs;
       await world.clock.advance(afterMs);
       const { leases } = world;
-      world.expire('a');
+      world.expireLease('a');
       await read(world, b, 0, 500);
       await world.until(b.batches.adoptFrom('b1', a.self()));
       world.leases = leases;
--- a/tests/claimUpdates.spec.ts
+++ b/tests/claimUpdates.spec.ts
@@ -4,7 +4,7 @@
 import tap from 'tap';
 import { Deadline } from '@fuchsiahitch/base';
 import { GatewayWorld } from './gatewayHosts.js';
-import { batch, item } from './gatewayWorld.js';
+import { batch, item } from './gatewayFixtures.js';
 
 const HOSTS = ['a', 'b', 'c', 'd', 'e', 'f'];
 
@@ -41,7 +41,7 @@
   // A host believes what it was told of a claim though the owner has ended since.
   const world = await ownedWorld();
   world.hosts.get('a')?.kill();
-  world.expire('a');
+  world.expireLease('a');
   const taken = world.hosts.get('b')?.batches.read('b1', 0, 0);
   t.match(taken && (await world.until(taken)), { kind: 'page' });
   await world.clock.advance(100);
@@ -56,7 +56,7 @@
   const world = await ownedWorld();
   const told = world.store.value('fuchsiahitch/own/b1') ?? '';
   world.hosts.get('a')?.kill();
-  world.expire('a');
+  world.expireLease('a');
   const taken = world.hosts.get('b')?.batches.read('b1', 0, 0);
   if (taken) await world.until(taken);
   await world.clock.advance(100);
--- a/tests/configuration.spec.ts
+++ b/tests/configuration.spec.ts
@@ -5,7 +5,7 @@
 import { VirtualClock } from '@fuchsiahitch/base';
 import { ConfigurationService } from '@fuchsiahitch/gateway';
 import { FakeStore } from './fakeStore.js';
-import { keys, PlainRecords, route, testContext } from './gatewayWorld.js';
+import { keys, JsonRecordDecoder, route, testContext } from './gatewayFixtures.js';
 
 await tap.test('should put a new configuration in force in time though a watch fell silent', async t => {
   // Symptom: a caller gets 404 for a new route, 2.6 s after the store had accepted it. Sequence: a watch is under way when
@@ -16,7 +16,7 @@
     const store = new FakeStore(clock);
     const client = store.client();
     const context = testContext(clock);
-    const configuration = new ConfigurationService(context, client, keys, new PlainRecords());
+    const configuration = new ConfigurationService(context, client, keys, new JsonRecordDecoder());
     store.put(keys.configurationKey, JSON.stringify({ revision: 1, route: route(), models: ['m'] }));
     configuration.start();
     await clock.advance(200);
@@ -37,7 +37,7 @@
   const clock = new VirtualClock();
   const store = new FakeStore(clock);
   const context = testContext(clock);
-  const configuration = new ConfigurationService(context, store.client(), keys, new PlainRecords());
+  const configuration = new ConfigurationService(context, store.client(), keys, new JsonRecordDecoder());
   const write = (revision: number, timeoutMs: number): void =>
     store.put(keys.configurationKey, JSON.stringify({ revision, route: route({ timeoutMs }), models: [] }));
   t.equal(configuration.route('quests', '/run/1').kind, 'unknown');
--- a/tests/crashingEndpoints.ts
+++ b/tests/crashingEndpoints.ts
@@ -11,7 +11,7 @@
   ItemListener,
 } from '@fuchsiahitch/gateway';
 import type { FakeStore } from './fakeStore.js';
-import { answer, endpointRecord, keys, type ScriptedClient } from './gatewayWorld.js';
+import { answer, endpointRecord, keys, type ScriptedClient } from './gatewayFixtures.js';
 
 /** One send that reached an endpoint. */
 export interface ReceivedRequest {
--- a/tests/endedReads.spec.ts
+++ b/tests/endedReads.spec.ts
@@ -10,7 +10,7 @@
 import type { Batch, ItemResult } from '@fuchsiahitch/batches';
 import { BATCH, startHosts } from './batchCalls.js';
 import type { GatewayHost, GatewayWorld } from './gatewayHosts.js';
-import { batch, item, type ItemScript } from './gatewayWorld.js';
+import { batch, item, type ItemScript } from './gatewayFixtures.js';
 
 const FOUR = batch('b1', [item('w'), item('x'), item('y', { group: 'g2' }), item('z', { group: 'g3' })]);
 
@@ -127,8 +127,8 @@
 
 /** Neither host reaches the other. */
 function cut(world: GatewayWorld, one: GatewayHost, other: GatewayHost): void {
-  world.cuts.add(`${one.context.hostId}-${other.context.hostId}`);
-  world.cuts.add(`${other.context.hostId}-${one.context.hostId}`);
+  world.blockedLinks.add(`${one.context.hostId}-${other.context.hostId}`);
+  world.blockedLinks.add(`${other.context.hostId}-${one.context.hostId}`);
 }
 
 type Script = GatewayWorld['client']['script'];
@@ -188,9 +188,9 @@
 await tap.test('should show a result whose append is answered after its owner ended the batch', async t => {
   // Symptom: as above, until the answer is there. Sequence: as above, where the answer is slow, not lost. Cause: the same.
   const { world, a, b, c, readers, startMs } = await underWay(BATCH, lastTakesLong);
-  a.storeClient.slowAnswersMs = 600;
+  a.storeClient.answerDelayMs = 600;
   await advanceTo(world, startMs + WHOLE_MS + 10);
-  a.storeClient.slowAnswersMs = 0;
+  a.storeClient.answerDelayMs = 0;
   t.equal(await world.until(a.batches.end('b1')), 'ended');
   await readers.read(c, 'from the store');
   t.equal(readers.shown(), 3);
@@ -262,13 +262,13 @@
     world.client.script = lastTakesLong;
     const startMs = await submitAt(world, a);
     await advanceTo(world, startMs + 100);
-    b.storeClient.slowAnswersMs = 100;
+    b.storeClient.answerDelayMs = 100;
     const body = b.batches.item('b1', 'x');
     // Two looks at the claim, the call that is cut and the batch's parts take 350 ms; then come the results.
     await advanceTo(world, startMs + 440);
-    b.storeClient.slowAnswersMs = 500;
+    b.storeClient.answerDelayMs = 500;
     await advanceTo(world, startMs + WHOLE_MS);
-    b.storeClient.slowAnswersMs = 0;
+    b.storeClient.answerDelayMs = 0;
     const readers = new Readers(world);
     await readers.readAt([a, c], 'before the end');
     t.equal(readers.shown(), 3);
@@ -289,9 +289,9 @@
     for (const lateMs of [20, 120, 240, 260, 600])
       for (const endMs of [10, 50, 150, 200, 300, 700]) {
         const { world, a, b, c, readers, startMs } = await underWay(BATCH, lastTakesLong);
-        world.store.lateMs = lateMs;
+        world.store.delayNextWriteMs = lateMs;
         await advanceTo(world, startMs + WHOLE_MS + endMs);
-        t.equal(world.store.lateMs, undefined, 'the append is under way');
+        t.equal(world.store.delayNextWriteMs, undefined, 'the append is under way');
         t.equal(await world.until((endsAtOwner ? a : c).batches.end('b1')), 'ended');
         const when = `appended ${lateMs} ms late, ended after ${endMs}`;
         await readers.read(c, when);
@@ -311,10 +311,10 @@
   for (const lateMs of [10, 100, 200, 600, 2000])
     for (const takenMs of [10, 100, 200]) {
       const { world, a, b, c, readers, startMs } = await underWay(BATCH, lastTakesLong);
-      world.store.lateMs = lateMs;
+      world.store.delayNextWriteMs = lateMs;
       await advanceTo(world, startMs + WHOLE_MS + takenMs);
       a.storeClient.mode = 'silent';
-      world.expire('a');
+      world.expireLease('a');
       const when = `appended ${lateMs} ms late, taken over after ${takenMs}`;
       await readers.read(c, when);
       t.equal(c.batches.ownedCount(), 1, 'it is taken over');
@@ -351,7 +351,7 @@
         t.equal(world.store.loseAnswers, 0, 'the append took effect without an answer');
         a.storeClient.mode = 'silent';
         await world.clock.advance(takenMs);
-        world.expire('a');
+        world.expireLease('a');
         const when = `taken over after ${takenMs} ms, the store back ${backMs} ms later`;
         await readers.read(c, when);
         t.equal(readers.shown(), 3);
@@ -410,7 +410,7 @@
         await advanceTo(world, startMs + WHOLE_MS + 160);
         t.equal(world.store.loseAnswers, 0, 'the append got no answer');
         a.storeClient.mode = 'silent';
-        world.expire('a');
+        world.expireLease('a');
         await readers.read(c, 'at the takeover');
         await world.clock.advance(1700);
         await readers.read(c, 'after the takeover');
@@ -443,7 +443,7 @@
     await advanceTo(world, startMs + 1040);
     t.equal(world.store.loseAnswers, 0, 'progress was kept without an answer');
     a.storeClient.mode = 'silent';
-    world.expire('a');
+    world.expireLease('a');
     await readers.read(c, 'at the takeover');
     await world.clock.advance(SETTLED_MS);
     await readers.read(c, 'after the takeover');
@@ -490,7 +490,7 @@
   // It was not there when the owner told of the batch.
   const b = world.start('b');
   await clock.advance(200);
-  b.storeClient.slowMs = 50;
+  b.storeClient.callDelayMs = 50;
   const listsBefore = store.calls.filter(call => call === 'list').length;
   const lists = (): number => store.calls.filter(call => call === 'list').length - listsBefore;
   const pages = await world.until(Promise.all([1, 2, 3].map(() => b.batches.read('b1', 0, 500))));
--- a/tests/endpointStarts.spec.ts
+++ b/tests/endpointStarts.spec.ts
@@ -16,10 +16,10 @@
   endpointRecord,
   item,
   keys,
-  PlainRecords,
+  JsonRecordDecoder,
   testContext,
   type TestLog,
-} from './gatewayWorld.js';
+} from './gatewayFixtures.js';
 
 const E1 = `${keys.endpointPrefix}e1`;
 
@@ -37,7 +37,7 @@
   const store = new FakeStore(clock);
   const context = testContext(clock);
   const forgotten: string[] = [];
-  const endpoints = new EndpointDirectory(context, store.client(), keys, new PlainRecords(), address => {
+  const endpoints = new EndpointDirectory(context, store.client(), keys, new JsonRecordDecoder(), address => {
     forgotten.push(address);
   });
   store.put(E1, endpointRecord({ startWallMs: 1000 }, 5));
--- a/tests/eventLoopLag.spec.ts
+++ b/tests/eventLoopLag.spec.ts
@@ -6,7 +6,7 @@
 import type { EndpointInfo, ItemCall, ItemEnd, ItemListener } from '@fuchsiahitch/gateway';
 import { PlatformEndpoints, StoreClient } from '@fuchsiahitch/platform';
 import { GatewayWorld, type GatewayHost } from './gatewayHosts.js';
-import { batch, endpointRecord, item, keys } from './gatewayWorld.js';
+import { batch, endpointRecord, item, keys } from './gatewayFixtures.js';
 import { genuine, WireServer } from './platformStandIns.js';
 
 const EVENT_MS = 45;
--- a/tests/eventLoopLagPeers.spec.ts
+++ b/tests/eventLoopLagPeers.spec.ts
@@ -29,12 +29,12 @@
   answer,
   endpointRecord,
   keys,
-  loneGuard,
-  PlainRecords,
+  singleHostPoisonGuard,
+  JsonRecordDecoder,
   route,
   ScriptedClient,
   testContext,
-} from './gatewayWorld.js';
+} from './gatewayFixtures.js';
 
 const KEY = 'fleet-key-for-tests';
 const empty = z.strictObject({});
@@ -304,7 +304,13 @@
   const clock = new VirtualClock();
   const store = new FakeStore(clock);
   const context = testContext(clock);
-  const endpoints = new EndpointDirectory(context, store.client(), keys, new PlainRecords(), () => undefined);
+  const endpoints = new EndpointDirectory(
+    context,
+    store.client(),
+    keys,
+    new JsonRecordDecoder(),
+    () => undefined,
+  );
   for (const id of ['e1', 'e2']) store.put(`${keys.endpointPrefix}${id}`, endpointRecord());
   endpoints.start();
   await clock.advance(100);
@@ -325,7 +331,12 @@
     headers: [],
     body: undefined,
   };
-  const forwarder = new Forwarder(context, endpoints, client, loneGuard(context, store.client(), client));
+  const forwarder = new Forwarder(
+    context,
+    endpoints,
+    client,
+    singleHostPoisonGuard(context, store.client(), client),
+  );
   const outcome = forwarder.forward({ ...request, waitMs: 1500 }, safe, new AbortController().signal);
   return { clock, client, outcome, answerFirst, stop: context.stop };
 }
--- a/tests/fakeStore.ts
+++ b/tests/fakeStore.ts
@@ -39,7 +39,7 @@
   /** The next transactions take effect, and their answers are lost. */
   loseAnswers = 0;
   /** The next transactions get no answer and are carried out so much later. */
-  lateMs: number | undefined;
+  delayNextWriteMs: number | undefined;
 
   constructor(clock: Clock) {
     this._clock = clock;
@@ -59,21 +59,21 @@
     this._revision += 1;
     this._entries.set(key, { value, version: this._revision, leaseId });
     this._events.push({ key, value, version: this._revision });
-    this.wake();
+    this.wakeWatches();
   }
 
   remove(key: string): void {
     if (!this._entries.delete(key)) return;
     this._revision += 1;
     this._events.push({ key, value: undefined, version: this._revision });
-    this.wake();
+    this.wakeWatches();
   }
 
   /** Drops the history: watches from before get no answer but `compacted`. */
   compact(): void {
     this._events = [];
     this._compactedAt = this._revision;
-    this.wake();
+    this.wakeWatches();
   }
   private _compactedAt = 0;
 
@@ -104,12 +104,14 @@
 
   transact(compares: readonly Compare[], writes: readonly Write[]): TransactionResult {
     this._expire();
-    const holds = compares.every(({ key, version }) => (this._entries.get(key)?.version ?? 0) === version);
-    if (!holds) return { succeeded: false, version: 0 };
+    const conditionsHold = compares.every(
+      ({ key, version }) => (this._entries.get(key)?.version ?? 0) === version,
+    );
+    if (!conditionsHold) return { succeeded: false, version: 0 };
     this._revision += 1;
     const version = this._revision;
     for (const write of writes) this._write(write, version);
-    this.wake();
+    this.wakeWatches();
     return { succeeded: true, version };
   }
 
@@ -149,20 +151,20 @@
     for (const lease of this._leases.values()) untilMs = Math.min(untilMs, lease.untilMs);
     await new Promise<void>(resolve => {
       const end = (): void => {
-        this._waiting.delete(end);
+        this._watchWakers.delete(end);
         cancel();
         resolve();
       };
       const cancel = this._clock.after(Math.max(1, untilMs - nowMs), end);
-      this._waiting.add(end);
+      this._watchWakers.add(end);
     });
     await sleep(this._clock, Math.min(WATCH_DELAY_MS, Math.max(0, nowMs + waitMs - this._clock.nowMs())));
   }
-  private readonly _waiting = new Set<() => void>();
+  private readonly _watchWakers = new Set<() => void>();
 
   /** Lets the watches that wait look again. */
-  wake(): void {
-    for (const end of [...this._waiting]) end();
+  wakeWatches(): void {
+    for (const end of [...this._watchWakers]) end();
   }
 
   private _expire(): void {
@@ -174,9 +176,9 @@
 export class FakeStoreClient implements RevisionedStore {
   private _mode: StoreMode = 'well';
   /** Each call takes so long. */
-  slowMs = 0;
+  callDelayMs = 0;
   /** Each call takes effect at once, and its answer takes so long. */
-  slowAnswersMs = 0;
+  answerDelayMs = 0;
   calls = 0;
   private readonly _store: FakeStore;
   private readonly _clock: Clock;
@@ -193,7 +195,7 @@
   /** A watch that waits notices it too. */
   set mode(mode: StoreMode) {
     this._mode = mode;
-    this._store.wake();
+    this._store.wakeWatches();
   }
 
   async get(key: string, deadline: Deadline): Promise<Result<StoredValue | undefined, StoreError>> {
@@ -217,7 +219,7 @@
     const endMs = this._clock.nowMs() + waitMs;
     this._count('changes');
     for (;;) {
-      const reach = await this._reach(deadline);
+      const reach = await this._reachError(deadline);
       if (reach) return err(reach);
       const changes = this._store.eventsAfter(prefix, afterRevision);
       if (changes === 'compacted') return err('compacted');
@@ -232,16 +234,16 @@
     deadline: Deadline,
   ): Promise<Result<TransactionResult, StoreError>> {
     this._count('transact');
-    const reach = await this._reach(deadline);
+    const reach = await this._reachError(deadline);
     if (reach) return err(reach);
-    const { lateMs } = this._store;
+    const { delayNextWriteMs: lateMs } = this._store;
     if (lateMs !== undefined) {
-      this._store.lateMs = undefined;
+      this._store.delayNextWriteMs = undefined;
       this._clock.after(lateMs, () => void this._store.transact(compares, writes));
       return err('unknown');
     }
     const result = this._store.transact(compares, writes);
-    if (this.slowAnswersMs > 0) await sleep(this._clock, this.slowAnswersMs);
+    if (this.answerDelayMs > 0) await sleep(this._clock, this.answerDelayMs);
     if (this._store.loseAnswers === 0) return ok(result);
     this._store.loseAnswers -= 1;
     return err('unknown');
@@ -269,16 +271,16 @@
   private async _run<T>(
     call: string,
     deadline: Deadline,
-    act: () => Result<T, StoreError>,
+    execute: () => Result<T, StoreError>,
   ): Promise<Result<T, StoreError>> {
     this._count(call);
-    const reach = await this._reach(deadline);
-    if (!reach && this.slowAnswersMs > 0) {
-      const answer = act();
-      await sleep(this._clock, this.slowAnswersMs);
+    const reach = await this._reachError(deadline);
+    if (!reach && this.answerDelayMs > 0) {
+      const answer = execute();
+      await sleep(this._clock, this.answerDelayMs);
       return answer;
     }
-    return reach ? err(reach) : act();
+    return reach ? err(reach) : execute();
   }
 
   private _count(call: string): void {
@@ -287,8 +289,8 @@
   }
 
   /** Why the store can't be reached, if it can't. */
-  private async _reach(deadline: Deadline): Promise<StoreError | undefined> {
-    if (this.slowMs > 0) await sleep(this._clock, this.slowMs);
+  private async _reachError(deadline: Deadline): Promise<StoreError | undefined> {
+    if (this.callDelayMs > 0) await sleep(this._clock, this.callDelayMs);
     if (this.mode === 'away') return 'not-done';
     if (this.mode !== 'silent') return undefined;
     await sleep(this._clock, deadline.remainingMs());
--- a/tests/fleetCost.spec.ts
+++ b/tests/fleetCost.spec.ts
@@ -66,7 +66,7 @@
 }
 
 const idleFleets: Measured[] = [];
-for (const size of [...SIZES, ...SIZES.map(size => ({ ...size, isQuiet: true }))]) {
+for (const size of [...SIZES, ...SIZES.map(size => ({ ...size, isHeartbeatDisabled: true }))]) {
   const counts = await idle(size);
   idleFleets.push({ size, counts, label: `${size.hosts} hosts, a second: ${JSON.stringify(counts)}` });
 }
--- a/tests/forwarder.spec.ts
+++ b/tests/forwarder.spec.ts
@@ -11,15 +11,15 @@
 import { FakeStore } from './fakeStore.js';
 import {
   answer,
-  brokenBody,
+  truncatedBody,
   endpointRecord,
   keys,
-  loneGuard,
-  PlainRecords,
+  singleHostPoisonGuard,
+  JsonRecordDecoder,
   route,
   ScriptedClient,
   testContext,
-} from './gatewayWorld.js';
+} from './gatewayFixtures.js';
 
 interface Forwarding {
   readonly clock: VirtualClock;
@@ -32,13 +32,19 @@
   const clock = new VirtualClock();
   const store = new FakeStore(clock);
   const context = testContext(clock);
-  const endpoints = new EndpointDirectory(context, store.client(), keys, new PlainRecords(), () => undefined);
+  const endpoints = new EndpointDirectory(
+    context,
+    store.client(),
+    keys,
+    new JsonRecordDecoder(),
+    () => undefined,
+  );
   for (const id of ['e1', 'e2', 'e3']) store.put(`${keys.endpointPrefix}${id}`, endpointRecord());
   endpoints.start();
   await clock.advance(100);
   const client = new ScriptedClient(clock);
   const traced = tracing ? { ...context, tracing } : context;
-  const poison = loneGuard(context, store.client(), client);
+  const poison = singleHostPoisonGuard(context, store.client(), client);
   return { clock, client, forwarder: new Forwarder(traced, endpoints, client, poison), stop: context.stop };
 }
 
@@ -72,7 +78,7 @@
 
 await tap.test('should send an idempotent request again after any failure, elsewhere', async t => {
   const { client, forwarder, stop } = await forwarding();
-  const halved = answer(200, '', { body: brokenBody('ha') });
+  const halved = answer(200, '', { body: truncatedBody('ha') });
   for (const failure of [
     BROKEN,
     REFUSED,
@@ -187,7 +193,7 @@
   const { client, forwarder, stop } = await forwarding();
   client.reply = replySequence({
     kind: 'answered',
-    answer: answer(200, '', { body: brokenBody('data: 1\n\n') }),
+    answer: answer(200, '', { body: truncatedBody('data: 1\n\n') }),
   });
   const seen: string[] = [];
   const outcome = await forwarder.stream(
--- a/tests/gateway.spec.ts
+++ b/tests/gateway.spec.ts
@@ -20,7 +20,14 @@
   type StoreReply,
 } from '@fuchsiahitch/gateway';
 import { FakeStore, type FakeStoreClient } from './fakeStore.js';
-import { endpointRecord, keys, PlainRecords, route, ScriptedClient, testContext } from './gatewayWorld.js';
+import {
+  endpointRecord,
+  keys,
+  JsonRecordDecoder,
+  route,
+  ScriptedClient,
+  testContext,
+} from './gatewayFixtures.js';
 
 interface Mirrored {
   readonly clock: VirtualClock;
@@ -115,7 +122,7 @@
   const store = new FakeStore(clock);
   const client = store.client();
   const context = testContext(clock);
-  const endpoints = new EndpointDirectory(context, client, keys, new PlainRecords(), () => undefined);
+  const endpoints = new EndpointDirectory(context, client, keys, new JsonRecordDecoder(), () => undefined);
   store.put(`${keys.endpointPrefix}e1`, endpointRecord());
   store.put(`${keys.endpointPrefix}e2`, endpointRecord());
   endpoints.start();
@@ -239,7 +246,7 @@
   const context = testContext(clock, hostId);
   const storeClient = shared.client();
   const client = new ScriptedClient(clock);
-  const records = new PlainRecords();
+  const records = new JsonRecordDecoder();
   const configuration = new ConfigurationService(context, storeClient, keys, records);
   const endpoints = new EndpointDirectory(context, storeClient, keys, records, () => undefined);
   const hosts: Hosts = {
@@ -302,7 +309,7 @@
   const [first] = world.client.orders;
   t.equal(first?.version, 2);
   t.ok((first?.fencingToken ?? 0) > 0);
-  world.client.weights = endpoint => ({
+  world.client.weightReport = endpoint => ({
     startWallMs: 0,
     versions: new Map([['m', world.client.orders.some(order => order.endpoint.id === endpoint.id) ? 2 : 1]]),
     isBusy: false,
@@ -320,7 +327,7 @@
   await world.clock.advance(6000);
   world.storeClient.mode = 'silent';
   const cutMs = world.clock.nowMs();
-  world.client.weights = endpoint => ({
+  world.client.weightReport = endpoint => ({
     startWallMs: 0,
     versions: endpoint.versions,
     isBusy: false,
@@ -377,7 +384,7 @@
   await first.clock.advance(500);
   const [ordered] = first.client.orders;
   const orderedId = ordered?.endpoint.id ?? '';
-  first.client.weights = endpoint => ({
+  first.client.weightReport = endpoint => ({
     startWallMs: 0,
     versions: new Map([['m', endpoint.id === orderedId ? 2 : 1]]),
     isBusy: false,
@@ -406,7 +413,7 @@
   for (let phaseMs = 0; phaseMs < 500; phaseMs += 50) {
     const world = await ordering();
     await world.clock.advance(6000);
-    world.storeClient.slowMs = 200;
+    world.storeClient.callDelayMs = 200;
     await world.clock.advance(600 + phaseMs);
     void world.orders.stop();
     await world.clock.advance(250);
--- a/tests/gatewayWorld.ts
+++ b/tests/gatewayFixtures.ts
@@ -81,13 +81,17 @@
 }
 
 /** What one host alone knows of requests under which endpoints end. */
-export function loneGuard(context: TestContext, store: RevisionedStore, client: EndpointClient): PoisonGuard {
-  const nobody: PoisonGuardHosts = {
+export function singleHostPoisonGuard(
+  context: TestContext,
+  store: RevisionedStore,
+  client: EndpointClient,
+): PoisonGuard {
+  const noPeers: PoisonGuardHosts = {
     watchKeys: () => undefined,
     peers: () => [],
     call: () => Promise.resolve(err({ kind: 'not-sent', text: 'no such host' })),
   };
-  return new PoisonGuard(context, store, nobody, client);
+  return new PoisonGuard(context, store, noPeers, client);
 }
 
 export const keys: RecordKeys = {
@@ -124,7 +128,7 @@
 });
 
 /** Records as plain JSON of the product's own types. */
-export class PlainRecords implements RecordDecoder {
+export class JsonRecordDecoder implements RecordDecoder {
   configuration(value: string): FleetConfiguration | undefined {
     const {
       revision,
@@ -235,11 +239,11 @@
   readonly orders: (LoadOrder & { readonly atMs: number })[] = [];
   readonly cancelled: string[] = [];
   /** Addresses whose former connections are not used again. */
-  readonly forgotten: string[] = [];
+  readonly droppedAddresses: string[] = [];
   script: (call: ItemCall) => ItemScript = () => ({ events: 2, end: { kind: 'done' } });
   reply: (call: EndpointCall, signal: AbortSignal) => Promise<EndpointReply> = () =>
     Promise.resolve({ kind: 'answered', answer: answer(200, 'whole') });
-  weights: (endpoint: EndpointInfo) => WeightReport | undefined = endpoint => ({
+  weightReport: (endpoint: EndpointInfo) => WeightReport | undefined = endpoint => ({
     startWallMs: endpoint.startWallMs,
     versions: endpoint.versions,
     isBusy: false,
@@ -293,11 +297,11 @@
   }
 
   dropConnections(address: string): void {
-    this.forgotten.push(address);
+    this.droppedAddresses.push(address);
   }
 
   async report(endpoint: EndpointInfo): Promise<WeightReport | undefined> {
-    return Promise.resolve(this.weights(endpoint));
+    return Promise.resolve(this.weightReport(endpoint));
   }
 
   async order(order: LoadOrder): Promise<OrderAnswer> {
@@ -340,7 +344,7 @@
 
 /** A body that breaks off after its beginning. */
 // eslint-disable-next-line @typescript-eslint/require-await -- an async iterable is what a body is
-export async function* brokenBody(text: string): AsyncIterable<Buffer> {
+export async function* truncatedBody(text: string): AsyncIterable<Buffer> {
   yield Buffer.from(text);
   throw new Error('connection reset');
 }
--- a/tests/gatewayFleet.ts
+++ b/tests/gatewayFleet.ts
@@ -7,11 +7,18 @@
 import { encodeFrame, type CallDefinition, type CallError } from '@fuchsiahitch/protocol';
 import { DutyStandIn } from './dutyStandIn.js';
 import { FakeStore, type FakeStoreClient } from './fakeStore.js';
-import { endpointRecord, keys, PlainRecords, route, ScriptedClient, testContext } from './gatewayWorld.js';
-import type { TestContext } from './gatewayWorld.js';
+import {
+  endpointRecord,
+  keys,
+  JsonRecordDecoder,
+  route,
+  ScriptedClient,
+  testContext,
+} from './gatewayFixtures.js';
+import type { TestContext } from './gatewayFixtures.js';
 
 /** One way between two hosts. */
-const WAY_MS = 2;
+const ONE_WAY_LATENCY_MS = 2;
 const HEARTBEAT_MS = 1200;
 const HANDOVER_MS = 3000;
 
@@ -20,7 +27,7 @@
   readonly domains: number;
   readonly endpoints: number;
   /** Endpoints write their records only when these change. */
-  readonly isQuiet?: boolean;
+  readonly isHeartbeatDisabled?: boolean;
   /** Where usage is reported; nobody is billed without it. */
   readonly usage?: UsageBounds;
   /** Who decides how many endpoints there are; nobody orders any without it. */
@@ -37,7 +44,7 @@
   readonly context: TestContext;
   readonly storeClient: FakeStoreClient;
   readonly gateway: Gateway;
-  readonly records = new CountingRecords();
+  readonly records = new CountingDecoder();
   /** Calls to peers, by name. */
   readonly calls = new Map<string, number>();
   /** Timers that were set. */
@@ -107,33 +114,37 @@
     const { clock } = this._fleet;
     this.calls.set(call.name, (this.calls.get(call.name) ?? 0) + 1);
     this.sentBytes += encodeFrame({ t: 'call', id: 1, name: call.name, body: request }).length;
-    await sleep(clock, WAY_MS);
-    const target = this._fleet.isCut(this.context.hostId, address) ? undefined : this._fleet.at(address);
+    await sleep(clock, ONE_WAY_LATENCY_MS);
+    const target = this._fleet.isPartitioned(this.context.hostId, address)
+      ? undefined
+      : this._fleet.hostAt(address);
     if (!target?.isRunning) return err({ kind: 'not-sent', text: 'nobody listens' });
-    const late = new Promise<Result<A, CallError>>(resolve => {
+    const timeout = new Promise<Result<A, CallError>>(resolve => {
       clock.after(timeoutMs, () => resolve(err({ kind: 'timed-out' })));
     });
-    return Promise.race([target._answer(this, call, request), late]);
+    return Promise.race([target._answer(this, call, request), timeout]);
   }
 
   private async _answer<Q, A>(
-    asker: FleetHost,
+    caller: FleetHost,
     call: CallDefinition<Q, A>,
     request: Q,
   ): Promise<Result<A, CallError>> {
     const reply = await this._handlers.get(call.name)?.(call.request.parse(request));
     this.sentBytes += encodeFrame({ t: 'reply', id: 1, body: reply }).length;
-    await sleep(this._fleet.clock, WAY_MS);
-    if (!asker.isRunning || !this.isRunning) return err({ kind: 'broken', text: 'ended' });
+    await sleep(this._fleet.clock, ONE_WAY_LATENCY_MS);
+    if (!caller.isRunning || !this.isRunning) return err({ kind: 'broken', text: 'ended' });
     return ok(call.reply.parse(reply));
   }
 }
 
 /** Counts the records of endpoints that a host decodes. */
-class CountingRecords extends PlainRecords {
+class CountingDecoder extends JsonRecordDecoder {
   decoded = 0;
 
-  override endpoint(...args: Parameters<PlainRecords['endpoint']>): ReturnType<PlainRecords['endpoint']> {
+  override endpoint(
+    ...args: Parameters<JsonRecordDecoder['endpoint']>
+  ): ReturnType<JsonRecordDecoder['endpoint']> {
     this.decoded += 1;
     return super.endpoint(...args);
   }
@@ -147,16 +158,16 @@
   readonly hosts: FleetHost[] = [];
   readonly duties = new DutyStandIn(this.clock, HANDOVER_MS);
   /** Hosts that neither reach the others nor are reached by them. */
-  readonly cut = new Set<string>();
+  readonly isolatedHosts = new Set<string>();
   private readonly _size: FleetSize;
-  private _beats = 0;
-  private _isOver = false;
+  private _heartbeatCount = 0;
+  private _isStopped = false;
 
   constructor(size: FleetSize) {
     this._size = size;
     this.domains = Array.from({ length: size.domains }, (_, i) => `domain-${i}`);
     this.store.put(keys.configurationKey, JSON.stringify({ revision: 1, route: route(), models: ['m'] }));
-    for (let i = 0; i < size.endpoints; i++) this._beat(i);
+    for (let i = 0; i < size.endpoints; i++) this._writeHeartbeat(i);
   }
 
   /** Starts all hosts within 0.3 s of each other. */
@@ -182,8 +193,8 @@
     return policy && { policy, duties: this.duties.from(hostId), handoverMs: HANDOVER_MS };
   }
 
-  isCut(hostId: string, address: string): boolean {
-    return this.cut.has(hostId) !== this.cut.has(address);
+  isPartitioned(hostId: string, address: string): boolean {
+    return this.isolatedHosts.has(hostId) !== this.isolatedHosts.has(address);
   }
 
   /** Ends a host's process and starts another at the same host. */
@@ -197,25 +208,29 @@
     return next;
   }
 
-  at(address: string): FleetHost | undefined {
+  hostAt(address: string): FleetHost | undefined {
     return this.hosts.find(host => host.context.hostId === address);
   }
 
   /** Ends the world. */
   stop(): void {
-    this._isOver = true;
+    this._isStopped = true;
     for (const host of this.hosts) host.kill();
   }
 
   /** Each endpoint writes its record anew, with a counter that grows. */
-  private _beat(i: number): void {
-    if (this._isOver) return;
+  private _writeHeartbeat(i: number): void {
+    if (this._isStopped) return;
     const record = JSON.parse(
       endpointRecord({ address: `10.0.0.1:${i}`, domain: `domain-${i % this._size.domains}` }),
     ) as object;
-    this.store.put(`${keys.endpointPrefix}e${i}`, JSON.stringify({ ...record, beat: (this._beats += 1) }));
-    if (this._size.isQuiet === true) return;
-    const spreadMs = this._beats <= this._size.endpoints ? (HEARTBEAT_MS * i) / this._size.endpoints : 0;
-    this.clock.after(HEARTBEAT_MS + spreadMs, () => this._beat(i));
+    this.store.put(
+      `${keys.endpointPrefix}e${i}`,
+      JSON.stringify({ ...record, beat: (this._heartbeatCount += 1) }),
+    );
+    if (this._size.isHeartbeatDisabled === true) return;
+    const spreadMs =
+      this._heartbeatCount <= this._size.endpoints ? (HEARTBEAT_MS * i) / this._size.endpoints : 0;
+    this.clock.after(HEARTBEAT_MS + spreadMs, () => this._writeHeartbeat(i));
   }
 }
--- a/tests/gatewayHosts.ts
+++ b/tests/gatewayHosts.ts
@@ -19,19 +19,19 @@
 import {
   endpointRecord,
   keys,
-  loneGuard,
-  PlainRecords,
+  singleHostPoisonGuard,
+  JsonRecordDecoder,
   route,
   ScriptedClient,
   testContext,
-} from './gatewayWorld.js';
-import type { TestContext } from './gatewayWorld.js';
+} from './gatewayFixtures.js';
+import type { TestContext } from './gatewayFixtures.js';
 
 const STEP_MS = 10;
 /** How long after the end of a batch was confirmed its items may still be sent. */
 const BATCH_END_MS = 3000;
 
-type Handler = (request: never) => unknown;
+type CallHandler = (request: never) => unknown;
 
 /** One host with its services. */
 export class GatewayHost implements Hosts {
@@ -41,7 +41,7 @@
   readonly orphans: OrphanRecovery;
   readonly configuration: ConfigurationService;
   readonly endpoints: EndpointDirectory;
-  readonly handlers = new Map<string, Handler>();
+  readonly handlers = new Map<string, CallHandler>();
   isRunning = true;
   private readonly _world: GatewayWorld;
 
@@ -49,12 +49,12 @@
     this._world = world;
     this.context = testContext(world.clock, hostId, incarnation);
     this.storeClient = world.store.client();
-    const records = new PlainRecords();
+    const records = new JsonRecordDecoder();
     this.configuration = new ConfigurationService(this.context, this.storeClient, keys, records);
     this.endpoints = new EndpointDirectory(this.context, this.storeClient, keys, records, address =>
       world.client.dropConnections(address),
     );
-    const poison = loneGuard(this.context, this.storeClient, world.client);
+    const poison = singleHostPoisonGuard(this.context, this.storeClient, world.client);
     const ports = {
       store: new BatchStore(this.context, this.storeClient),
       endpoints: this.endpoints,
@@ -67,7 +67,7 @@
     this.batches = new BatchService(this.context, ports, this);
     const registry: CallRegistry = {
       handle: (call, handler) => {
-        this.handlers.set(call.name, handler as unknown as Handler);
+        this.handlers.set(call.name, handler as unknown as CallHandler);
       },
     };
     this.batches.serve(registry);
@@ -99,7 +99,7 @@
   }
 
   onTerminated(owner: Owner, run: () => void): CancelTimer {
-    return this._world.onGone(owner, run);
+    return this._world.onLeaseEnd(owner, run);
   }
 
   isTerminated(owner: Owner): boolean {
@@ -133,18 +133,18 @@
     timeoutMs: number,
   ): Promise<Result<A, CallError>> {
     const host = this._world.hosts.get(address);
-    const isCut = this._world.cuts.has(`${this.context.hostId}-${address}`);
+    const isCut = this._world.blockedLinks.has(`${this.context.hostId}-${address}`);
     if (!host?.isRunning || isCut) {
-      const waitMs = this._world.silent.has(address) ? timeoutMs : Math.min(timeoutMs, 50);
+      const waitMs = this._world.unresponsive.has(address) ? timeoutMs : Math.min(timeoutMs, 50);
       await new Promise<void>(resolve => void this._world.clock.after(waitMs, resolve));
       return err({ kind: 'timed-out' });
     }
     const handler = host.handlers.get(call.name);
-    const answered = Promise.resolve(handler?.(request as never)).then(reply => ok(call.reply.parse(reply)));
-    const late = new Promise<Result<A, CallError>>(resolve => {
+    const response = Promise.resolve(handler?.(request as never)).then(reply => ok(call.reply.parse(reply)));
+    const timeout = new Promise<Result<A, CallError>>(resolve => {
       this._world.clock.after(timeoutMs, () => resolve(err({ kind: 'timed-out' })));
     });
-    return Promise.race([answered, late]);
+    return Promise.race([response, timeout]);
   }
 }
 
@@ -156,9 +156,9 @@
   /** The processes whose leases stand. */
   leases: Owner[] = [];
   /** Pairs `from-to` whose calls get no answer. */
-  readonly cuts = new Set<string>();
+  readonly blockedLinks = new Set<string>();
   /** Hosts that are gone without a word: calls to them last until their time is over. */
-  readonly silent = new Set<string>();
+  readonly unresponsive = new Set<string>();
 
   constructor() {
     this.store.put(keys.configurationKey, JSON.stringify({ revision: 1, route: route(), models: ['m'] }));
@@ -183,22 +183,23 @@
   }
 
   /** The lease of a host's process has ended. */
-  expire(hostId: string): void {
+  expireLease(hostId: string): void {
     const ended = this.leases.filter(lease => lease.hostId === hostId);
     this.leases = this.leases.filter(lease => lease.hostId !== hostId);
-    for (const { incarnation } of ended) for (const run of this._waiting.get(incarnation) ?? []) run();
+    for (const { incarnation } of ended)
+      for (const run of this._leaseEndListeners.get(incarnation) ?? []) run();
   }
 
   /** Runs once the lease has ended. */
-  onGone(owner: Owner, run: () => void): CancelTimer {
-    const waiting = this._waiting.get(owner.incarnation) ?? new Set();
-    this._waiting.set(owner.incarnation, waiting.add(run));
+  onLeaseEnd(owner: Owner, run: () => void): CancelTimer {
+    const waiting = this._leaseEndListeners.get(owner.incarnation) ?? new Set();
+    this._leaseEndListeners.set(owner.incarnation, waiting.add(run));
     if (!this.leases.some(lease => isSameOwner(lease, owner))) run();
     return () => {
       waiting.delete(run);
     };
   }
-  private readonly _waiting = new Map<string, Set<() => void>>();
+  private readonly _leaseEndListeners = new Map<string, Set<() => void>>();
 
   /** Moves time on until the promise has settled. */
   async until<T>(promise: Promise<T>, limitMs = 10_000): Promise<T> {
--- a/tests/listing.spec.ts
+++ b/tests/listing.spec.ts
@@ -6,7 +6,7 @@
 import { BatchLedger, PromptListing, CompleteGroupListing, type ListingPolicy } from '@fuchsiahitch/batches';
 import { BatchStore, ClaimLease, ResultLister } from '@fuchsiahitch/gateway';
 import { FakeStore } from './fakeStore.js';
-import { batch, item, testContext } from './gatewayWorld.js';
+import { batch, item, testContext } from './gatewayFixtures.js';
 
 const GROUPS = 15;
 const GROUP_SIZE = 8;
--- a/tests/lookupRequests.ts
+++ b/tests/lookupRequests.ts
@@ -3,7 +3,7 @@
  */
 import { setMaxListeners } from 'node:events';
 import type { CallerRequest } from '@fuchsiahitch/gateway';
-import { route } from './gatewayWorld.js';
+import { route } from './gatewayFixtures.js';
 
 /** A host that is in touch must know of an end within this time. */
 export const ANNOUNCEMENT_BOUND_MS = 3000;
--- a/tests/metering.spec.ts
+++ b/tests/metering.spec.ts
@@ -144,7 +144,7 @@
       const modes = ['silent', 'busy', 'away', 'lost', 'late'] as const;
       for (let fault = 0; fault < 4; fault++) {
         await truth.load(random, 10, 1000 + random.below(4000));
-        const reporter = fleet.at(fleet.store.value('fuchsiahitch/live/usage') ?? '');
+        const reporter = fleet.hostAt(fleet.store.value('fuchsiahitch/live/usage') ?? '');
         const mode = modes[random.below(modes.length)] ?? 'well';
         const kind = random.below(4);
         if (kind === 0) fleet.duties.mode = mode;
--- a/tests/moves.spec.ts
+++ b/tests/moves.spec.ts
@@ -5,7 +5,7 @@
 import { Deadline } from '@fuchsiahitch/base';
 import { idleTimeouts } from '@fuchsiahitch/batches';
 import { GatewayWorld } from './gatewayHosts.js';
-import { batch, item, keys } from './gatewayWorld.js';
+import { batch, item, keys } from './gatewayFixtures.js';
 
 const EVENT_MS = 40;
 
--- a/tests/orphans.spec.ts
+++ b/tests/orphans.spec.ts
@@ -4,7 +4,7 @@
 import tap from 'tap';
 import { Deadline } from '@fuchsiahitch/base';
 import { GatewayWorld, type GatewayHost } from './gatewayHosts.js';
-import { batch, item } from './gatewayWorld.js';
+import { batch, item } from './gatewayFixtures.js';
 
 const BATCH = batch('b1', [item('x'), item('y'), item('z')]);
 
@@ -32,16 +32,16 @@
   await world.clock.advance(1500);
   c.storeClient.mode = 'away';
   for (const peer of ['a', 'b']) {
-    world.cuts.add(`c-${peer}`);
-    world.cuts.add(`${peer}-c`);
+    world.blockedLinks.add(`c-${peer}`);
+    world.blockedLinks.add(`${peer}-c`);
   }
-  world.expire('c');
+  world.expireLease('c');
   tellGone(a, b);
   await world.clock.advance(1500);
   t.equal(a.batches.ownedCount() + b.batches.ownedCount(), 1);
   await world.clock.advance(4000);
   c.storeClient.mode = 'well';
-  world.cuts.clear();
+  world.blockedLinks.clear();
   const page = await world.until(c.batches.read('b1', 0, 500));
   t.ok(page.kind === 'page' && page.page.results.length === 3, 'whole when the domain is back');
   await world.clock.advance(1500);
@@ -54,7 +54,7 @@
   const lists = (host: GatewayHost): number =>
     host.context.log.lines.filter(line => line.text === 'orphaned batches').length;
   c.kill();
-  world.expire('c');
+  world.expireLease('c');
   tellGone(a, b, a, b);
   await world.clock.advance(2000);
   t.same([lists(a), lists(b)], [1, 0]);
@@ -71,7 +71,7 @@
   );
   await world.until(c.batches.end('b1'));
   c.kill();
-  world.expire('c');
+  world.expireLease('c');
   const sent = world.client.items.length;
   tellGone(a, b);
   await world.clock.advance(2000);
@@ -82,7 +82,7 @@
 await tap.test('should look again when the store is back', async t => {
   const [world, c, a, b] = await owned();
   c.kill();
-  world.expire('c');
+  world.expireLease('c');
   for (const host of [a, b]) host.storeClient.mode = 'away';
   tellGone(a, b);
   await world.clock.advance(1500);
@@ -99,7 +99,7 @@
   const [world, c, a, b] = await owned();
   await world.clock.advance(500);
   const { leases } = world;
-  world.expire('c');
+  world.expireLease('c');
   tellGone(a, b);
   await world.clock.advance(1000);
   world.leases = leases;
--- a/tests/paceUpdates.spec.ts
+++ b/tests/paceUpdates.spec.ts
@@ -4,7 +4,7 @@
 import tap from 'tap';
 import { Deadline } from '@fuchsiahitch/base';
 import { GatewayWorld, type GatewayHost } from './gatewayHosts.js';
-import { batch, item, type ItemScript } from './gatewayWorld.js';
+import { batch, item, type ItemScript } from './gatewayFixtures.js';
 
 const SLOWER_MS = 65;
 const QUICK_MS = 50;
--- a/tests/platformHost.ts
+++ b/tests/platformHost.ts
@@ -19,7 +19,7 @@
 } from '@fuchsiahitch/platform';
 import { PeerServer } from '@fuchsiahitch/protocol';
 import { Tracing } from '@fuchsiahitch/telemetry';
-import { TestLog } from './gatewayWorld.js';
+import { TestLog } from './gatewayFixtures.js';
 import { StoreStandIn, WireServer } from './platformStandIns.js';
 
 const POLL_MS = 10;
--- a/tests/platformWire.spec.ts
+++ b/tests/platformWire.spec.ts
@@ -7,7 +7,7 @@
 import { Retirement, type EndpointCall, type EndpointInfo, type ItemCall } from '@fuchsiahitch/gateway';
 import { PlatformEndpoints, retirementRecord, StoreClient } from '@fuchsiahitch/platform';
 import { FakeStore } from './fakeStore.js';
-import { TestLog } from './gatewayWorld.js';
+import { TestLog } from './gatewayFixtures.js';
 import { chunk, genuine, LAST_CHUNK, StoreStandIn, streamHead, WireServer } from './platformStandIns.js';
 
 const clock = new SystemClock();
--- a/tests/poisonRequests.spec.ts
+++ b/tests/poisonRequests.spec.ts
@@ -6,7 +6,7 @@
 import type { CallerRequest, ForwardOutcome } from '@fuchsiahitch/gateway';
 import { CrashingEndpoints } from './crashingEndpoints.js';
 import { GatewayFleet } from './gatewayFleet.js';
-import { batch, item } from './gatewayWorld.js';
+import { batch, item } from './gatewayFixtures.js';
 import {
   ANNOUNCEMENT_BOUND_MS,
   LOOKUP_ROUTE,
--- a/tests/resumption.spec.ts
+++ b/tests/resumption.spec.ts
@@ -4,7 +4,7 @@
 import tap from 'tap';
 import { Deadline } from '@fuchsiahitch/base';
 import { BATCH, read, startHosts, submit } from './batchCalls.js';
-import { batch } from './gatewayWorld.js';
+import { batch } from './gatewayFixtures.js';
 
 await tap.test(
   'should list a text that the store has whole, and ask no endpoint to go on with it',
--- a/tests/scoring.spec.ts
+++ b/tests/scoring.spec.ts
@@ -13,7 +13,7 @@
 } from '@fuchsiahitch/batches';
 import { toScoreEnd, type EndpointCall, type EndpointReply } from '@fuchsiahitch/gateway';
 import { GatewayWorld, type GatewayHost } from './gatewayHosts.js';
-import { answer, batch, brokenBody, item, scoredItem } from './gatewayWorld.js';
+import { answer, batch, truncatedBody, item, scoredItem } from './gatewayFixtures.js';
 
 const RULES = { maxAttempts: 3, isSingleVersion: false };
 const ITEMS = [scoredItem('x'), scoredItem('y'), scoredItem('z', { group: 'g2' })];
@@ -220,7 +220,7 @@
       await world.clock.advance(1000);
     }
     a.kill();
-    world.expire('a');
+    world.expireLease('a');
     world.client.reply = scoreOf;
     const generated = world.client.items.length;
     await resultsAt(world, b);
@@ -242,8 +242,8 @@
   await submit(world, a);
   await world.clock.advance(100);
   a.storeClient.mode = 'away';
-  world.cuts.add('b-a');
-  world.expire('a');
+  world.blockedLinks.add('b-a');
+  world.expireLease('a');
   await world.clock.advance(600);
   await resultsAt(world, b);
   await world.clock.advance(1000);
@@ -265,7 +265,8 @@
     silent: silence,
     broken: () => Promise.resolve({ kind: 'broken', text: 'reset' }),
     full: () => Promise.resolve({ kind: 'not-run', reason: 'refused', load: undefined }),
-    cut: () => Promise.resolve({ kind: 'answered', answer: answer(200, '', { body: brokenBody('half') }) }),
+    cut: () =>
+      Promise.resolve({ kind: 'answered', answer: answer(200, '', { body: truncatedBody('half') }) }),
     unproved: () => Promise.resolve({ kind: 'answered', answer: answer(200, 'no', { proof: undefined }) }),
   };
   for (const [fault, reply] of Object.entries(faults)) {
--- a/tests/sharedWatch.spec.ts
+++ b/tests/sharedWatch.spec.ts
@@ -6,7 +6,7 @@
 import type { Owner } from '@fuchsiahitch/batches';
 import { EndpointDirectory, SharedWatch, watchedPrefixes, type Hosts } from '@fuchsiahitch/gateway';
 import { FakeStore, type FakeStoreClient } from './fakeStore.js';
-import { endpointRecord, keys, PlainRecords, testContext } from './gatewayWorld.js';
+import { endpointRecord, keys, JsonRecordDecoder, testContext } from './gatewayFixtures.js';
 
 interface WatchingHost {
   readonly client: FakeStoreClient;
@@ -55,7 +55,7 @@
         return ok(call.reply.parse(await handlers.get(address)?.(request as never)));
       },
     };
-    const records = new PlainRecords();
+    const records = new JsonRecordDecoder();
     const prefixes = watchedPrefixes(keys, records).filter(({ prefix }) => prefix === keys.endpointPrefix);
     const watch = new SharedWatch(context, client, prefixes);
     watch.setHosts(directory);
--- a/tests/statusServer.spec.ts
+++ b/tests/statusServer.spec.ts
@@ -4,7 +4,7 @@
 import tap from 'tap';
 import { Counter, Registry } from 'prom-client';
 import { StatusServer, type ProcessStatus } from '@fuchsiahitch/listener';
-import { TestLog } from './gatewayWorld.js';
+import { TestLog } from './gatewayFixtures.js';
 
 interface TestStatus extends ProcessStatus {
   readonly log: TestLog;
--- a/tests/usageFleet.ts
+++ b/tests/usageFleet.ts
@@ -3,13 +3,19 @@
  */
 import type { SeededRandom } from '@fuchsiahitch/base';
 import { GatewayFleet, type FleetHost, type FleetSize } from './gatewayFleet.js';
-import { answer, endpointRecord, keys } from './gatewayWorld.js';
+import { answer, endpointRecord, keys } from './gatewayFixtures.js';
 import { lookupRequest, LOOKUP_ROUTE, NEVER_ABORTED } from './lookupRequests.js';
 
 export const WINDOW_MS = 5000;
 const DUE_MS = 10_000;
 const USAGE = { windowMs: WINDOW_MS, dueMs: DUE_MS };
-export const SMALL_FLEET: FleetSize = { hosts: 9, domains: 3, endpoints: 3, isQuiet: true, usage: USAGE };
+export const SMALL_FLEET: FleetSize = {
+  hosts: 9,
+  domains: 3,
+  endpoints: 3,
+  isHeartbeatDisabled: true,
+  usage: USAGE,
+};
 /** So much of a window may be missing from its report. */
 const TOLERANCE = 0.05;
 
@@ -75,7 +81,7 @@
 
 export function reporterOf(fleet: GatewayFleet): FleetHost {
   const hostId = fleet.store.value('fuchsiahitch/live/usage') ?? '';
-  const host = fleet.at(hostId);
+  const host = fleet.hostAt(hostId);
   if (!host) throw new Error('nobody reports');
   return host;
 }
