--- a/tests/batchEnds.spec.ts
+++ b/tests/batchEnds.spec.ts
@@ -79,7 +79,7 @@
           a.storeClient.callDelayMs = slowMs;
           await world.clock.advance(MAX_SEND_AFTER_END_MS + OBSERVATION_MS - backMs);
           const lateCalls = lateSends(sentMs, endMs);
-          const when = `silent from ${silentMs} ms before the end to ${backMs} after, then ${slowMs} ms a call`;
+          const when = `no store from ${silentMs} ms before the end to ${backMs} after, then ${slowMs} ms a call`;
           if (lateCalls !== '') violations.push(`${when}: ${lateCalls}`);
           if (a.batches.ownedCount() > 0)
             violations.push(`${when}: the former owner has not learned of the end`);
@@ -103,7 +103,7 @@
       await world.clock.advance(slowForMs);
       const endMs = await takeOverAndEnd(world, a, b);
       await world.clock.advance(MAX_SEND_AFTER_END_MS + OBSERVATION_MS);
-      t.equal(lateSends(sentMs, endMs), '', `ended after ${slowForMs} ms of slow answers`);
+      t.equal(lateSends(sentMs, endMs), '', `ended after ${slowForMs} ms of slow responses`);
       t.equal(a.batches.ownedCount(), 0, 'the former owner has learned of the end');
       world.stop();
     }
@@ -134,7 +134,7 @@
       a.storeClient.mode = 'well';
       await world.clock.advance(MAX_SEND_AFTER_END_MS + OBSERVATION_MS - backMs);
       const lateCalls = lateSends(sentMs, endMs);
-      if (lateCalls !== '') violations.push(`silent to ${backMs} ms after the end: ${lateCalls}`);
+      if (lateCalls !== '') violations.push(`no store until ${backMs} ms after the end: ${lateCalls}`);
       t.equal(a.batches.ownedCount(), 0, 'the former owner has learned of the end');
       world.stop();
     }
--- a/tests/batchService.spec.ts
+++ b/tests/batchService.spec.ts
@@ -69,7 +69,7 @@
   t.equal(resumed.length, 3);
   t.ok(
     resumed.every(afterEvent => afterEvent >= 40),
-    `each goes on after event 40 or later: ${resumed.join(', ')}`,
+    `each resumes after event 40 or later: ${resumed.join(', ')}`,
   );
   await world.clock.advance(3000);
   const page = await read(world, b);
@@ -134,7 +134,7 @@
   const resumed = world.client.items.slice(before).map(call => call.afterEvent);
   t.ok(
     resumed.length === 3 && resumed.every(afterEvent => afterEvent >= 70),
-    `each goes on after event 70 or later: ${resumed.join(', ')}`,
+    `each resumes after event 70 or later: ${resumed.join(', ')}`,
   );
   world.stop();
 });
--- a/tests/endedReads.spec.ts
+++ b/tests/endedReads.spec.ts
@@ -249,7 +249,7 @@
 await tap.test(
   'should not cache results that were loaded before the end as those of the ended batch',
   async t => {
-    // Guards against a host that loads a batch for an item's body, is then asked to end it, and caches the results that the
+    // Guards against a host that loads a batch for an item's body, then ends it, and caches the results that the
     // store read before the end.
     const [world, a, b, c] = await startHosts('a', 'b', 'c');
     if (!a || !b || !c) return;
