--- a/tests/gatewayFleet.ts
+++ b/tests/gatewayFleet.ts
@@ -130,7 +130,7 @@
     const reply = await this._handlers.get(call.name)?.(call.request.parse(request));
     this.sentBytes += encodeFrame({ t: 'reply', id: 1, body: reply }).length;
     await sleep(this._fleet.clock, ONE_WAY_LATENCY_MS);
-    if (!caller.isRunning || !this.isRunning) return err({ kind: 'broken', text: 'connection closed' });
+    if (!caller.isRunning || !this.isRunning) return err({ kind: 'broken', text: 'ended' });
     return ok(call.reply.parse(reply));
   }
 }
--- a/tests/gatewayHosts.ts
+++ b/tests/gatewayHosts.ts
@@ -110,7 +110,7 @@
   }
 
   onKeyChange(): void {
-    // These hosts order no weights.
+    // No host of these orders weights.
   }
 
   lastOrders(): undefined {
