--- a/tests/batchService.spec.ts
+++ b/tests/batchService.spec.ts
@@ -1,5 +1,5 @@
 /**
- * Batches at several hosts: acceptance, reads at any host, takeover, ends and network partitions.
+ * Batches at several hosts: acceptance, reading anywhere, takeover, ends, cuts.
  */
 import tap from 'tap';
 import { Deadline } from '@fuchsiahitch/base';
@@ -20,7 +20,7 @@
   world.stop();
 });
 
-await tap.test('should wait for a result and respond as soon as there is one', async t => {
+await tap.test('should wait for a result and answer as soon as there is one', async t => {
   const [world, a] = await startHosts('a');
   if (!a) return;
   world.client.script = () => ({ events: 10, end: { kind: 'done' }, eventMs: 60 });
@@ -33,7 +33,9 @@
   world.stop();
 });
 
-await tap.test('should resume a batch whose owner was killed', async t => {
+await tap.test('should go on with a batch whose owner was killed', async t => {
+  // Symptom: a trainer waits until its deadline. Sequence: the owner is killed, its lease ends, the trainer reads
+  // at another host. Cause: nobody takes the batch over.
   const [world, a, b] = await startHosts('a', 'b');
   if (!a || !b) return;
   world.client.script = call =>
@@ -45,7 +47,7 @@
   a.kill();
   world.expireLease('a');
   const page = await read(world, b, 0, 5000);
-  t.ok(page.kind === 'page' && page.page.results[0]?.id === 'x', 'listed results keep their positions');
+  t.ok(page.kind === 'page' && page.page.results[0]?.id === 'x', 'what was listed stays where it was');
   t.equal(b.batches.ownedCount(), 1);
   await world.clock.advance(4000);
   const all = await read(world, b);
@@ -54,36 +56,41 @@
   world.stop();
 });
 
-await tap.test('should resume the items of a terminated owner from the progress in the store', async t => {
-  // Guards against the loss of generated events that only the owner's memory holds, for example in a power failure.
-  const [world, a, b] = await startHosts('a', 'b');
-  if (!a || !b) return;
-  world.client.script = call => ({ events: 100 - call.afterEvent, end: { kind: 'done' }, eventMs: 40 });
-  await submit(world, a);
-  await world.clock.advance(2600);
-  a.kill();
-  world.expireLease('a');
-  const before = world.client.items.length;
-  await read(world, b);
-  const resumed = world.client.items.slice(before).map(call => call.afterEvent);
-  t.equal(resumed.length, 3);
-  t.ok(
-    resumed.every(afterEvent => afterEvent >= 40),
-    `each resumes after event 40 or later: ${resumed.join(', ')}`,
-  );
-  await world.clock.advance(3000);
-  const page = await read(world, b);
-  t.ok(page.kind === 'page' && page.page.results.length === 3);
-  const [first] = page.kind === 'page' ? page.page.results : [];
-  const completeText = Array.from({ length: 100 }, (_, i) => `${first?.id}-${i + 1}`).join('\n');
-  t.equal(first?.text, completeText, 'no event is missing or doubled');
-  world.stop();
-});
+await tap.test(
+  'should go on with the items of a host that lost its power, from what the store has',
+  async t => {
+    // Symptom: a step that was under way when all hosts lost power is late or lost. Sequence: the items have run for
+    // seconds, the owner dies, the next owner begins them anew. Cause: generated events stood in the owner's memory only.
+    const [world, a, b] = await startHosts('a', 'b');
+    if (!a || !b) return;
+    world.client.script = call => ({ events: 100 - call.afterEvent, end: { kind: 'done' }, eventMs: 40 });
+    await submit(world, a);
+    await world.clock.advance(2600);
+    a.kill();
+    world.expireLease('a');
+    const before = world.client.items.length;
+    await read(world, b);
+    const resumed = world.client.items.slice(before).map(call => call.afterEvent);
+    t.equal(resumed.length, 3);
+    t.ok(
+      resumed.every(afterEvent => afterEvent >= 40),
+      `each goes on after event 40 or later: ${resumed.join(', ')}`,
+    );
+    await world.clock.advance(3000);
+    const page = await read(world, b);
+    t.ok(page.kind === 'page' && page.page.results.length === 3);
+    const [first] = page.kind === 'page' ? page.page.results : [];
+    const whole = Array.from({ length: 100 }, (_, i) => `${first?.id}-${i + 1}`).join('\n');
+    t.equal(first?.text, whole, 'no event is missing or doubled');
+    world.stop();
+  },
+);
 
 for (const step of [2, 3]) {
-  await tap.test(`should resume in step ${step} the groups that were incomplete in step 1`, async t => {
-    // Guards against generating long items from the start in each step. The trainer submits unfinished items again in the
-    // next step, or in the one after it if steps overlap.
+  await tap.test(`should go on in step ${step} with groups that were not whole in step 1`, async t => {
+    // Symptom: an item that is too long for one step is generated anew in each. Sequence: the trainer ends a step whose
+    // items still run, and submits them again in the next, or in the one after if steps overlap, at another host.
+    // Cause: a batch's texts end with it.
     const [world, a, b] = await startHosts('a', 'b');
     if (!a || !b) return;
     world.client.script = call =>
@@ -102,11 +109,11 @@
     t.same(
       calls.map(call => call.itemId),
       ['y', 'z'],
-      'complete items are not generated again',
+      'what was whole is not generated again',
     );
     t.ok(
       calls.every(call => call.afterEvent >= 30),
-      'partial items are resumed',
+      'what had begun goes on',
     );
     const page = await world.until(b.batches.read('b2', 0, 1000));
     t.equal(page.kind === 'page' ? page.page.results[0]?.text : '', 'x-1\nx-2');
@@ -114,8 +121,9 @@
   });
 }
 
-await tap.test('should retain progress through an outage of the store', async t => {
-  // Guards against a gap in an item's stored events after a write that got no response.
+await tap.test('should keep progress through an outage of the store, and lose none of it', async t => {
+  // Symptom: after a takeover an item has a gap, and begins anew. Sequence: a write of its events gets no answer, and
+  // the next events are written beside it. Cause: a lost answer taken for a write that was done, or that was not.
   const [world, a, b] = await startHosts('a', 'b');
   if (!a || !b) return;
   world.client.script = call => ({ events: 150 - call.afterEvent, end: { kind: 'done' }, eventMs: 40 });
@@ -134,13 +142,15 @@
   const resumed = world.client.items.slice(before).map(call => call.afterEvent);
   t.ok(
     resumed.length === 3 && resumed.every(afterEvent => afterEvent >= 70),
-    `each resumes after event 70 or later: ${resumed.join(', ')}`,
+    `each goes on after event 70 or later: ${resumed.join(', ')}`,
   );
   world.stop();
 });
 
-await tap.test('should take a batch over as soon as its owner’s lease has expired', async t => {
-  // Guards against a call to an unresponsive owner that delays the takeover until the call times out.
+await tap.test('should take a batch over as soon as its owner is known to be gone', async t => {
+  // Symptom: a step stands still for seconds after its owner's lease has ended. Sequence: the owner loses its power
+  // without a reset; a reader waits at another host for a result, and the question to the dead owner waits as long.
+  // Cause: who is gone is asked as patiently as who lives.
   const [world, a, b] = await startHosts('a', 'b');
   if (!a || !b) return;
   world.client.script = call => ({ events: 200 - call.afterEvent, end: { kind: 'done' }, eventMs: 20 });
@@ -158,7 +168,7 @@
   world.stop();
 });
 
-await tap.test('should leave a batch to a live owner whose lease was revoked', async t => {
+await tap.test('should leave a batch to an owner whose lease was revoked and that lives', async t => {
   const [world, a, b] = await startHosts('a', 'b');
   if (!a || !b) return;
   world.client.script = call => ({ events: 200 - call.afterEvent, end: { kind: 'done' }, eventMs: 20 });
@@ -187,9 +197,10 @@
   world.stop();
 });
 
-await tap.test('should take a batch over only once while the store is slow', async t => {
-  // Guards against a batch that moves from host to host: the new owner is queried while it still loads the batch, and
-  // responds that it does not run it.
+await tap.test('should take a batch over once, while the store is slow', async t => {
+  // Symptom: a step makes no progress while its batch goes from host to host. Sequence: the owner is gone; one host takes
+  // the batch over, and reads it from a store whose calls take 0.25 s; others ask it meanwhile. Cause: it says that it does
+  // not run the batch, which is what a replaced process says.
   const [world, a, b, c] = await startHosts('a', 'b', 'c');
   if (!a || !b || !c) return;
   world.client.script = call => ({ events: 200 - call.afterEvent, end: { kind: 'done' }, eventMs: 20 });
@@ -205,35 +216,37 @@
   }
   await world.clock.advance(4000);
   await Promise.all(reading);
-  const takeovers = [b, c].flatMap(host =>
+  const taken = [b, c].flatMap(host =>
     host.context.log.lines.filter(line => line.text === 'batch takeover' && line.details.outcome === 'done'),
   );
-  t.equal(takeovers.length, 1);
+  t.equal(taken.length, 1);
   world.stop();
 });
 
-await tap.test('should leave a batch to a live owner that this host can’t reach', async t => {
-  // Guards against running every item twice during a network partition in which both hosts hold their leases.
+await tap.test('should leave a batch to an owner that lives but can’t be reached from here', async t => {
+  // Symptom: every item of a batch runs twice. Sequence: a network cut between two hosts, both with their leases.
+  // Cause: "I can't reach it" taken for "it is dead".
   const [world, a, b] = await startHosts('a', 'b');
   if (!a || !b) return;
   await submit(world, a);
   await world.clock.advance(800);
   world.blockedLinks.add('b-a');
   const page = await read(world, b);
-  t.ok(page.kind === 'page' && page.page.results.length === 3, 'its results are read from the store');
+  t.ok(page.kind === 'page' && page.page.results.length === 3, 'its results come from the store');
   t.equal(b.batches.ownedCount(), 0);
   world.stop();
 });
 
-await tap.test('should replace an owner that lost its lease and can’t reach the store', async t => {
-  // Guards against treating `unsure` from an owner that is cut off from the store as a sign that it may continue.
+await tap.test('should replace an owner that lost its lease and can’t ask the store', async t => {
+  // Symptom: reads of a batch are refused for seconds. Sequence: the owner is cut off from the store alone; peers
+  // reach it; it can't be sure and says so. Cause: an answer of any kind taken for a living owner.
   const [world, a, b] = await startHosts('a', 'b');
   if (!a || !b) return;
   world.client.script = () => ({ events: 100, end: { kind: 'done' }, eventMs: 20 });
   await submit(world, a);
   a.storeClient.mode = 'away';
   await world.clock.advance(1500);
-  t.equal((await read(world, b)).kind, 'unsure', 'the owner still holds its lease');
+  t.equal((await read(world, b)).kind, 'unsure', 'its lease stands');
   world.expireLease('a');
   await read(world, b);
   t.equal(b.batches.ownedCount(), 1);
@@ -244,7 +257,8 @@
 });
 
 await tap.test('should stop the runs of a host that has lost its batch', async t => {
-  // Guards against a former owner that does not check its claim again.
+  // Symptom: the same item runs at two endpoints for long. Sequence: the owner is paused, another host takes over,
+  // the owner wakes. Cause: the former owner never looks at the claim again.
   const [world, a, b] = await startHosts('a', 'b');
   if (!a || !b) return;
   world.client.script = () => ({ events: 400, end: { kind: 'done' }, eventMs: 20 });
@@ -262,8 +276,10 @@
   world.stop();
 });
 
-await tap.test('should detect without writes or reads that its batch has ended elsewhere', async t => {
-  // Guards against sending items after the end: the former owner's items wait for an endpoint, so it writes nothing.
+await tap.test('should hear by itself that its batch has ended elsewhere', async t => {
+  // Symptom: items run seconds after the end of their batch was confirmed. Sequence: the owner is cut off from its
+  // peers, another host takes the batch over, the trainer ends it there; the former owner's items wait for an endpoint,
+  // so that it writes nothing. Cause: the claim was looked at only by writes and by readers.
   const [world, a, b] = await startHosts('a', 'b');
   if (!a || !b) return;
   world.client.script = () => ({ events: 0, end: { kind: 'not-run', reason: 'refused', load: undefined } });
@@ -280,21 +296,18 @@
   world.stop();
 });
 
-await tap.test(
-  'should respond `unsure` rather than with an empty page when it can’t confirm its claim',
-  async t => {
-    const [world, a] = await startHosts('a');
-    if (!a) return;
-    world.client.script = () => ({ events: 400, end: { kind: 'done' }, eventMs: 20 });
-    await submit(world, a);
-    a.storeClient.mode = 'away';
-    await world.clock.advance(1000);
-    t.equal((await read(world, a, 0, 100)).kind, 'unsure');
-    world.stop();
-  },
-);
+await tap.test('should say nothing rather than "nothing yet" when it can’t be sure', async t => {
+  const [world, a] = await startHosts('a');
+  if (!a) return;
+  world.client.script = () => ({ events: 400, end: { kind: 'done' }, eventMs: 20 });
+  await submit(world, a);
+  a.storeClient.mode = 'away';
+  await world.clock.advance(1000);
+  t.equal((await read(world, a, 0, 100)).kind, 'unsure');
+  world.stop();
+});
 
-await tap.test('should distinguish an unknown batch from one that it can’t look up', async t => {
+await tap.test('should tell an unknown batch from one that it can’t ask for', async t => {
   const [world, a] = await startHosts('a');
   if (!a) return;
   t.equal((await read(world, a)).kind, 'no-batch');
@@ -303,29 +316,29 @@
   world.stop();
 });
 
-await tap.test('should end a batch permanently at any host', async t => {
-  // Guards against an end that takes effect at one host only.
+await tap.test('should end a batch at any host, for good', async t => {
+  // Symptom: items of an ended batch go on running. Cause: the end reaches one host only.
   const [world, a, b] = await startHosts('a', 'b');
   if (!a || !b) return;
   world.client.script = () => ({ events: 400, end: { kind: 'done' }, eventMs: 20 });
   await submit(world, a);
   await world.clock.advance(300);
   t.equal(await world.until(b.batches.end('b1')), 'ended');
-  t.equal(await world.until(b.batches.end('b1')), 'ended', 'a repeated end');
+  t.equal(await world.until(b.batches.end('b1')), 'ended', 'and again');
   t.equal(world.client.cancelled.length, 3);
   const ran = world.client.items.length;
   a.kill();
   world.expireLease('a');
   await read(world, b);
   await world.clock.advance(2000);
-  t.equal(world.client.items.length, ran, 'no host resumes it');
+  t.equal(world.client.items.length, ran, 'no host goes on with it');
   t.equal(await submit(world, b), 'accepted', 'a repeated submission is known');
   await world.clock.advance(1000);
   t.equal(world.client.items.length, ran);
   world.stop();
 });
 
-await tap.test('should resume at another endpoint after the last complete event', async t => {
+await tap.test('should go on at another endpoint after the last whole event', async t => {
   const [world, a] = await startHosts('a');
   if (!a) return;
   let attempt = 0;
@@ -350,8 +363,9 @@
   world.stop();
 });
 
-await tap.test('should abandon an unresponsive endpoint and run the item at another', async t => {
-  // Guards against an item without a timeout between events.
+await tap.test('should give a silent endpoint up and run the item elsewhere', async t => {
+  // Symptom: an item hangs until its step is over. Sequence: the endpoint goes dark without a reset. Cause: no
+  // time-out between events.
   const [world, a] = await startHosts('a');
   if (!a) return;
   let attempt = 0;
@@ -364,7 +378,7 @@
   await world.clock.advance(3000);
   const page = await read(world, a);
   t.ok(page.kind === 'page' && page.page.results.length === 3);
-  t.same(world.client.cancelled, ['x'], 'the run at the unresponsive endpoint is cancelled');
+  t.same(world.client.cancelled, ['x'], 'the silent endpoint was told');
   world.stop();
 });
 
@@ -402,7 +416,7 @@
   world.stop();
 });
 
-await tap.test('should list items that can’t be completed as terminated', async t => {
+await tap.test('should list items that can’t be done as terminated', async t => {
   const [world, a] = await startHosts('a');
   if (!a) return;
   world.client.script = call =>
@@ -418,7 +432,7 @@
   world.stop();
 });
 
-await tap.test('should list results when the store is available again', async t => {
+await tap.test('should list results when the store returns', async t => {
   const [world, a] = await startHosts('a');
   if (!a) return;
   await submit(world, a);
@@ -432,7 +446,7 @@
   world.stop();
 });
 
-await tap.test('should return the body of an item at any host', async t => {
+await tap.test('should give the body of an item at any host', async t => {
   const [world, a, b] = await startHosts('a', 'b');
   if (!a || !b) return;
   await submit(world, a);
@@ -443,29 +457,27 @@
   world.stop();
 });
 
-await tap.test('should hand its batches over with their progress when it shuts down', async t => {
-  // Guards against a step without progress at each planned restart.
+await tap.test('should give its batches to another host when it shuts down, with what it has', async t => {
+  // Symptom: a step stands still for seconds at each planned restart. Sequence: the owner gets the signal to end,
+  // stops its runs, and answers reads with empty pages until it is gone. Cause: nobody was asked to go on.
   const [world, a, b] = await startHosts('a', 'b');
   if (!a || !b) return;
   world.client.script = () => ({ events: 60, end: { kind: 'done' }, eventMs: 20 });
   await submit(world, a);
   await world.clock.advance(600);
-  const handingOver = a.batches.handOver();
+  const leaving = a.batches.handOver();
   await world.clock.advance(100);
-  await handingOver;
+  await leaving;
   t.same([a.batches.ownedCount(), b.batches.ownedCount()], [0, 1]);
   const resumed = world.client.items.filter(call => call.afterEvent > 0);
   t.equal(resumed.length, 3, 'no event is generated again');
   await world.clock.advance(2000);
   const page = await read(world, a);
-  t.ok(
-    page.kind === 'page' && page.page.results.length === 3,
-    'the host that shuts down forwards reads to the new owner',
-  );
+  t.ok(page.kind === 'page' && page.page.results.length === 3, 'the leaving host asks the new owner');
   t.ok(page.kind === 'page' && page.page.results[0]?.text.startsWith('x-1\nx-2\n'));
-  const lateBatch = batch('b2', [item('late')]);
-  await world.until(a.batches.submit(lateBatch, Deadline.after(world.clock, 1000)));
+  const late = batch('b2', [item('late')]);
+  await world.until(a.batches.submit(late, Deadline.after(world.clock, 1000)));
   await world.clock.advance(200);
-  t.equal(b.batches.ownedCount(), 2, 'new batches are handed over too');
+  t.equal(b.batches.ownedCount(), 2, 'what still arrives is passed on');
   world.stop();
 });
--- a/tests/batchStore.spec.ts
+++ b/tests/batchStore.spec.ts
@@ -1,5 +1,5 @@
 /**
- * Records of batches in a store that loses responses, executes writes late, and becomes unavailable.
+ * Batches in a store that loses answers, carries writes out late, and goes away.
  */
 import tap from 'tap';
 import { Deadline, VirtualClock } from '@fuchsiahitch/base';
@@ -14,44 +14,46 @@
 const TWO: ItemResult = { id: 'y', state: 'completed', text: 'two', versions: [1] };
 const BATCH = batch('b1', [item('x'), item('y')]);
 
-interface StoreSetup {
+interface World {
   readonly clock: VirtualClock;
   readonly store: FakeStore;
   readonly batches: BatchStore;
   readonly deadline: (ms?: number) => Deadline;
 }
 
-function createStore(): StoreSetup {
+function world(): World {
   const clock = new VirtualClock();
   const store = new FakeStore(clock);
   const batches = new BatchStore(testContext(clock), store.client());
   return { clock, store, batches, deadline: (ms = 1000) => Deadline.after(clock, ms) };
 }
 
-async function settleAfter<T>(clock: VirtualClock, promise: Promise<T>, ms: number): Promise<T> {
+async function within<T>(clock: VirtualClock, promise: Promise<T>, ms: number): Promise<T> {
   await clock.advance(ms);
   return promise;
 }
 
 await tap.test('should accept a batch once, at whichever host it arrives', async t => {
-  const { batches, deadline } = createStore();
+  const { batches, deadline } = world();
   const first = await batches.accept(BATCH, A, deadline());
-  const repeated = await batches.accept(BATCH, B, deadline());
+  const again = await batches.accept(BATCH, B, deadline());
   t.equal(first.kind, 'accepted');
-  t.ok(repeated.kind === 'known' && repeated.held.claim.owner.hostId === 'a');
+  t.ok(again.kind === 'known' && again.held.claim.owner.hostId === 'a');
 });
 
-await tap.test('should recognize its own acceptance when the response was lost', async t => {
-  // Guards against a host that retries and takes its own claim as that of another host.
-  const { clock, store, batches, deadline } = createStore();
+await tap.test('should find its own acceptance when the answer was lost', async t => {
+  // Symptom: a batch that runs at no host, or is refused though it runs. Sequence: the store writes it, the answer
+  // is lost, the host tries again and meets its own claim. Cause: a failed condition taken for another's batch.
+  const { clock, store, batches, deadline } = world();
   store.loseAnswers = 1;
-  const outcome = await settleAfter(clock, batches.accept(BATCH, A, deadline(2000)), 2000);
+  const outcome = await within(clock, batches.accept(BATCH, A, deadline(2000)), 2000);
   t.equal(outcome.kind, 'accepted');
 });
 
-await tap.test('should not report "not done" once a write may be executed', async t => {
-  // Guards against a refused batch that runs later, because the store executed a write that got no response.
-  const { clock, store, deadline } = createStore();
+await tap.test('should not promise "not run" once a write may be carried out', async t => {
+  // Symptom: a batch that was refused at every try runs. Sequence: the write gets no answer, the store goes away,
+  // and carries it out seconds later. Cause: "no answer" reported as "not done".
+  const { clock, store, deadline } = world();
   const client = store.client();
   const batches = new BatchStore(testContext(clock), client);
   store.delayNextWriteMs = 3000;
@@ -59,36 +61,37 @@
   client.mode = 'well';
   await clock.advance(50);
   client.mode = 'away';
-  const outcome = await settleAfter(clock, pending, 1500);
+  const outcome = await within(clock, pending, 1500);
   t.equal(outcome.kind, 'unknown');
   await clock.advance(3000);
-  t.ok(store.value(claimKey('b1')), 'the write was executed late');
+  t.ok(store.value(claimKey('b1')), 'the write was carried out late');
 });
 
-await tap.test('should report "not done" when the store executed nothing', async t => {
-  const { clock, store, deadline } = createStore();
+await tap.test('should refuse with a promise when the store did nothing', async t => {
+  const { clock, store, deadline } = world();
   const client = store.client();
   client.mode = 'away';
   const batches = new BatchStore(testContext(clock), client);
-  const outcome = await settleAfter(clock, batches.accept(BATCH, A, deadline(1000)), 1500);
+  const outcome = await within(clock, batches.accept(BATCH, A, deadline(1000)), 1500);
   t.equal(outcome.kind, 'not-done');
   t.same(store.keys(''), []);
 });
 
-await tap.test('should accept a batch when the store is available again before the deadline', async t => {
-  const { clock, store, deadline } = createStore();
+await tap.test('should accept when the store returns in time', async t => {
+  const { clock, store, deadline } = world();
   const client = store.client();
   client.mode = 'away';
   const batches = new BatchStore(testContext(clock), client);
   const pending = batches.accept(BATCH, A, deadline(6000));
   await clock.advance(4500);
   client.mode = 'well';
-  t.equal((await settleAfter(clock, pending, 500)).kind, 'accepted');
+  t.equal((await within(clock, pending, 500)).kind, 'accepted');
 });
 
-await tap.test('should refuse an append by a host that has lost the claim', async t => {
-  // Guards against two results at one position, from a former owner that resumes after a suspension.
-  const { batches, deadline } = createStore();
+await tap.test('should refuse an append of a host that has lost the batch', async t => {
+  // Symptom: a position shows two results. Sequence: the owner is paused, another host takes the batch over and
+  // lists a result, the owner wakes and lists its own at the same position. Cause: writes without the claim.
+  const { batches, deadline } = world();
   const accepted = await batches.accept(BATCH, A, deadline());
   if (accepted.kind !== 'accepted') return t.fail('accepted');
   const taken = await batches.changeClaim('b1', accepted.held, { owner: B, takeovers: 1 }, deadline());
@@ -100,9 +103,10 @@
   t.ok(results.ok && results.value.length === 1 && results.value[0]?.id === 'y');
 });
 
-await tap.test('should refuse a late append of a former owner', async t => {
-  // Guards against an unconditional append that the store executes after a takeover.
-  const { clock, store, batches, deadline } = createStore();
+await tap.test('should not let a late append of a former owner in', async t => {
+  // Symptom: results change after a takeover. Sequence: the append gets no answer, the batch changes hands, the
+  // store carries the append out. Cause: an unconditional write.
+  const { clock, store, batches, deadline } = world();
   const accepted = await batches.accept(BATCH, A, deadline());
   if (accepted.kind !== 'accepted') return t.fail('accepted');
   store.delayNextWriteMs = 2000;
@@ -113,8 +117,8 @@
   t.same(results.ok && results.value, []);
 });
 
-await tap.test('should recognize its own append when the response was lost', async t => {
-  const { store, batches, deadline } = createStore();
+await tap.test('should find its own append when the answer was lost', async t => {
+  const { store, batches, deadline } = world();
   const accepted = await batches.accept(BATCH, A, deadline());
   if (accepted.kind !== 'accepted') return t.fail('accepted');
   store.loseAnswers = 1;
@@ -123,7 +127,7 @@
 });
 
 await tap.test('should let one of two hosts take a batch over', async t => {
-  const { batches, deadline } = createStore();
+  const { batches, deadline } = world();
   const accepted = await batches.accept(BATCH, A, deadline());
   if (accepted.kind !== 'accepted') return t.fail('accepted');
   const [one, two] = await Promise.all([
@@ -133,8 +137,8 @@
   t.same([one.kind, two.kind].sort(), ['done', 'lost']);
 });
 
-await tap.test('should load what was written, and remove it completely', async t => {
-  const { store, batches, deadline } = createStore();
+await tap.test('should load what was written, and remove it whole', async t => {
+  const { store, batches, deadline } = world();
   const accepted = await batches.accept(BATCH, A, deadline());
   if (accepted.kind !== 'accepted') return t.fail('accepted');
   await batches.append('b1', accepted.held, 0, [ONE, TWO], deadline());
@@ -144,9 +148,9 @@
   t.same(store.keys(''), []);
 });
 
-await tap.test('should remove old batches, but none that are still readable', async t => {
-  // Guards against a store that fills up with records of batches.
-  const { clock, store, batches, deadline } = createStore();
+await tap.test('should remove old batches, and none that may still be read', async t => {
+  // Symptom: the store refuses writes after some weeks. Cause: records of batches are written and never removed.
+  const { clock, store, batches, deadline } = world();
   const context = testContext(clock);
   const sweeper = new BatchSweeper(context, store.client(), batches, 120_000);
   const accept = async (id: string, isEnded: boolean): Promise<void> => {
@@ -165,6 +169,6 @@
   t.same(store.keys('fuchsiahitch/batch/ended'), []);
   t.ok(store.value(claimKey('open')) && store.value(claimKey('fresh')));
   await clock.advance(1_200_000);
-  t.same(store.keys(''), [], 'including one that was never ended');
+  t.same(store.keys(''), [], 'also one that was never ended');
   context.stop.abort();
 });
