--- a/tests/claimLease.spec.ts
+++ b/tests/claimLease.spec.ts
@@ -5,7 +5,7 @@
 import type { ItemCall, ItemEnd, ItemProgressListener } from '@fuchsiahitch/gateway';
 import { read, startHosts, submit } from './batchCalls.js';
 import type { GatewayWorld } from './gatewayHosts.js';
-import { answer, batch, scoredItem } from './gatewayWorld.js';
+import { answer, batch, scoredItem } from './gatewayFixtures.js';
 import { Deadline } from '@fuchsiahitch/base';
 
 /** Maximum age of the store's last confirmation when a request is sent, plus one placement interval. */
@@ -83,7 +83,7 @@
   world.client.script = () => ({ events: 400, end: { kind: 'done' }, eventMs: 20 });
   await submit(world, a);
   a.kill();
-  world.expire('a');
+  world.expireLease('a');
   const sent = world.client.items.length;
   t.equal(await world.until(b.batches.end('b1')), 'ended');
   t.equal(world.client.items.length, sent);
@@ -122,10 +122,10 @@
       world.client.script = () => ({ events: 400, end: { kind: 'done' }, eventMs: 20 });
       await submit(world, a);
       await world.clock.advance(1500);
-      a.storeClient.slowMs = slowMs;
+      a.storeClient.callDelayMs = slowMs;
       await world.clock.advance(afterMs);
       const { leases } = world;
-      world.expire('a');
+      world.expireLease('a');
       await read(world, b, 0, 500);
       await world.until(b.batches.adoptFrom('b1', a.self()));
       world.leases = leases;
--- a/tests/configuration.spec.ts
+++ b/tests/configuration.spec.ts
@@ -5,7 +5,7 @@
 import { VirtualClock } from '@fuchsiahitch/base';
 import { ConfigurationService } from '@fuchsiahitch/gateway';
 import { FakeStore } from './fakeStore.js';
-import { keys, PlainRecords, route, testContext } from './gatewayWorld.js';
+import { keys, JsonRecordDecoder, route, testContext } from './gatewayFixtures.js';
 
 await tap.test('should apply a new configuration in time despite an unresponsive watch', async t => {
   // Guards against 404 for a new route, because an unresponsive watch is restarted too late.
@@ -14,7 +14,7 @@
     const store = new FakeStore(clock);
     const client = store.client();
     const context = testContext(clock);
-    const configuration = new ConfigurationService(context, client, keys, new PlainRecords());
+    const configuration = new ConfigurationService(context, client, keys, new JsonRecordDecoder());
     store.put(keys.configurationKey, JSON.stringify({ revision: 1, route: route(), models: ['m'] }));
     configuration.start();
     await clock.advance(200);
@@ -34,7 +34,7 @@
   const clock = new VirtualClock();
   const store = new FakeStore(clock);
   const context = testContext(clock);
-  const configuration = new ConfigurationService(context, store.client(), keys, new PlainRecords());
+  const configuration = new ConfigurationService(context, store.client(), keys, new JsonRecordDecoder());
   const write = (revision: number, timeoutMs: number): void =>
     store.put(keys.configurationKey, JSON.stringify({ revision, route: route({ timeoutMs }), models: [] }));
   t.equal(configuration.route('quests', '/run/1').kind, 'unknown');
--- a/tests/crashingEndpoints.ts
+++ b/tests/crashingEndpoints.ts
@@ -11,7 +11,7 @@
   ItemProgressListener,
 } from '@fuchsiahitch/gateway';
 import type { FakeStore } from './fakeStore.js';
-import { answer, endpointRecord, keys, type ScriptedClient } from './gatewayWorld.js';
+import { answer, endpointRecord, keys, type ScriptedClient } from './gatewayFixtures.js';
 
 export interface ReceivedRequest {
   readonly atMs: number;
--- a/tests/endedReads.spec.ts
+++ b/tests/endedReads.spec.ts
@@ -7,7 +7,7 @@
 import type { Batch, ItemResult } from '@fuchsiahitch/batches';
 import { BATCH, startHosts } from './batchCalls.js';
 import type { GatewayHost, GatewayWorld } from './gatewayHosts.js';
-import { batch, item, type ItemScript } from './gatewayWorld.js';
+import { batch, item, type ItemScript } from './gatewayFixtures.js';
 
 const FOUR_ITEMS = batch('b1', [
   item('w'),
@@ -128,8 +128,8 @@
 
 /** Cuts the connection between two hosts in both directions. */
 function cut(world: GatewayWorld, one: GatewayHost, other: GatewayHost): void {
-  world.cuts.add(`${one.context.hostId}-${other.context.hostId}`);
-  world.cuts.add(`${other.context.hostId}-${one.context.hostId}`);
+  world.blockedLinks.add(`${one.context.hostId}-${other.context.hostId}`);
+  world.blockedLinks.add(`${other.context.hostId}-${one.context.hostId}`);
 }
 
 type Script = GatewayWorld['client']['script'];
@@ -187,9 +187,9 @@
 await tap.test('should show a result whose append is answered after its owner ended the batch', async t => {
   // As above, with a slow answer instead of a lost one.
   const { world, a, b, c, readers, startMs } = await startBatch(BATCH, lastItemIsSlow);
-  a.storeClient.slowAnswersMs = 600;
+  a.storeClient.answerDelayMs = 600;
   await advanceTo(world, startMs + COMPLETE_MS + 10);
-  a.storeClient.slowAnswersMs = 0;
+  a.storeClient.answerDelayMs = 0;
   t.equal(await world.until(a.batches.end('b1')), 'ended');
   await readers.read(c, 'from the store');
   t.equal(readers.returnedCount(), 3);
@@ -255,13 +255,13 @@
   world.client.script = lastItemIsSlow;
   const startMs = await submitAt(world, a);
   await advanceTo(world, startMs + 100);
-  b.storeClient.slowAnswersMs = 100;
+  b.storeClient.answerDelayMs = 100;
   const body = b.batches.item('b1', 'x');
   // Two reads of the claim, the failing call and the batch's parts take 350 ms. The results follow.
   await advanceTo(world, startMs + 440);
-  b.storeClient.slowAnswersMs = 500;
+  b.storeClient.answerDelayMs = 500;
   await advanceTo(world, startMs + COMPLETE_MS);
-  b.storeClient.slowAnswersMs = 0;
+  b.storeClient.answerDelayMs = 0;
   const readers = new Readers(world);
   await readers.readAt([a, c], 'before the end');
   t.equal(readers.returnedCount(), 3);
@@ -280,9 +280,9 @@
     for (const lateMs of [20, 120, 240, 260, 600])
       for (const endMs of [10, 50, 150, 200, 300, 700]) {
         const { world, a, b, c, readers, startMs } = await startBatch(BATCH, lastItemIsSlow);
-        world.store.lateMs = lateMs;
+        world.store.delayNextWriteMs = lateMs;
         await advanceTo(world, startMs + COMPLETE_MS + endMs);
-        t.equal(world.store.lateMs, undefined, 'the append was sent');
+        t.equal(world.store.delayNextWriteMs, undefined, 'the append was sent');
         t.equal(await world.until((endsAtOwner ? a : c).batches.end('b1')), 'ended');
         const when = `appended ${lateMs} ms late, ended after ${endMs}`;
         await readers.read(c, when);
@@ -301,10 +301,10 @@
   for (const lateMs of [10, 100, 200, 600, 2000])
     for (const takenMs of [10, 100, 200]) {
       const { world, a, b, c, readers, startMs } = await startBatch(BATCH, lastItemIsSlow);
-      world.store.lateMs = lateMs;
+      world.store.delayNextWriteMs = lateMs;
       await advanceTo(world, startMs + COMPLETE_MS + takenMs);
       a.storeClient.mode = 'silent';
-      world.expire('a');
+      world.expireLease('a');
       const when = `appended ${lateMs} ms late, taken over after ${takenMs}`;
       await readers.read(c, when);
       t.equal(c.batches.ownedCount(), 1, 'it is taken over');
@@ -340,7 +340,7 @@
         t.equal(world.store.loseAnswers, 0, 'the append took effect without an answer');
         a.storeClient.mode = 'silent';
         await world.clock.advance(takenMs);
-        world.expire('a');
+        world.expireLease('a');
         const when = `taken over after ${takenMs} ms, the store back ${backMs} ms later`;
         await readers.read(c, when);
         t.equal(readers.returnedCount(), 3);
@@ -396,7 +396,7 @@
         await advanceTo(world, startMs + COMPLETE_MS + 160);
         t.equal(world.store.loseAnswers, 0, 'the append got no answer');
         a.storeClient.mode = 'silent';
-        world.expire('a');
+        world.expireLease('a');
         await readers.read(c, 'at the takeover');
         await world.clock.advance(1700);
         await readers.read(c, 'after the takeover');
@@ -429,7 +429,7 @@
     await advanceTo(world, startMs + 1040);
     t.equal(world.store.loseAnswers, 0, 'progress was recorded without an answer');
     a.storeClient.mode = 'silent';
-    world.expire('a');
+    world.expireLease('a');
     await readers.read(c, 'at the takeover');
     await world.clock.advance(SETTLED_MS);
     await readers.read(c, 'after the takeover');
@@ -473,7 +473,7 @@
   // This host started after the owner announced the batch.
   const b = world.start('b');
   await clock.advance(200);
-  b.storeClient.slowMs = 50;
+  b.storeClient.callDelayMs = 50;
   const listsBefore = store.calls.filter(call => call === 'list').length;
   const lists = (): number => store.calls.filter(call => call === 'list').length - listsBefore;
   const pages = await world.until(Promise.all([1, 2, 3].map(() => b.batches.read('b1', 0, 500))));
--- a/tests/eventLoopLagPeers.spec.ts
+++ b/tests/eventLoopLagPeers.spec.ts
@@ -29,12 +29,12 @@
   answer,
   endpointRecord,
   keys,
-  loneGuard,
-  PlainRecords,
+  singleHostPoisonGuard,
+  JsonRecordDecoder,
   route,
   ScriptedClient,
   testContext,
-} from './gatewayWorld.js';
+} from './gatewayFixtures.js';
 
 const KEY = 'fleet-key-for-tests';
 const empty = z.strictObject({});
@@ -301,7 +301,13 @@
   const clock = new VirtualClock();
   const store = new FakeStore(clock);
   const context = testContext(clock);
-  const endpoints = new EndpointDirectory(context, store.client(), keys, new PlainRecords(), () => undefined);
+  const endpoints = new EndpointDirectory(
+    context,
+    store.client(),
+    keys,
+    new JsonRecordDecoder(),
+    () => undefined,
+  );
   for (const id of ['e1', 'e2']) store.put(`${keys.endpointPrefix}${id}`, endpointRecord());
   endpoints.start();
   await clock.advance(100);
@@ -322,7 +328,12 @@
     headers: [],
     body: undefined,
   };
-  const forwarder = new Forwarder(context, endpoints, client, loneGuard(context, store.client(), client));
+  const forwarder = new Forwarder(
+    context,
+    endpoints,
+    client,
+    singleHostPoisonGuard(context, store.client(), client),
+  );
   const outcome = forwarder.forward({ ...request, waitMs: 1500 }, safe, new AbortController().signal);
   return { clock, client, outcome, answerFirst, stop: context.stop };
 }
--- a/tests/gatewayWorld.ts
+++ b/tests/gatewayFixtures.ts
@@ -1,6 +1,4 @@
-/**
- * What the gateway's tests share: a context on a virtual clock, and endpoints that a test scripts.
- */
+/** Shared fixtures of the gateway tests: a context on a virtual clock, records, batches and scripted endpoints. */
 import { setMaxListeners } from 'node:events';
 import { err, SeededRandom, VirtualClock } from '@fuchsiahitch/base';
 import type { PoolScaling } from '@fuchsiahitch/capacity';
@@ -80,14 +78,18 @@
   };
 }
 
-/** What one host alone knows of requests under which endpoints end. */
-export function loneGuard(context: TestContext, store: RevisionedStore, client: EndpointClient): PoisonGuard {
-  const nobody: PoisonGuardHosts = {
+/** A poison guard for a host without peers. */
+export function singleHostPoisonGuard(
+  context: TestContext,
+  store: RevisionedStore,
+  client: EndpointClient,
+): PoisonGuard {
+  const noPeers: PoisonGuardHosts = {
     watchKeys: () => undefined,
     peers: () => [],
     call: () => Promise.resolve(err({ kind: 'not-sent', text: 'no such host' })),
   };
-  return new PoisonGuard(context, store, nobody, client);
+  return new PoisonGuard(context, store, noPeers, client);
 }
 
 export const keys: RecordKeys = {
@@ -114,7 +116,7 @@
   };
 }
 
-/** Where scores are asked for. */
+/** The route of score requests. */
 export const SCORE_ROUTE: Route = route({
   run: 'idempotent',
   pools: [{ pool: 'scorers', weight: 1 }],
@@ -123,8 +125,8 @@
   maxAttempts: 4,
 });
 
-/** Records as plain JSON of the product's own types. */
-export class PlainRecords implements RecordDecoder {
+/** Decodes records that are the JSON form of the gateway's own types. */
+export class JsonRecordDecoder implements RecordDecoder {
   configuration(value: string): FleetConfiguration | undefined {
     const {
       revision,
@@ -209,7 +211,7 @@
   };
 }
 
-/** An item whose text is scored. The request for its score is named after it. */
+/** An item with a score request, whose id and path are derived from the item's id. */
 export function scoredItem(id: string, overrides: Partial<BatchItem> = {}): BatchItem {
   const scoring = { id: `score-${id}`, host: 'quests', path: `/score/${id}`, bodyBase64: '' };
   return item(id, { scoring, ...overrides });
@@ -219,27 +221,26 @@
   return { id, host: 'quests', step: 1, model: 'm', minVersion: 1, groupsWanted: 1, items, ...overrides };
 }
 
-/** What a scripted endpoint does with an item: events to send, how it ends, and how long an event takes. */
+/** The response of a scripted endpoint to an item: the number of events, the end, and the time per event. */
 export interface ItemScript {
   readonly events: number;
   readonly end: ItemEnd;
-  /** The weight version of the answer; `none` for an answer that names none. */
+  /** The weight version in the response; `none` omits it. */
   readonly version?: number | 'none';
   readonly eventMs?: number;
 }
 
-/** Endpoints that follow a script; everything else they do is remembered. */
+/** An endpoint client that answers from a script and records every call. */
 export class ScriptedClient implements EndpointClient {
   readonly items: ItemCall[] = [];
   readonly sends: EndpointCall[] = [];
   readonly orders: (LoadOrder & { readonly atMs: number })[] = [];
   readonly cancelled: string[] = [];
-  /** Addresses whose former connections are not used again. */
-  readonly forgotten: string[] = [];
+  readonly droppedAddresses: string[] = [];
   script: (call: ItemCall) => ItemScript = () => ({ events: 2, end: { kind: 'done' } });
   reply: (call: EndpointCall, signal: AbortSignal) => Promise<EndpointReply> = () =>
     Promise.resolve({ kind: 'answered', answer: answer(200, 'whole') });
-  weights: (endpoint: EndpointInfo) => WeightReport | undefined = endpoint => ({
+  weightReport: (endpoint: EndpointInfo) => WeightReport | undefined = endpoint => ({
     startWallMs: endpoint.startWallMs,
     versions: endpoint.versions,
     isBusy: false,
@@ -282,7 +283,7 @@
         return { kind: 'cancelled' };
     }
     if (end.kind !== 'cancelled') return end;
-    // A silent endpoint: nothing more comes until this side gives up.
+    // An unresponsive endpoint: sends nothing more until the caller aborts.
     await new Promise<void>(resolve => signal.addEventListener('abort', () => resolve()));
     this.cancelled.push(call.itemId);
     return { kind: 'cancelled' };
@@ -293,11 +294,11 @@
   }
 
   dropConnections(address: string): void {
-    this.forgotten.push(address);
+    this.droppedAddresses.push(address);
   }
 
   async report(endpoint: EndpointInfo): Promise<WeightReport | undefined> {
-    return Promise.resolve(this.weights(endpoint));
+    return Promise.resolve(this.weightReport(endpoint));
   }
 
   async order(order: LoadOrder): Promise<OrderAnswer> {
@@ -333,14 +334,14 @@
   };
 }
 
-// eslint-disable-next-line @typescript-eslint/require-await -- an async iterable is what a body is
+// eslint-disable-next-line @typescript-eslint/require-await -- bodies are async iterables
 export async function* bodyOf(text: string): AsyncIterable<Buffer> {
   yield Buffer.from(text);
 }
 
-/** A body that breaks off after its beginning. */
-// eslint-disable-next-line @typescript-eslint/require-await -- an async iterable is what a body is
-export async function* brokenBody(text: string): AsyncIterable<Buffer> {
+/** A body whose stream fails after the first chunk. */
+// eslint-disable-next-line @typescript-eslint/require-await -- bodies are async iterables
+export async function* truncatedBody(text: string): AsyncIterable<Buffer> {
   yield Buffer.from(text);
   throw new Error('connection reset');
 }
--- a/tests/gatewayHosts.ts
+++ b/tests/gatewayHosts.ts
@@ -1,5 +1,5 @@
 /**
- * Hosts of the gateway in one process, on a virtual clock: calls between them can be cut.
+ * Several gateway hosts in one process on a virtual clock, with calls between them that a test can block.
  */
 import { err, ok, VirtualClock, type CancelTimer, type Result } from '@fuchsiahitch/base';
 import { isSameOwner, type Owner } from '@fuchsiahitch/batches';
@@ -19,21 +19,20 @@
 import {
   endpointRecord,
   keys,
-  loneGuard,
-  PlainRecords,
+  singleHostPoisonGuard,
+  JsonRecordDecoder,
   route,
   ScriptedClient,
   testContext,
-} from './gatewayWorld.js';
-import type { TestContext } from './gatewayWorld.js';
+} from './gatewayFixtures.js';
+import type { TestContext } from './gatewayFixtures.js';
 
 const STEP_MS = 10;
-/** How long after the end of a batch was confirmed its items may still be sent. */
+/** Items of a batch may be sent for this long after its end was confirmed. */
 const BATCH_END_MS = 3000;
 
-type Handler = (request: never) => unknown;
+type CallHandler = (request: never) => unknown;
 
-/** One host with its services. */
 export class GatewayHost implements Hosts {
   readonly context: TestContext;
   readonly storeClient: FakeStoreClient;
@@ -41,7 +40,7 @@
   readonly orphans: OrphanRecovery;
   readonly configuration: ConfigurationService;
   readonly endpoints: EndpointDirectory;
-  readonly handlers = new Map<string, Handler>();
+  readonly handlers = new Map<string, CallHandler>();
   isRunning = true;
   private readonly _world: GatewayWorld;
 
@@ -49,12 +48,12 @@
     this._world = world;
     this.context = testContext(world.clock, hostId, incarnation);
     this.storeClient = world.store.client();
-    const records = new PlainRecords();
+    const records = new JsonRecordDecoder();
     this.configuration = new ConfigurationService(this.context, this.storeClient, keys, records);
     this.endpoints = new EndpointDirectory(this.context, this.storeClient, keys, records, address =>
       world.client.dropConnections(address),
     );
-    const poison = loneGuard(this.context, this.storeClient, world.client);
+    const poison = singleHostPoisonGuard(this.context, this.storeClient, world.client);
     const ports = {
       store: new BatchStore(this.context, this.storeClient),
       endpoints: this.endpoints,
@@ -67,7 +66,7 @@
     this.batches = new BatchService(this.context, ports, this);
     const registry: CallRegistry = {
       handle: (call, handler) => {
-        this.handlers.set(call.name, handler as unknown as Handler);
+        this.handlers.set(call.name, handler as unknown as CallHandler);
       },
     };
     this.batches.serve(registry);
@@ -78,7 +77,7 @@
     this.endpoints.start();
   }
 
-  /** Ends the process at once: nothing of it goes on. */
+  /** Simulates a crash: stops all work without a hand-over. */
   kill(): void {
     this.isRunning = false;
     this.batches.stopAll();
@@ -99,7 +98,7 @@
   }
 
   onTerminated(owner: Owner, run: () => void): CancelTimer {
-    return this._world.onGone(owner, run);
+    return this._world.onLeaseEnd(owner, run);
   }
 
   isTerminated(owner: Owner): boolean {
@@ -133,18 +132,18 @@
     timeoutMs: number,
   ): Promise<Result<A, CallError>> {
     const host = this._world.hosts.get(address);
-    const isCut = this._world.cuts.has(`${this.context.hostId}-${address}`);
+    const isCut = this._world.blockedLinks.has(`${this.context.hostId}-${address}`);
     if (!host?.isRunning || isCut) {
-      const waitMs = this._world.silent.has(address) ? timeoutMs : Math.min(timeoutMs, 50);
+      const waitMs = this._world.unresponsive.has(address) ? timeoutMs : Math.min(timeoutMs, 50);
       await new Promise<void>(resolve => void this._world.clock.after(waitMs, resolve));
       return err({ kind: 'timed-out' });
     }
     const handler = host.handlers.get(call.name);
-    const answered = Promise.resolve(handler?.(request as never)).then(reply => ok(call.reply.parse(reply)));
-    const late = new Promise<Result<A, CallError>>(resolve => {
+    const response = Promise.resolve(handler?.(request as never)).then(reply => ok(call.reply.parse(reply)));
+    const timeout = new Promise<Result<A, CallError>>(resolve => {
       this._world.clock.after(timeoutMs, () => resolve(err({ kind: 'timed-out' })));
     });
-    return Promise.race([answered, late]);
+    return Promise.race([response, timeout]);
   }
 }
 
@@ -153,12 +152,12 @@
   readonly store = new FakeStore(this.clock);
   readonly client = new ScriptedClient(this.clock);
   readonly hosts = new Map<string, GatewayHost>();
-  /** The processes whose leases stand. */
+  /** The processes that hold a lease. */
   leases: Owner[] = [];
-  /** Pairs `from-to` whose calls get no answer. */
-  readonly cuts = new Set<string>();
-  /** Hosts that are gone without a word: calls to them last until their time is over. */
-  readonly silent = new Set<string>();
+  /** Pairs `from-to` of hosts whose calls time out. */
+  readonly blockedLinks = new Set<string>();
+  /** Stopped hosts that reset no connections: calls to them take their full timeout. */
+  readonly unresponsive = new Set<string>();
 
   constructor() {
     this.store.put(keys.configurationKey, JSON.stringify({ revision: 1, route: route(), models: ['m'] }));
@@ -166,7 +165,7 @@
     this.store.put(`${keys.endpointPrefix}e2`, endpointRecord({ address: '10.0.0.2:1' }));
   }
 
-  /** Endpoints that give scores, of six places each. */
+  /** Adds scoring endpoints with six slots each. */
   addScorers(...ids: readonly string[]): void {
     for (const id of ids) {
       const record = endpointRecord({ address: `10.0.1.1:${id}`, pool: 'scorers', slots: 6 });
@@ -182,25 +181,25 @@
     return host;
   }
 
-  /** The lease of a host's process has ended. */
-  expire(hostId: string): void {
+  expireLease(hostId: string): void {
     const ended = this.leases.filter(lease => lease.hostId === hostId);
     this.leases = this.leases.filter(lease => lease.hostId !== hostId);
-    for (const { incarnation } of ended) for (const run of this._waiting.get(incarnation) ?? []) run();
+    for (const { incarnation } of ended)
+      for (const run of this._leaseEndListeners.get(incarnation) ?? []) run();
   }
 
-  /** Runs once the lease has ended. */
-  onGone(owner: Owner, run: () => void): CancelTimer {
-    const waiting = this._waiting.get(owner.incarnation) ?? new Set();
-    this._waiting.set(owner.incarnation, waiting.add(run));
+  /** Runs the listener when the lease ends, or at once if it has ended. */
+  onLeaseEnd(owner: Owner, run: () => void): CancelTimer {
+    const waiting = this._leaseEndListeners.get(owner.incarnation) ?? new Set();
+    this._leaseEndListeners.set(owner.incarnation, waiting.add(run));
     if (!this.leases.some(lease => isSameOwner(lease, owner))) run();
     return () => {
       waiting.delete(run);
     };
   }
-  private readonly _waiting = new Map<string, Set<() => void>>();
+  private readonly _leaseEndListeners = new Map<string, Set<() => void>>();
 
-  /** Moves time on until the promise has settled. */
+  /** Advances the clock until the promise has settled, for at most `limitMs`. */
   async until<T>(promise: Promise<T>, limitMs = 10_000): Promise<T> {
     const state = { isSettled: false };
     const settled = promise.finally(() => {
--- a/tests/orphans.spec.ts
+++ b/tests/orphans.spec.ts
@@ -4,7 +4,7 @@
 import tap from 'tap';
 import { Deadline } from '@fuchsiahitch/base';
 import { GatewayWorld, type GatewayHost } from './gatewayHosts.js';
-import { batch, item } from './gatewayWorld.js';
+import { batch, item } from './gatewayFixtures.js';
 
 const BATCH = batch('b1', [item('x'), item('y'), item('z')]);
 
@@ -30,16 +30,16 @@
   await world.clock.advance(1500);
   c.storeClient.mode = 'away';
   for (const peer of ['a', 'b']) {
-    world.cuts.add(`c-${peer}`);
-    world.cuts.add(`${peer}-c`);
+    world.blockedLinks.add(`c-${peer}`);
+    world.blockedLinks.add(`${peer}-c`);
   }
-  world.expire('c');
+  world.expireLease('c');
   reportRemoved(a, b);
   await world.clock.advance(1500);
   t.equal(a.batches.ownedCount() + b.batches.ownedCount(), 1);
   await world.clock.advance(4000);
   c.storeClient.mode = 'well';
-  world.cuts.clear();
+  world.blockedLinks.clear();
   const page = await world.until(c.batches.read('b1', 0, 500));
   t.ok(page.kind === 'page' && page.page.results.length === 3, 'complete once the domain is reachable again');
   await world.clock.advance(1500);
@@ -52,7 +52,7 @@
   const lists = (host: GatewayHost): number =>
     host.context.log.lines.filter(line => line.text === 'orphaned batches').length;
   c.kill();
-  world.expire('c');
+  world.expireLease('c');
   reportRemoved(a, b, a, b);
   await world.clock.advance(2000);
   t.same([lists(a), lists(b)], [1, 0]);
@@ -69,7 +69,7 @@
   );
   await world.until(c.batches.end('b1'));
   c.kill();
-  world.expire('c');
+  world.expireLease('c');
   const sent = world.client.items.length;
   reportRemoved(a, b);
   await world.clock.advance(2000);
@@ -80,7 +80,7 @@
 await tap.test('should retry when the store is available again', async t => {
   const [world, c, a, b] = await startOwnedBatch();
   c.kill();
-  world.expire('c');
+  world.expireLease('c');
   for (const host of [a, b]) host.storeClient.mode = 'away';
   reportRemoved(a, b);
   await world.clock.advance(1500);
@@ -96,7 +96,7 @@
   const [world, c, a, b] = await startOwnedBatch();
   await world.clock.advance(500);
   const { leases } = world;
-  world.expire('c');
+  world.expireLease('c');
   reportRemoved(a, b);
   await world.clock.advance(1000);
   world.leases = leases;
--- a/tests/resumption.spec.ts
+++ b/tests/resumption.spec.ts
@@ -4,7 +4,7 @@
 import tap from 'tap';
 import { Deadline } from '@fuchsiahitch/base';
 import { BATCH, read, startHosts, submit } from './batchCalls.js';
-import { batch } from './gatewayWorld.js';
+import { batch } from './gatewayFixtures.js';
 
 await tap.test('should list a complete stored text without sending it to an endpoint', async t => {
   // A batch may end after a text is complete and before it is listed. If the text were resumed in a later step, the
