--- a/tests/platformWire.spec.ts
+++ b/tests/platformWire.spec.ts
@@ -49,8 +49,8 @@
     const changes = await pending;
     t.ok(changes.ok && changes.value.events.some(event => event.key === 'a/1' && event.value === undefined));
     store.data.compact();
-    const gone = await client.changes('a/', 1, 100, deadline());
-    t.ok(!gone.ok && gone.error === 'compacted');
+    const compacted = await client.changes('a/', 1, 100, deadline());
+    t.ok(!compacted.ok && compacted.error === 'compacted');
   }),
 );
 
@@ -89,8 +89,8 @@
     if (!lease.ok) return;
     await client.transact([], [{ kind: 'put', key: 'k', value: 'v', leaseId: lease.value }], deadline());
     t.equal(store.data.value('k'), 'v');
-    const kept = await client.keepLease(lease.value, deadline());
-    t.ok(kept.ok && kept.value);
+    const renewed = await client.keepLease(lease.value, deadline());
+    t.ok(renewed.ok && renewed.value);
     await client.endLease(lease.value, deadline());
     t.equal(store.data.value('k'), undefined);
     const lost = await client.keepLease(lease.value, deadline());
