--- a/packages/entry/src/dispatcher.ts
+++ b/packages/entry/src/dispatcher.ts
@@ -123,11 +123,11 @@
   }
 
   /** Registers a rollout that runs at an endpoint. Returns a function that unregisters it. */
-  addPreemptible(endpointId: string, yielder: PreemptCallback): () => void {
-    const yielders = this._preemptible.get(endpointId) ?? new Set<PreemptCallback>();
-    this._preemptible.set(endpointId, yielders);
-    yielders.add(yielder);
-    return () => yielders.delete(yielder);
+  addPreemptible(endpointId: string, preempt: PreemptCallback): () => void {
+    const callbacks = this._preemptible.get(endpointId) ?? new Set<PreemptCallback>();
+    this._preemptible.set(endpointId, callbacks);
+    callbacks.add(preempt);
+    return () => callbacks.delete(preempt);
   }
 
   private _pickEndpoint(request: PickRequest): CallableEndpoint | undefined {
@@ -140,11 +140,11 @@
   private _preemptRollout(request: PickRequest): void {
     const pool = this._endpoints.pool(request.pool);
     const endpoint = this._picker.pickToPreempt(pool, request);
-    const [yielder] = this._preemptible.get(endpoint?.id ?? '') ?? [];
-    if (!endpoint || !yielder) return;
-    this._preemptible.get(endpoint.id)?.delete(yielder);
+    const [preemptRollout] = this._preemptible.get(endpoint?.id ?? '') ?? [];
+    if (!endpoint || !preemptRollout) return;
+    this._preemptible.get(endpoint.id)?.delete(preemptRollout);
     this._context.metrics.preempted.inc();
-    yielder();
+    preemptRollout();
   }
 
   private _queue(pool: string): RequestQueue {
--- a/packages/entry/src/entrySettings.ts
+++ b/packages/entry/src/entrySettings.ts
@@ -1,5 +1,5 @@
 /**
- * Command-line settings of the entry daemon.
+ * Settings of the entry daemon.
  */
 import { addressSchema, integerSchema, nameSchema, type SettingValues } from '@fuchsiahitch/base';
 import { logLevels } from '@fuchsiahitch/telemetry';
--- a/packages/entry/src/rolloutService.ts
+++ b/packages/entry/src/rolloutService.ts
@@ -360,7 +360,7 @@
 
   /**
    * Scores a sample by its identifier. After a lost answer it looks the score up first, so that no sample is scored
-   * twice. Returns undefined if the score remains unknown.
+   * twice. Returns undefined if the score remains unknown; the sample is then generated again under a new identifier.
    */
   private async _score(assignment: Assignment, text: string): Promise<number | undefined> {
     if (!this._scorer) return 0;
--- a/packages/entry/src/stepService.ts
+++ b/packages/entry/src/stepService.ts
@@ -206,9 +206,9 @@
     const offer = this._rollouts.offers().find(one => one.key === key);
     const known = offer && this._liveAddress(offer.owner);
     if (known) return { kind: 'there', address: known };
-    const [successor = ''] = rendezvous(key, this._membership.view.liveIds());
-    if (successor !== this._context.hostId)
-      return { kind: 'there', address: this._membership.addressOf(successor) };
+    const [wanted = ''] = rendezvous(key, this._membership.view.liveIds());
+    if (wanted !== this._context.hostId)
+      return { kind: 'there', address: this._membership.addressOf(wanted) };
     const taking =
       this._takeovers.get(key) ?? this._loadOrTakeOver(key).finally(() => this._takeovers.delete(key));
     this._takeovers.set(key, taking);
