--- a/tests/fakeStore.ts
+++ b/tests/fakeStore.ts
@@ -219,8 +219,8 @@
     const endMs = this._clock.nowMs() + waitMs;
     this._count('changes');
     for (;;) {
-      const reach = await this._reachError(deadline);
-      if (reach) return err(reach);
+      const failure = await this._reachError(deadline);
+      if (failure) return err(failure);
       const changes = this._store.eventsAfter(prefix, afterRevision);
       if (changes === 'compacted') return err('compacted');
       if (changes.events.length > 0 || this._clock.nowMs() >= endMs) return ok(changes);
@@ -234,12 +234,12 @@
     deadline: Deadline,
   ): Promise<Result<TransactionResult, StoreError>> {
     this._count('transact');
-    const reach = await this._reachError(deadline);
-    if (reach) return err(reach);
-    const { delayNextWriteMs: lateMs } = this._store;
-    if (lateMs !== undefined) {
+    const failure = await this._reachError(deadline);
+    if (failure) return err(failure);
+    const { delayNextWriteMs } = this._store;
+    if (delayNextWriteMs !== undefined) {
       this._store.delayNextWriteMs = undefined;
-      this._clock.after(lateMs, () => void this._store.transact(compares, writes));
+      this._clock.after(delayNextWriteMs, () => void this._store.transact(compares, writes));
       return err('unknown');
     }
     const result = this._store.transact(compares, writes);
@@ -274,13 +274,13 @@
     execute: () => Result<T, StoreError>,
   ): Promise<Result<T, StoreError>> {
     this._count(call);
-    const reach = await this._reachError(deadline);
-    if (!reach && this.answerDelayMs > 0) {
+    const failure = await this._reachError(deadline);
+    if (!failure && this.answerDelayMs > 0) {
       const answer = execute();
       await sleep(this._clock, this.answerDelayMs);
       return answer;
     }
-    return reach ? err(reach) : execute();
+    return failure ? err(failure) : execute();
   }
 
   private _count(call: string): void {
