--- a/packages/base/src/settings.ts
+++ b/packages/base/src/settings.ts
@@ -21,7 +21,7 @@
 export type SettingsExit =
   | { readonly kind: 'help'; readonly text: string }
   | { readonly kind: 'version' }
-  | { readonly kind: 'wrong'; readonly problems: readonly string[] };
+  | { readonly kind: 'invalid'; readonly problems: readonly string[] };
 
 /** Returns the environment variable of a flag: `FUCHSIAHITCH_DATA_FOLDER` for `--data-folder`. */
 export function environmentVariableName(flag: string): string {
@@ -36,7 +36,7 @@
   environment: Readonly<Record<string, string | undefined>>,
 ): Result<SettingValues<T>, SettingsExit> {
   const flags = parseFlags(table, args);
-  if (!flags.ok) return err({ kind: 'wrong', problems: [flags.error] });
+  if (!flags.ok) return err({ kind: 'invalid', problems: [flags.error] });
   if (flags.value.help === true) return err({ kind: 'help', text: helpText(program, table) });
   if (flags.value.version === true) return err({ kind: 'version' });
   const problems: string[] = [];
@@ -47,7 +47,7 @@
     if (parsed.success) values[flag] = parsed.data;
     else problems.push(problemText(flag, raw, setting, parsed.error));
   }
-  return problems.length > 0 ? err({ kind: 'wrong', problems }) : ok(values as SettingValues<T>);
+  return problems.length > 0 ? err({ kind: 'invalid', problems }) : ok(values as SettingValues<T>);
 }
 
 type RawFlags = Readonly<Record<string, string | boolean | undefined>>;
@@ -94,7 +94,7 @@
     case 'version':
       process.stdout.write(`${program} ${version}\n`);
       return process.exit(0);
-    case 'wrong':
+    case 'invalid':
       for (const problem of stop.problems) process.stderr.write(`${program}: ${problem}\n`);
       return process.exit(2);
   }
--- a/packages/entry/src/dispatcher.ts
+++ b/packages/entry/src/dispatcher.ts
@@ -4,7 +4,7 @@
 import { every, type Deadline } from '@fuchsiahitch/base';
 import {
   EndpointPicker,
-  hasRoom,
+  hasCapacity,
   RequestQueue,
   type PickRequest,
   type QueuePriority,
@@ -65,7 +65,7 @@
     for (const endpoint of this._endpoints.pool(pool)) {
       if (endpoint.isLeaving || !endpoint.stats.isUsable()) continue;
       const left = endpoint.limit.rolloutLimit(reserve) - endpoint.stats.rolloutInFlight();
-      if (left > 0 && hasRoom(endpoint, true, reserve)) room += left;
+      if (left > 0 && hasCapacity(endpoint, true, reserve)) room += left;
     }
     return room;
   }
--- a/packages/entry/src/stepService.ts
+++ b/packages/entry/src/stepService.ts
@@ -50,13 +50,13 @@
   closedMs: number | undefined;
 }
 
-/** Where the owner of a step is. */
+/** Where a step is owned: `local` is this host, `moving` is between two owners. */
 type StepLocation =
-  | { readonly kind: 'here'; readonly step: OwnedStep }
-  | { readonly kind: 'there'; readonly address: string }
+  | { readonly kind: 'local'; readonly step: OwnedStep }
+  | { readonly kind: 'remote'; readonly address: string }
   | { readonly kind: 'none' }
   | { readonly kind: 'moving' }
-  | { readonly kind: 'store-out' };
+  | { readonly kind: 'store-unavailable' };
 
 export class StepService {
   private readonly _context: HostContext;
@@ -103,7 +103,7 @@
     server.handle(calls.sampleFailed, ({ key, sampleId, isOwnFault, endedEngine }) => {
       const ledger = this._owned.get(key)?.owner.ledger;
       if (endedEngine === undefined) ledger?.sampleFailed(sampleId, isOwnFault);
-      else ledger?.engineEnded(sampleId, endedEngine);
+      else ledger?.engineTerminated(sampleId, endedEngine);
       return {};
     });
   }
@@ -124,15 +124,15 @@
     const key = stepKey(spec.trainer, spec.step);
     const place = await this._locate(key);
     switch (place.kind) {
-      case 'here':
+      case 'local':
         return openedReply(place.step.owner, spec);
       case 'none':
         return this._create(key, spec);
-      case 'there':
+      case 'remote':
         return (await this._relay(place.address, calls.stepOpen, spec, hops)) ?? tryLater('owner-moving');
       case 'moving':
         return tryLater('owner-moving');
-      case 'store-out':
+      case 'store-unavailable':
         return tryLater('store-unavailable');
     }
   }
@@ -140,33 +140,33 @@
   async take(request: TakeRequest, hops = 0): Promise<TakeReply> {
     const place = await this._locate(request.key);
     switch (place.kind) {
-      case 'here':
+      case 'local':
         return this._takeHere(place.step, request);
       case 'none':
         return { kind: 'unknown-step' };
-      case 'there':
+      case 'remote':
         return (await this._relay(place.address, calls.stepTake, request, hops)) ?? OWNER_MOVING;
       case 'moving':
         return OWNER_MOVING;
-      case 'store-out':
+      case 'store-unavailable':
         return STORE_UNAVAILABLE;
     }
   }
 
   async abandon(key: string, hops = 0): Promise<{ readonly abandoned: boolean }> {
     const place = await this._locate(key);
-    if (place.kind === 'there') {
+    if (place.kind === 'remote') {
       return (await this._relay(place.address, calls.stepAbandon, { key }, hops)) ?? { abandoned: false };
     }
-    return { abandoned: place.kind === 'here' && (await place.step.owner.abandon()) };
+    return { abandoned: place.kind === 'local' && (await place.step.owner.abandon()) };
   }
 
   async progress(key: string, hops = 0): Promise<StepProgress> {
     const unknown = { known: false, progress: NO_PROGRESS, hedges: 0, duplicates: 0 };
     const place = await this._locate(key);
-    if (place.kind === 'there')
+    if (place.kind === 'remote')
       return (await this._relay(place.address, calls.stepProgress, { key }, hops)) ?? unknown;
-    if (place.kind !== 'here') return unknown;
+    if (place.kind !== 'local') return unknown;
     const { ledger } = place.step.owner;
     return {
       known: true,
@@ -199,16 +199,16 @@
   /** Locates the owner of a step. Takes the step over if its owner is dead and this host is its successor. */
   private async _locate(key: string): Promise<StepLocation> {
     const owned = this._owned.get(key);
-    if (owned && !owned.owner.isFenced()) return { kind: 'here', step: owned };
+    if (owned && !owned.owner.isFenced()) return { kind: 'local', step: owned };
     const trainer = key.slice(0, key.lastIndexOf('/'));
     const home = homeDomain(trainer, this._context.domains);
     if (home !== this._context.domain) return this._locateInDomain(home);
     const offer = this._rollouts.offers().find(one => one.key === key);
     const known = offer && this._liveAddress(offer.owner);
-    if (known) return { kind: 'there', address: known };
+    if (known) return { kind: 'remote', address: known };
     const [wanted = ''] = rendezvous(key, this._membership.view.liveIds());
     if (wanted !== this._context.hostId)
-      return { kind: 'there', address: this._membership.addressOf(wanted) };
+      return { kind: 'remote', address: this._membership.addressOf(wanted) };
     const taking =
       this._takeovers.get(key) ?? this._loadOrTakeOver(key).finally(() => this._takeovers.delete(key));
     this._takeovers.set(key, taking);
@@ -217,7 +217,7 @@
 
   private _locateInDomain(domain: string): StepLocation {
     const address = this._membership.randomAddressOf(domain);
-    return address === '' ? { kind: 'moving' } : { kind: 'there', address };
+    return address === '' ? { kind: 'moving' } : { kind: 'remote', address };
   }
 
   /** The address of a holder, or empty if its process is not known to be running. */
@@ -230,18 +230,18 @@
 
   private async _loadOrTakeOver(key: string): Promise<StepLocation> {
     const loaded = await this._store.load(key);
-    if (!loaded.ok) return { kind: 'store-out' };
+    if (!loaded.ok) return { kind: 'store-unavailable' };
     if (!loaded.value) return { kind: 'none' };
     const { head } = loaded.value;
-    if (head.state !== 'open') return { kind: 'here', step: this._add(key, loaded.value) };
+    if (head.state !== 'open') return { kind: 'local', step: this._add(key, loaded.value) };
     const address = this._liveAddress(head.owner);
-    if (address !== '') return { kind: 'there', address };
+    if (address !== '') return { kind: 'remote', address };
     const takenOver = await takeOver(this._store, key, loaded.value, this._selfHolderId());
-    if (!takenOver.ok) return { kind: takenOver.error === 'fenced' ? 'moving' : 'store-out' };
+    if (!takenOver.ok) return { kind: takenOver.error === 'fenced' ? 'moving' : 'store-unavailable' };
     this._context.log.info('step taken over', { step: key, epoch: takenOver.value.head.epoch });
     const step = this._add(key, takenOver.value);
     await this._adoptFromWorkers(step.owner);
-    return { kind: 'here', step };
+    return { kind: 'local', step };
   }
 
   private async _create(key: string, spec: StepSpec): Promise<OpenReply> {
--- a/packages/gateway/src/forwarder.ts
+++ b/packages/gateway/src/forwarder.ts
@@ -158,7 +158,7 @@
         return this._recordOutcome(request, outcome);
       }
       case 'held':
-        return { kind: 'not-run', reason: 'endpoints ended under it', retryAfterMs: verdict.leftMs };
+        return { kind: 'not-run', reason: 'endpoints ended under it', retryAfterMs: verdict.remainingMs };
       case 'condemned':
         return { kind: 'rejected', reason: 'endpoints end under it' };
     }
@@ -169,7 +169,7 @@
     this._context.log.info('poison request withheld', {
       requestId: request.id,
       verdict: verdict.kind,
-      leftMs: verdict.kind === 'held' ? Math.round(verdict.leftMs) : undefined,
+      leftMs: verdict.kind === 'held' ? Math.round(verdict.remainingMs) : undefined,
       ...this._poison.detailsOf(request),
     });
   }
--- a/packages/gateway/src/poisonGuard.ts
+++ b/packages/gateway/src/poisonGuard.ts
@@ -105,7 +105,7 @@
   /** True if at least one endpoint terminated while running the request. */
   isSuspect(request: RequestIdentity): boolean {
     const fingerprint = this._fingerprintIfKnown(request);
-    return fingerprint !== undefined && this._cases.ends(fingerprint) > 0;
+    return fingerprint !== undefined && this._cases.terminationCount(fingerprint) > 0;
   }
 
   /** Details for log messages. */
@@ -113,7 +113,7 @@
     const fingerprint = this._fingerprint(request);
     const updatedMs = this._announced.get(fingerprint)?.updatedMs;
     const ageMs = updatedMs === undefined ? undefined : Math.round(this._context.clock.nowMs() - updatedMs);
-    return { fingerprint, ends: this._cases.ends(fingerprint), lastUpdateAgeMs: ageMs };
+    return { fingerprint, ends: this._cases.terminationCount(fingerprint), lastUpdateAgeMs: ageMs };
   }
 
   /** The request's connection broke. Resolves once it is known whether the endpoint has terminated. */
@@ -143,13 +143,14 @@
   /** The request ended on this host without an answer. Announces its marks, as the caller may retry at another host. */
   recordUnanswered(request: RequestIdentity): void {
     const fingerprint = this._fingerprintIfKnown(request);
-    if (fingerprint !== undefined && this._cases.ends(fingerprint) > 0) this._announceNew(fingerprint);
+    if (fingerprint !== undefined && this._cases.terminationCount(fingerprint) > 0)
+      this._announceNew(fingerprint);
   }
 
   /** Releases a trial whose request did not run. */
   abandonTrial(request: RequestIdentity, number: number): void {
     const fingerprint = this._fingerprint(request);
-    this._cases.trialDropped(fingerprint, number);
+    this._cases.removeTrial(fingerprint, number);
     this._announced.get(fingerprint)?.names.delete(markKey({ kind: 'trial', number, endsBefore: 0 }));
     void this._records.remove(fingerprint, [{ kind: 'trial', number, endsBefore: 0 }]);
   }
@@ -159,10 +160,10 @@
     trial: Extract<PoisonVerdict, { kind: 'trial' }>,
   ): Promise<PoisonVerdict> {
     const { number } = trial;
-    const endsBefore = this._cases.ends(fingerprint);
+    const endsBefore = this._cases.terminationCount(fingerprint);
     const isClaimed = await this._records.claimTrial(fingerprint, number, endsBefore);
     this._log('poison trial due', fingerprint, { number, endsBefore, isClaimed });
-    if (!isClaimed) return { kind: 'held', leftMs: TRIAL_RETRY_MS };
+    if (!isClaimed) return { kind: 'held', remainingMs: TRIAL_RETRY_MS };
     this._noteAnnounced(fingerprint, [{ kind: 'trial', number, endsBefore }]);
     this._cases.trialStarted(fingerprint, number, endsBefore);
     return trial;
@@ -244,10 +245,10 @@
     const marked = parseMark(key);
     if (!marked) return;
     const { fingerprint, mark } = marked;
-    if (mark.kind === 'trial') this._cases.trialDropped(fingerprint, mark.number);
-    else this._cases.removeEnd(fingerprint, mark.startId);
+    if (mark.kind === 'trial') this._cases.removeTrial(fingerprint, mark.number);
+    else this._cases.removeTermination(fingerprint, mark.startId);
     this._announced.get(fingerprint)?.names.delete(markKey(mark));
-    if (this._cases.ends(fingerprint) === 0) this._announced.delete(fingerprint);
+    if (this._cases.terminationCount(fingerprint) === 0) this._announced.delete(fingerprint);
   }
 
   /** Handles a direct announcement of another host; no marks mean that the case is cleared. */
@@ -259,12 +260,12 @@
 
   private _applyMarks(fingerprint: string, marks: readonly PoisonMark[]): void {
     this._noteAnnounced(fingerprint, marks);
-    const before = this._cases.ends(fingerprint);
+    const before = this._cases.terminationCount(fingerprint);
     for (const mark of marks) {
       if (mark.kind === 'trial') this._cases.trialStarted(fingerprint, mark.number, mark.endsBefore);
       else this._cases.ended(fingerprint, mark.startId);
     }
-    const ends = this._cases.ends(fingerprint);
+    const ends = this._cases.terminationCount(fingerprint);
     if (ends > before) this._log('poison marks received', fingerprint, { ends });
   }
 
--- a/packages/requests/src/endpointPicker.ts
+++ b/packages/requests/src/endpointPicker.ts
@@ -47,7 +47,7 @@
 }
 
 /** Returns true if this host's limit for the endpoint allows another request. */
-export function hasRoom(endpoint: EndpointView, isRollout: boolean, reserve: number): boolean {
+export function hasCapacity(endpoint: EndpointView, isRollout: boolean, reserve: number): boolean {
   if (endpoint.stats.inFlight() >= endpoint.limit.value()) return false;
   return !isRollout || endpoint.stats.rolloutInFlight() < endpoint.limit.rolloutLimit(reserve);
 }
@@ -63,7 +63,7 @@
   pick(endpoints: readonly EndpointView[], request: PickRequest): EndpointView | undefined {
     const usable = endpoints.filter(endpoint => isCandidate(endpoint, request));
     for (const group of byDomain(usable, request)) {
-      const free = group.filter(endpoint => hasRoom(endpoint, request.isRollout, request.reserve));
+      const free = group.filter(endpoint => hasCapacity(endpoint, request.isRollout, request.reserve));
       if (free.length > 0)
         return this._pickByPrefix(free, group, request.prefix) ?? this._pickLessLoaded(free);
     }
--- a/packages/requests/src/keyClient.ts
+++ b/packages/requests/src/keyClient.ts
@@ -9,7 +9,7 @@
 export type ClaimResult = ClaimReply | { readonly kind: 'unreachable' };
 
 /** Transport to the owner of a key in a failure domain. */
-export interface KeyRoutes {
+export interface KeyTransport {
   claim(domain: string, claim: Claim, deadline: Deadline): Promise<ClaimReply | undefined>;
   finish(domain: string, finish: Finish): Promise<boolean>;
   /** Waits until this host may have received a newer slot map. */
@@ -26,12 +26,12 @@
 export class KeyClient {
   private readonly _domains: readonly string[];
   private readonly _domainsDigest: string;
-  private readonly _routes: KeyRoutes;
+  private readonly _transport: KeyTransport;
 
-  constructor(domains: readonly string[], domainsDigest: string, routes: KeyRoutes) {
+  constructor(domains: readonly string[], domainsDigest: string, transport: KeyTransport) {
     this._domains = domains;
     this._domainsDigest = domainsDigest;
-    this._routes = routes;
+    this._transport = transport;
   }
 
   /** A claim without a reply is not repeated, since the owner may have granted it; the caller receives `unknown`. */
@@ -40,10 +40,10 @@
     for (let i = 0; i < MAX_CLAIM_TRIES; i++) {
       const waitMs = Math.max(0, Math.min(MAX_WAIT_MS, deadline.remainingMs() - RETURN_MARGIN_MS));
       const claim = { key, fingerprint, attemptId, domains: this._domainsDigest, waitMs, relayed: false };
-      const reply = await this._routes.claim(home, claim, deadline);
+      const reply = await this._transport.claim(home, claim, deadline);
       if (!reply) return { kind: 'unreachable' };
       if (reply.kind !== 'wrong-owner') return reply;
-      await this._routes.refresh(deadline);
+      await this._transport.refresh(deadline);
     }
     return { kind: 'unreachable' };
   }
@@ -52,8 +52,8 @@
   async finish(finish: Omit<Finish, 'relayed'>, deadline: Deadline): Promise<void> {
     const home = homeDomain(finish.key, this._domains);
     for (let i = 0; i < MAX_FINISH_TRIES && !deadline.isOver(); i++) {
-      if (await this._routes.finish(home, { ...finish, relayed: false })) return;
-      await this._routes.refresh(deadline);
+      if (await this._transport.finish(home, { ...finish, relayed: false })) return;
+      await this._transport.refresh(deadline);
     }
   }
 }
--- a/packages/requests/src/keyHolder.ts
+++ b/packages/requests/src/keyHolder.ts
@@ -17,7 +17,7 @@
   KeyRecord,
   SyncSlot,
 } from './keyMessages.js';
-import { KEY_RETENTION_MS, KeySlot, MAX_STORED_ANSWER_BYTES, type HeldRecord } from './keySlot.js';
+import { KEY_RETENTION_MS, KeySlot, MAX_STORED_ANSWER_BYTES, type SlotRecord } from './keySlot.js';
 import { slotOf, SLOTS_PER_DOMAIN, type Generation, type SlotEntry, type SlotMap } from './slotMap.js';
 
 /** Transport between holders. Without a reply (undefined) the peer may still have processed the message. */
@@ -44,7 +44,7 @@
 export class KeyHolder {
   private readonly _options: KeyHolderOptions;
   private readonly _slots: readonly KeySlot[];
-  private readonly _waiters = new Map<HeldRecord, Waiter[]>();
+  private readonly _waiters = new Map<SlotRecord, Waiter[]>();
   private readonly _settled = new Set<number>();
   private _map: SlotMap | undefined;
   /** The epoch for which each slot is being settled. */
@@ -170,7 +170,7 @@
     return this._settled.has(slot) && this._slot(slot).promisedEpoch === entry.epoch;
   }
 
-  private async _claimExisting(existing: HeldRecord, claim: Claim): Promise<ClaimReply> {
+  private async _claimExisting(existing: SlotRecord, claim: Claim): Promise<ClaimReply> {
     if (existing.fingerprint !== claim.fingerprint) return { kind: 'conflict' };
     if (existing.state !== 'finished' && claim.waitMs > 0) await this._wait(existing, claim.waitMs);
     if (existing.state !== 'finished') return { kind: 'unknown', reason: 'first-still-running' };
@@ -197,7 +197,7 @@
     return { kind: 'granted' };
   }
 
-  private _applyFinish(slot: number, record: HeldRecord, finish: Finish): KeyRecord {
+  private _applyFinish(slot: number, record: SlotRecord, finish: Finish): KeyRecord {
     const state = this._slot(slot);
     if (finish.end === 'released') {
       state.remove(record);
@@ -208,7 +208,7 @@
     return state.toRecord(record);
   }
 
-  private async _wait(record: HeldRecord, waitMs: number): Promise<void> {
+  private async _wait(record: SlotRecord, waitMs: number): Promise<void> {
     await new Promise<void>(resolve => {
       const cancel = this._options.clock.after(waitMs, resolve);
       const waiters = this._waiters.get(record) ?? [];
@@ -220,7 +220,7 @@
     });
   }
 
-  private _wakeWaiters(record: HeldRecord): void {
+  private _wakeWaiters(record: SlotRecord): void {
     for (const waiter of this._waiters.get(record) ?? []) waiter();
     this._waiters.delete(record);
   }
--- a/packages/requests/src/keySlot.ts
+++ b/packages/requests/src/keySlot.ts
@@ -9,7 +9,7 @@
 /** Larger answers are not stored; their resends receive `unknown`. */
 export const MAX_STORED_ANSWER_BYTES = 16 * 1024;
 
-export interface HeldRecord {
+export interface SlotRecord {
   readonly key: string;
   readonly fingerprint: string;
   readonly attemptId: string;
@@ -21,7 +21,7 @@
 
 export class KeySlot {
   private readonly _clock: Clock;
-  private readonly _records = new Map<string, HeldRecord>();
+  private readonly _records = new Map<string, SlotRecord>();
   private _lastChange = 0;
   private _recordsLostUntilMs = 0;
   /** This host accepts no changes of earlier epochs. */
@@ -33,7 +33,7 @@
     this._clock = clock;
   }
 
-  find(key: string): HeldRecord | undefined {
+  find(key: string): SlotRecord | undefined {
     const record = this._records.get(key);
     if (!record || this._clock.nowMs() - record.changedMs <= KEY_RETENTION_MS) return record;
     this._records.delete(key);
@@ -41,8 +41,8 @@
   }
 
   /** Adds a record that is not confirmed by the copy yet. */
-  prepare(key: string, fingerprint: string, attemptId: string): HeldRecord {
-    const record: HeldRecord = {
+  prepare(key: string, fingerprint: string, attemptId: string): SlotRecord {
+    const record: SlotRecord = {
       key,
       fingerprint,
       attemptId,
@@ -56,14 +56,14 @@
     return record;
   }
 
-  finish(record: HeldRecord, answer: StoredAnswer | undefined): void {
+  finish(record: SlotRecord, answer: StoredAnswer | undefined): void {
     record.state = 'finished';
     record.answer = answer;
     this._touch(record);
   }
 
   /** Removes a record unless its key has a newer one. */
-  remove(record: HeldRecord): void {
+  remove(record: SlotRecord): void {
     if (this._records.get(record.key) === record) this._records.delete(record.key);
   }
 
@@ -117,13 +117,13 @@
     return this._records.size;
   }
 
-  toRecord(record: HeldRecord): KeyRecord {
+  toRecord(record: SlotRecord): KeyRecord {
     const { key, fingerprint, attemptId, state, answer, change } = record;
     const ageMs = this._clock.nowMs() - record.changedMs;
     return { key, fingerprint, attemptId, state, change, ageMs, ...(answer ? { answer } : {}) };
   }
 
-  private _touch(record: HeldRecord): void {
+  private _touch(record: SlotRecord): void {
     record.change = this.nextChange();
     record.changedMs = this._clock.nowMs();
   }
--- a/packages/requests/src/poisonCases.ts
+++ b/packages/requests/src/poisonCases.ts
@@ -14,7 +14,7 @@
   /** One copy may be sent, by the host that claims this trial for the whole fleet. */
   | { readonly kind: 'trial'; readonly number: number }
   /** Waits for the next trial or its result. */
-  | { readonly kind: 'held'; readonly leftMs: number }
+  | { readonly kind: 'held'; readonly remainingMs: number }
   /** An endpoint terminated during a trial, or no trial is left. */
   | { readonly kind: 'condemned' };
 
@@ -29,7 +29,7 @@
   return mark.kind === 'end' ? `end-${mark.startId}` : `trial-${mark.number}`;
 }
 
-const MIN_ENDS = 2;
+const MIN_TERMINATIONS = 2;
 /** The first delay lets endpoints restart. The number of trials is limited because each may cost an endpoint. */
 const TRIAL_DELAYS_MS = [2000, 60_000, 600_000] as const;
 /** Terminations further apart than this are not combined. */
@@ -39,7 +39,7 @@
 
 interface PoisonCase {
   /** `startId` of the endpoints that terminated while running the request. */
-  readonly ends: Set<string>;
+  readonly terminatedStartIds: Set<string>;
   /** Started trials by number, each with the count of terminations before it. */
   readonly trials: Map<number, number>;
   lastMarkMs: number;
@@ -67,9 +67,9 @@
   ended(fingerprint: string, startId: string): number {
     this._removeExpired(fingerprint);
     const poisonCase = this._getOrCreateCase(fingerprint);
-    if (!poisonCase.ends.has(startId)) poisonCase.lastMarkMs = this._clock.nowMs();
-    poisonCase.ends.add(startId);
-    return poisonCase.ends.size;
+    if (!poisonCase.terminatedStartIds.has(startId)) poisonCase.lastMarkMs = this._clock.nowMs();
+    poisonCase.terminatedStartIds.add(startId);
+    return poisonCase.terminatedStartIds.size;
   }
 
   /** `endsBefore`: the count at the host that started the trial. */
@@ -81,15 +81,15 @@
   }
 
   /** Removes a trial whose request did not run. */
-  trialDropped(fingerprint: string, number: number): void {
+  removeTrial(fingerprint: string, number: number): void {
     this._cases.get(fingerprint)?.trials.delete(number);
   }
 
   /** Removes a termination whose record expired or whose request was answered elsewhere. */
-  removeEnd(fingerprint: string, startId: string): void {
+  removeTermination(fingerprint: string, startId: string): void {
     const poisonCase = this._cases.get(fingerprint);
-    poisonCase?.ends.delete(startId);
-    if (poisonCase?.ends.size === 0) this.cleared(fingerprint);
+    poisonCase?.terminatedStartIds.delete(startId);
+    if (poisonCase?.terminatedStartIds.size === 0) this.cleared(fingerprint);
   }
 
   /** Removes the case of a request that was answered, which proves it harmless. */
@@ -104,7 +104,7 @@
   marks(fingerprint: string): readonly PoisonMark[] {
     const poisonCase = this._cases.get(fingerprint);
     return [
-      ...[...(poisonCase?.ends ?? [])].map((startId): PoisonMark => ({ kind: 'end', startId })),
+      ...[...(poisonCase?.terminatedStartIds ?? [])].map((startId): PoisonMark => ({ kind: 'end', startId })),
       ...[...(poisonCase?.trials ?? [])].map(([number, endsBefore]): PoisonMark => ({
         kind: 'trial',
         number,
@@ -114,20 +114,22 @@
   }
 
   /** The number of endpoints that terminated while running the request. */
-  ends(fingerprint: string): number {
-    return this._cases.get(fingerprint)?.ends.size ?? 0;
+  terminationCount(fingerprint: string): number {
+    return this._cases.get(fingerprint)?.terminatedStartIds.size ?? 0;
   }
 
   verdict(fingerprint: string): PoisonVerdict {
     const poisonCase = this._cases.get(fingerprint);
-    if (!poisonCase || poisonCase.ends.size < MIN_ENDS) return { kind: 'free' };
+    if (!poisonCase || poisonCase.terminatedStartIds.size < MIN_TERMINATIONS) return { kind: 'free' };
     const sinceMarkMs = this._clock.nowMs() - poisonCase.lastMarkMs;
     const delayMs = TRIAL_DELAYS_MS[poisonCase.trials.size] ?? Infinity;
     if (sinceMarkMs >= delayMs) return { kind: 'trial', number: poisonCase.trials.size + 1 };
     // Only a termination during a trial is proof; a trial may also be interrupted.
-    const isProven = [...poisonCase.trials.values()].some(endsBefore => poisonCase.ends.size > endsBefore);
+    const isProven = [...poisonCase.trials.values()].some(
+      endsBefore => poisonCase.terminatedStartIds.size > endsBefore,
+    );
     const isWaiting = !isProven && delayMs < Infinity;
-    return isWaiting ? { kind: 'held', leftMs: delayMs - sinceMarkMs } : { kind: 'condemned' };
+    return isWaiting ? { kind: 'held', remainingMs: delayMs - sinceMarkMs } : { kind: 'condemned' };
   }
 
   private _removeExpired(fingerprint: string): void {
@@ -147,7 +149,7 @@
     const [oldest] = this._cases.keys();
     if (this._cases.size >= MAX_CASES && oldest !== undefined) this.cleared(oldest);
     const created: PoisonCase = {
-      ends: new Set(),
+      terminatedStartIds: new Set(),
       trials: new Map(),
       lastMarkMs: this._clock.nowMs(),
     };
--- a/packages/steps/src/stepLedger.ts
+++ b/packages/steps/src/stepLedger.ts
@@ -201,7 +201,7 @@
   }
 
   /** Records that the engine terminated as it began to generate, possibly because of the prompt. */
-  engineEnded(sampleId: string, engine: string): void {
+  engineTerminated(sampleId: string, engine: string): void {
     const group = this._attempts.get(sampleId)?.slot.group;
     if (group === undefined) return;
     const terminations = this._engineTerminations.get(group) ?? {
--- a/tests/batches.spec.ts
+++ b/tests/batches.spec.ts
@@ -37,11 +37,11 @@
 
 function placementEndpoint(
   id: string,
-  freePlaces: number,
+  freeSlots: number,
   paceMs?: number,
   domain = 'tekapo',
 ): PlacementEndpoint {
-  return { id, domain, freePlaces, paceMs };
+  return { id, domain, freeSlots, paceMs };
 }
 
 const REQUEST = { groupEndpointId: undefined, isLong: false, ownDomain: 'tekapo', avoid: new Set<string>() };
--- a/tests/poisonCases.spec.ts
+++ b/tests/poisonCases.spec.ts
@@ -27,13 +27,13 @@
   t.same(cases.verdict(FP), { kind: 'free' }, 'the same start is counted once');
   cases.ended(FP, 'e2');
   await clock.advance(500);
-  t.same(cases.verdict(FP), { kind: 'held', leftMs: 1500 });
+  t.same(cases.verdict(FP), { kind: 'held', remainingMs: 1500 });
   await clock.advance(1500);
   t.same(cases.verdict(FP), { kind: 'trial', number: 1 });
   cases.trialStarted(FP, 1, 2);
   t.equal(cases.verdict(FP).kind, 'held', 'the result of the trial is pending');
   await clock.advance(2500);
-  t.same(cases.verdict(FP), { kind: 'held', leftMs: 57_500 }, 'a missing result is no proof');
+  t.same(cases.verdict(FP), { kind: 'held', remainingMs: 57_500 }, 'a missing result is no proof');
   cases.ended(FP, 'e3');
   t.same(cases.verdict(FP), { kind: 'condemned' });
 });
@@ -74,10 +74,10 @@
   const { clock, cases } = casesAfterEnds('e1', 'e2');
   await clock.advance(2000);
   cases.trialStarted(FP, 1, 2);
-  cases.trialDropped(FP, 1);
+  cases.removeTrial(FP, 1);
   t.same(
     cases.verdict(FP),
-    { kind: 'held', leftMs: 2000 },
+    { kind: 'held', remainingMs: 2000 },
     'only after the delay, since there may be no endpoint',
   );
   await clock.advance(2000);
--- a/tests/steps.spec.ts
+++ b/tests/steps.spec.ts
@@ -103,12 +103,12 @@
 
 await tap.test('should not fail a prompt for one terminated engine, nor one that yields samples', t => {
   const { ledger } = ledgerOf(specOf(2, 8));
-  for (const one of ledger.assign('w', 8).assignments) ledger.engineEnded(one.sampleId, 'engine-1');
+  for (const one of ledger.assign('w', 8).assignments) ledger.engineTerminated(one.sampleId, 'engine-1');
   t.same(ledger.failedGroups(), [], 'eight slots failed with one engine');
   for (const engine of ['engine-2', 'engine-3', 'engine-4']) {
     const [made, broken] = ledger.assign('w', 2).assignments;
     if (!made || !broken) return t.end();
-    ledger.engineEnded(broken.sampleId, engine);
+    ledger.engineTerminated(broken.sampleId, engine);
     ledger.sampleDone(sampleOf(made));
   }
   t.same(ledger.failedGroups(), []);
