--- a/packages/base/src/afterPendingIo.ts
+++ b/packages/base/src/afterPendingIo.ts
@@ -8,12 +8,12 @@
 
 /** A timer that runs later than this indicates event loop lag. */
 const LATE_THRESHOLD_MS = 50;
-/** Additional wait after event loop lag, for answers to requests that were written late. */
+/** Additional wait after event loop lag, for replies to requests that were sent late because of it. */
 const GRACE_MS = 100;
 
 /**
- * Calls `decide` after `delayMs`, once pending I/O was read. If the event loop lags, waits another `GRACE_MS` and
- * reads again.
+ * Calls `decide` after `delayMs`, once the event loop has read pending I/O. If the event loop lags, waits for another
+ * `GRACE_MS` and another read.
  */
 export function afterPendingIo(clock: Clock, delayMs: number, decide: () => void): CancelTimer {
   const dueMs = clock.nowMs() + delayMs;
@@ -34,7 +34,7 @@
   await new Promise<void>(resolve => afterNextPoll(resolve));
 }
 
-function afterNextPoll(run: () => void): CancelTimer {
-  const reading = setImmediate(run);
-  return () => clearImmediate(reading);
+function afterNextPoll(callback: () => void): CancelTimer {
+  const immediate = setImmediate(callback);
+  return () => clearImmediate(immediate);
 }
--- a/packages/base/src/clock.ts
+++ b/packages/base/src/clock.ts
@@ -1,6 +1,4 @@
-/**
- * Time as an interface, so that a virtual clock can drive tests and simulations.
- */
+/** Time as an interface, so that a virtual clock can drive tests and simulations. */
 
 /** Cancels a timer. Idempotent. */
 export type CancelTimer = () => void;
@@ -38,7 +36,7 @@
   isCancelled: boolean;
 }
 
-/** A clock that is advanced explicitly. Due timers run in order of time, then of creation. */
+/** A clock that is advanced explicitly. Timers run in the order of their due times, then of their creation. */
 export class VirtualClock implements Clock {
   private _nowMs = 0;
   private _nextOrder = 0;
@@ -74,13 +72,13 @@
   }
 
   /**
-   * Simulates an event loop that is blocked for `durationMs`. Timers that became due run late, and before `read`,
+   * Simulates an event loop that is blocked for `durationMs`. Timers that became due run late, and before `readIo`,
    * which handles the I/O that arrived meanwhile.
    */
-  async blockEventLoop(durationMs: number, read: () => void): Promise<void> {
+  async blockEventLoop(durationMs: number, readIo: () => void): Promise<void> {
     await settle();
     this._nowMs += durationMs;
-    setImmediate(read);
+    setImmediate(readIo);
     for (let next = this._pending.popDue(this._nowMs); next; next = this._pending.popDue(this._nowMs))
       if (!next.isCancelled) next.run();
     await settle();
@@ -154,27 +152,27 @@
       resolve();
       return;
     }
-    const end = (): void => {
-      // The signal may live as long as the process, so a remaining listener would leak.
-      signal?.removeEventListener('abort', end);
+    const finish = (): void => {
+      // The signal may be as long-lived as the process, so a remaining listener would leak.
+      signal?.removeEventListener('abort', finish);
       cancel();
       resolve();
     };
-    const cancel = clock.after(delayMs, end);
-    signal?.addEventListener('abort', end);
+    const cancel = clock.after(delayMs, finish);
+    signal?.addEventListener('abort', finish);
   });
 }
 
-/** Runs `step` until the signal is aborted, with a pause of `periodMs` between runs. Runs never overlap. */
+/** Runs `task` until the signal is aborted, with a pause of `periodMs` between runs. Runs never overlap. */
 export function every(
   clock: Clock,
   periodMs: number,
   signal: AbortSignal,
-  step: () => Promise<void> | void,
+  task: () => Promise<void> | void,
 ): void {
   const loop = async (): Promise<void> => {
     while (!signal.aborted) {
-      await step();
+      await task();
       await sleep(clock, periodMs, signal);
     }
   };
--- a/packages/base/src/random.ts
+++ b/packages/base/src/random.ts
@@ -1,6 +1,4 @@
-/**
- * Randomness as an interface, so that a seed makes decisions reproducible.
- */
+/** Randomness as an interface, so that a seed makes decisions reproducible. */
 import { randomBytes } from 'node:crypto';
 import { uniformInt } from 'pure-rand/distribution/uniformInt';
 import { xoroshiro128plus } from 'pure-rand/generator/xoroshiro128plus';
@@ -8,6 +6,7 @@
 export interface Random {
   /** Returns an integer from 0 (inclusive) to `limit` (exclusive). */
   below(limit: number): number;
+  /** Returns a random identifier of 24 hexadecimal digits. */
   id(): string;
 }
 
--- a/packages/base/src/result.ts
+++ b/packages/base/src/result.ts
@@ -1,6 +1,4 @@
-/**
- * Results as values: expected failures are part of the type, and only violated invariants throw.
- */
+/** Results as values: expected failures are part of the type, and only violated invariants throw. */
 
 export interface Ok<T> {
   readonly ok: true;
--- a/packages/base/src/settings.ts
+++ b/packages/base/src/settings.ts
@@ -85,17 +85,17 @@
   return [`usage: ${program} [flags]`, ...lines, '  --help', '  --version'].join('\n');
 }
 
-/** Prints help, version or problems, and exits with 2 after problems, otherwise with 0. */
-export function exitWith(program: string, version: string, stop: SettingsExit): never {
-  switch (stop.kind) {
+/** Prints the help, version or problems, and exits: with status 2 after problems, otherwise 0. */
+export function exitWith(program: string, version: string, exitReason: SettingsExit): never {
+  switch (exitReason.kind) {
     case 'help':
-      process.stdout.write(`${stop.text}\n`);
+      process.stdout.write(`${exitReason.text}\n`);
       return process.exit(0);
     case 'version':
       process.stdout.write(`${program} ${version}\n`);
       return process.exit(0);
     case 'invalid':
-      for (const problem of stop.problems) process.stderr.write(`${program}: ${problem}\n`);
+      for (const problem of exitReason.problems) process.stderr.write(`${program}: ${problem}\n`);
       return process.exit(2);
   }
 }
