--- a/packages/entry/src/keyService.ts
+++ b/packages/entry/src/keyService.ts
@@ -21,7 +21,7 @@
   type FenceSlot,
   type Finish,
   type HolderPeers,
-  type KeyTransport,
+  type KeyRoutes,
   type SlotMap,
   type SyncSlot,
 } from '@fuchsiahitch/requests';
@@ -39,7 +39,7 @@
 const FINISH_TIMEOUT_MS = 2000;
 const HANDOVER_POLL_MS = 100;
 
-export class KeyService implements HolderPeers, KeyTransport {
+export class KeyService implements HolderPeers, KeyRoutes {
   readonly client: KeyClient;
   readonly holder: KeyHolder;
   private readonly _context: HostContext;
@@ -130,7 +130,7 @@
     return currentIncarnation > incarnation;
   }
 
-  // KeyTransport
+  // KeyRoutes
 
   async claim(domain: string, claim: Claim, deadline: Deadline): Promise<ClaimReply | undefined> {
     if (domain === this._context.domain) return this._claimInDomain(claim, deadline.remainingMs());
--- a/packages/requests/src/concurrencyLimit.ts
+++ b/packages/requests/src/concurrencyLimit.ts
@@ -27,7 +27,7 @@
     return Math.floor(this.value() * (1 - reserve));
   }
 
-  /** A limit that is not reached is not raised. */
+  /** Records the requests in flight. A limit that was not reached since the last report is not raised. */
   recordUsage(inFlight: number): void {
     this._peakUsageSinceReport = Math.max(this._peakUsageSinceReport, inFlight);
   }
--- a/packages/requests/src/endpointPicker.ts
+++ b/packages/requests/src/endpointPicker.ts
@@ -1,8 +1,8 @@
 /**
  * Selects the endpoint for a request.
  *
- * Criteria in order: rules (pool, domains), the host's own failure domain, the endpoint that holds the prompt's
- * prefix unless it is overloaded, then the less loaded of two drawn at random. Each host uses a subset of a
+ * Criteria in order: rules (pool, domains), the host's own failure domain, the endpoint that caches the prompt's
+ * prefix unless it is overloaded, then the less loaded of two chosen at random. Each host uses a subset of a
  * large pool, so that no host watches all endpoints.
  */
 import { hash32, rendezvous, type Random } from '@fuchsiahitch/base';
@@ -59,18 +59,18 @@
     this._random = random;
   }
 
-  /** Returns undefined if no endpoint has room. */
+  /** Returns undefined if no endpoint has capacity. */
   pick(endpoints: readonly EndpointView[], request: PickRequest): EndpointView | undefined {
     const usable = endpoints.filter(endpoint => isCandidate(endpoint, request));
     for (const group of byDomain(usable, request)) {
-      const free = group.filter(endpoint => hasCapacity(endpoint, request.isRollout, request.reserve));
-      if (free.length > 0)
-        return this._pickByPrefix(free, group, request.prefix) ?? this._pickLessLoaded(free);
+      const available = group.filter(endpoint => hasCapacity(endpoint, request.isRollout, request.reserve));
+      if (available.length > 0)
+        return this._pickByPrefix(available, group, request.prefix) ?? this._pickLessLoaded(available);
     }
     return undefined;
   }
 
-  /** Returns the endpoint with the most rollouts, one of which yields to a customer. */
+  /** Returns the endpoint with the most rollouts in flight, one of which is to be preempted for a customer. */
   pickToPreempt(endpoints: readonly EndpointView[], request: PickRequest): EndpointView | undefined {
     const usable = endpoints.filter(e => isCandidate(e, request) && e.stats.rolloutInFlight() > 0);
     const [group = []] = byDomain(usable, request);
@@ -81,20 +81,20 @@
   }
 
   private _pickByPrefix(
-    free: readonly EndpointView[],
+    available: readonly EndpointView[],
     group: readonly EndpointView[],
     prefix: string,
   ): EndpointView | undefined {
     if (prefix === '') return undefined;
     const total = group.reduce((sum, endpoint) => sum + endpoint.stats.estimatedLoad(), 0);
-    const bound = Math.ceil(AFFINITY_LOAD_FACTOR * ((total + 1) / group.length));
-    const preferred = highestRanked(free, prefix);
-    return preferred && preferred.stats.estimatedLoad() < bound ? preferred : undefined;
+    const maxLoad = Math.ceil(AFFINITY_LOAD_FACTOR * ((total + 1) / group.length));
+    const preferred = highestRanked(available, prefix);
+    return preferred && preferred.stats.estimatedLoad() < maxLoad ? preferred : undefined;
   }
 
-  private _pickLessLoaded(free: readonly EndpointView[]): EndpointView | undefined {
-    const first = free[this._random.below(free.length)];
-    const second = free[this._random.below(free.length)];
+  private _pickLessLoaded(available: readonly EndpointView[]): EndpointView | undefined {
+    const first = available[this._random.below(available.length)];
+    const second = available[this._random.below(available.length)];
     if (!first || !second) return first;
     return relativeLoad(second) < relativeLoad(first) ? second : first;
   }
@@ -106,7 +106,7 @@
   return endpoint.stats.isUsable();
 }
 
-/** Groups endpoints by domain: the preferred or else the own domain first, all others together last. */
+/** Groups endpoints by domain: the preferred domains in order, or else the own domain, then all others as one group. */
 function byDomain(
   endpoints: readonly EndpointView[],
   request: PickRequest,
@@ -117,7 +117,7 @@
   return groups.filter(group => group.length > 0);
 }
 
-/** Rendezvous hashing of the prefix. */
+/** Selects by rendezvous hashing of the prefix, so that all hosts prefer the same endpoint for it. */
 function highestRanked(endpoints: readonly EndpointView[], prefix: string): EndpointView | undefined {
   let best: EndpointView | undefined;
   let bestWeight = -1;
--- a/packages/requests/src/endpointStats.ts
+++ b/packages/requests/src/endpointStats.ts
@@ -1,6 +1,4 @@
-/**
- * A host's view of the load of one endpoint, with a circuit breaker.
- */
+/** A host's view of the load of one endpoint, with a circuit breaker. */
 import type { Clock } from '@fuchsiahitch/base';
 
 /** A load report of an endpoint, possibly outdated. `startId` changes when the endpoint restarts. */
@@ -73,7 +71,7 @@
       this._openBreaker(INITIAL_OPEN_MS);
   }
 
-  /** Counts as neither success nor failure. After a cancelled probe the next request becomes the probe. */
+  /** Counts as neither success nor failure. After a cancelled probe, the next request becomes the probe. */
   cancelled(isRollout: boolean): void {
     this._inFlight -= 1;
     if (isRollout) this._rolloutInFlight -= 1;
--- a/packages/requests/src/fairAdmission.ts
+++ b/packages/requests/src/fairAdmission.ts
@@ -3,13 +3,13 @@
  * account that floods does not starve the others.
  */
 
-/** The counts of one slice determine the limits of the next. */
+/** The length of a time slice. The counts of one slice determine the limit of the next. */
 const SLICE_MS = 500;
 /** With fewer requests per slice, refusals are not significant. */
 const MIN_REQUESTS = 20;
-/** The share of refused requests from which endpoints count as full. */
+/** Endpoints count as full if at least this share of requests was refused. */
 const FULL_REFUSED_SHARE = 0.1;
-/** Admits more than was served, to detect free capacity. */
+/** Admits more requests than were served in the last slice, to detect free capacity. */
 const PROBE_FACTOR = 1.2;
 
 class TimeSlice {
@@ -27,7 +27,7 @@
 export class FairAdmission {
   private _slice = new TimeSlice();
   private _sliceStartMs = -Infinity;
-  /** Requests per account in this slice; Infinity while endpoints have room. */
+  /** Requests per account in this slice; Infinity while endpoints have capacity. */
   private _limit = Infinity;
 
   /** Returns true if the request may be sent, otherwise counts it as refused. */
@@ -36,7 +36,7 @@
     const slice = this._slice;
     slice.total += 1;
     increment(slice.requested, accountName);
-    // Spreads admission over the slice: a burst at its start would meet full endpoints and leave them idle later.
+    // Spreads admission over the slice: a burst at its start would overload endpoints and leave them idle later.
     const elapsedShare = (nowMs - this._sliceStartMs) / SLICE_MS;
     if ((slice.admitted.get(accountName) ?? 0) >= 1 + this._limit * elapsedShare) {
       slice.refused += 1;
@@ -46,7 +46,7 @@
     return true;
   }
 
-  /** `isRefused`: all endpoints that received the admitted request were full. */
+  /** Counts the result of an admitted request. `isRefused`: all endpoints that received it were full. */
   ended(isRefused: boolean): void {
     if (isRefused) this._slice.refused += 1;
     else this._slice.served += 1;
--- a/packages/requests/src/keyHolder.ts
+++ b/packages/requests/src/keyHolder.ts
@@ -1,5 +1,5 @@
 /**
- * Owner and copy of idempotency keys in a failure domain: a non-idempotent request runs at most once.
+ * The owner's and the copy's side of idempotency keys in a failure domain: a non-idempotent request runs at most once.
  *
  * A request may run only after its record is stored at the owner and at the copy of one epoch. A host that takes
  * over a slot first fences one of the two from that epoch and fetches its records. Since every grant needs both,
@@ -20,12 +20,12 @@
 import { KEY_RETENTION_MS, KeySlot, MAX_STORED_ANSWER_BYTES, type SlotRecord } from './keySlot.js';
 import { slotOf, SLOTS_PER_DOMAIN, type Generation, type SlotEntry, type SlotMap } from './slotMap.js';
 
-/** Transport between holders. Without a reply (undefined) the peer may still have processed the message. */
+/** Sends messages to other holders. If no reply arrives (undefined), the peer may still have processed the message. */
 export interface HolderPeers {
   copyRecord(holder: string, message: CopyRecord): Promise<Accepted | undefined>;
   syncSlot(holder: string, message: SyncSlot): Promise<Accepted | undefined>;
   fenceSlot(holder: string, message: FenceSlot): Promise<FenceReply | undefined>;
-  /** True if the host of that process runs a later one or was removed. */
+  /** True if the process of this holder has provably ended: its host runs a later process or was removed. */
   isProvenTerminated(holder: string): boolean;
 }
 
@@ -76,19 +76,19 @@
     for (const [slot, entry] of map.slots.entries()) this._updateEntry(slot, entry);
   }
 
-  /** As the owner. */
+  /** As the owner: decides whether the claiming attempt may run. */
   async claim(claim: Claim): Promise<ClaimReply> {
     const slot = slotOf(claim.key);
     const entry = this._ownedEntry(slot);
     if (!entry) return { kind: 'wrong-owner' };
     const hasSameDomains = claim.domains === this._options.domains && this._map?.domains === claim.domains;
     if (!hasSameDomains) return { kind: 'unknown', reason: 'key-unsettled' };
-    const state = this._slot(slot);
-    const existing = state.find(claim.key);
+    const keySlot = this._slot(slot);
+    const existing = keySlot.find(claim.key);
     if (existing) return this._claimExisting(existing, claim);
-    // Until the slot is settled it is not known whether an earlier arrival ran.
+    // Until the slot is settled, an earlier request with this key may have run without this host's knowledge.
     if (!this._mayGrant(slot, entry)) return { kind: 'unknown', reason: 'key-unsettled' };
-    if (state.lostForMs() > 0) return { kind: 'unknown', reason: 'key-records-lost' };
+    if (keySlot.lostForMs() > 0) return { kind: 'unknown', reason: 'key-records-lost' };
     return this._grant(slot, entry, claim);
   }
 
@@ -106,39 +106,39 @@
     return { accepted: true };
   }
 
-  /** As the copy: applies one change, unless a later epoch was promised. */
+  /** As the copy: applies one change of the owner. Refused unless the copy is complete in the same epoch. */
   copyRecord(message: CopyRecord): Accepted {
-    const state = this._slot(message.slot);
-    const isCurrent = message.epoch === state.promisedEpoch && state.completeEpoch === message.epoch;
+    const keySlot = this._slot(message.slot);
+    const isCurrent = message.epoch === keySlot.promisedEpoch && keySlot.completeEpoch === message.epoch;
     if (!isCurrent) return { accepted: false };
-    state.merge(message.record);
+    keySlot.merge(message.record);
     return { accepted: true };
   }
 
   /** As the copy: replaces the contents of a slot. */
   syncSlot(message: SyncSlot): Accepted {
-    const state = this._slot(message.slot);
-    if (message.epoch < state.promisedEpoch) return { accepted: false };
-    state.promisedEpoch = message.epoch;
+    const keySlot = this._slot(message.slot);
+    if (message.epoch < keySlot.promisedEpoch) return { accepted: false };
+    keySlot.promisedEpoch = message.epoch;
     this._settled.delete(message.slot);
-    state.replace(message.records, message.lostForMs);
-    state.completeEpoch = message.epoch;
+    keySlot.replace(message.records, message.lostForMs);
+    keySlot.completeEpoch = message.epoch;
     return { accepted: true };
   }
 
-  /** As an earlier holder: promises the later epoch and returns its records. */
+  /** As an earlier holder: promises to refuse lower epochs than `message.epoch`, and returns its records. */
   fenceSlot(message: FenceSlot): FenceReply {
     if (message.holder !== this._options.self) return { kind: 'gone' };
-    const state = this._slot(message.slot);
-    if (message.epoch < state.promisedEpoch) return { kind: 'later-epoch' };
-    state.promisedEpoch = message.epoch;
+    const keySlot = this._slot(message.slot);
+    if (message.epoch < keySlot.promisedEpoch) return { kind: 'later-epoch' };
+    keySlot.promisedEpoch = message.epoch;
     if (this._map?.slots[message.slot]?.epoch !== message.epoch) this._settled.delete(message.slot);
     this._handedOver.add(message.slot);
     return {
       kind: 'holds',
-      completeEpoch: state.completeEpoch,
-      records: state.unexpiredRecords(),
-      lostForMs: state.lostForMs(),
+      completeEpoch: keySlot.completeEpoch,
+      records: keySlot.unexpiredRecords(),
+      lostForMs: keySlot.lostForMs(),
     };
   }
 
@@ -148,17 +148,17 @@
     return slots.every((entry, slot) => {
       if (this._slot(slot).completeEpoch === 0) return true;
       if (entry.owner === this._options.self || entry.copy === this._options.self) return false;
-      const last = entry.older[0];
-      const wasHolder = last?.owner === this._options.self || last?.copy === this._options.self;
-      const isOwnerInformed = entry.owner === last?.owner || entry.owner === last?.copy;
+      const previous = entry.older[0];
+      const wasHolder = previous?.owner === this._options.self || previous?.copy === this._options.self;
+      const isOwnerInformed = entry.owner === previous?.owner || entry.owner === previous?.copy;
       return !wasHolder || isOwnerInformed || this._handedOver.has(slot);
     });
   }
 
   private _slot(slot: number): KeySlot {
-    const state = this._slots[slot];
-    if (!state) throw new Error(`broken invariant: no slot ${slot}`);
-    return state;
+    const keySlot = this._slots[slot];
+    if (!keySlot) throw new Error(`invariant violated: no key slot ${slot}`);
+    return keySlot;
   }
 
   private _ownedEntry(slot: number): SlotEntry | undefined {
@@ -180,14 +180,14 @@
   }
 
   private async _grant(slot: number, entry: SlotEntry, claim: Claim): Promise<ClaimReply> {
-    const state = this._slot(slot);
-    const record = state.prepare(claim.key, claim.fingerprint, claim.attemptId);
+    const keySlot = this._slot(slot);
+    const record = keySlot.prepare(claim.key, claim.fingerprint, claim.attemptId);
     if (entry.copy !== '') {
-      const message = { slot, epoch: entry.epoch, record: state.toRecord(record) };
+      const message = { slot, epoch: entry.epoch, record: keySlot.toRecord(record) };
       const reply = await this._options.peers.copyRecord(entry.copy, message);
       if (!reply?.accepted) {
-        // The key may still have run: the copy may already serve a successor that granted it to another arrival.
-        state.remove(record);
+        // Reply `unknown`: the copy may already serve a new owner that granted the key to another request.
+        keySlot.remove(record);
         this._wakeWaiters(record);
         if (reply) this._settled.delete(slot);
         return { kind: 'unknown', reason: 'key-unsettled' };
@@ -198,14 +198,14 @@
   }
 
   private _applyFinish(slot: number, record: SlotRecord, finish: Finish): KeyRecord {
-    const state = this._slot(slot);
+    const keySlot = this._slot(slot);
     if (finish.end === 'released') {
-      state.remove(record);
-      return { ...state.toRecord(record), state: 'released', change: state.nextChange() };
+      keySlot.remove(record);
+      return { ...keySlot.toRecord(record), state: 'released', change: keySlot.nextChange() };
     }
     const isSmall = finish.answer !== undefined && finish.answer.body.length <= MAX_STORED_ANSWER_BYTES;
-    state.finish(record, isSmall ? finish.answer : undefined);
-    return state.toRecord(record);
+    keySlot.finish(record, isSmall ? finish.answer : undefined);
+    return keySlot.toRecord(record);
   }
 
   private async _wait(record: SlotRecord, waitMs: number): Promise<void> {
@@ -226,15 +226,15 @@
   }
 
   private _updateEntry(slot: number, entry: SlotEntry): void {
-    const state = this._slot(slot);
-    if (entry.epoch < state.promisedEpoch) return;
-    const isNewEpoch = entry.epoch > state.promisedEpoch;
-    state.promisedEpoch = entry.epoch;
+    const keySlot = this._slot(slot);
+    if (entry.epoch < keySlot.promisedEpoch) return;
+    const isNewEpoch = entry.epoch > keySlot.promisedEpoch;
+    keySlot.promisedEpoch = entry.epoch;
     if (isNewEpoch) {
       this._settled.delete(slot);
       this._handedOver.delete(slot);
     }
-    // The new owner's message may arrive before the map, so that the role can change in a known epoch.
+    // A message of the new owner may have announced this epoch before the map, so clear the role here as well.
     if (entry.owner !== this._options.self) {
       this._settled.delete(slot);
       return;
@@ -244,16 +244,16 @@
     void this._settle(slot, entry);
   }
 
-  /** Collects the slot's records and synchronizes the copy, which enables grants. */
+  /** Collects the slot's records from earlier holders and synchronizes the copy, after which keys can be granted. */
   private async _settle(slot: number, entry: SlotEntry): Promise<void> {
-    const state = this._slot(slot);
+    const keySlot = this._slot(slot);
     const isCurrent = (): boolean =>
-      this._map?.slots[slot]?.epoch === entry.epoch && state.promisedEpoch === entry.epoch;
+      this._map?.slots[slot]?.epoch === entry.epoch && keySlot.promisedEpoch === entry.epoch;
     while (isCurrent()) {
-      const isComplete = state.completeEpoch === entry.epoch || (await this._collectRecords(slot, entry));
+      const isComplete = keySlot.completeEpoch === entry.epoch || (await this._collectRecords(slot, entry));
       if (!isCurrent()) return;
       if (isComplete) {
-        state.completeEpoch = entry.epoch;
+        keySlot.completeEpoch = entry.epoch;
         if (await this._syncCopy(slot, entry)) {
           if (isCurrent()) this._settled.add(slot);
           return;
@@ -265,24 +265,24 @@
 
   private async _syncCopy(slot: number, entry: SlotEntry): Promise<boolean> {
     if (entry.copy === '') return true;
-    const state = this._slot(slot);
+    const keySlot = this._slot(slot);
     const message = {
       slot,
       epoch: entry.epoch,
-      records: state.unexpiredRecords(),
-      lostForMs: state.lostForMs(),
+      records: keySlot.unexpiredRecords(),
+      lostForMs: keySlot.lostForMs(),
     };
     const reply = await this._options.peers.syncSlot(entry.copy, message);
     return reply?.accepted ?? false;
   }
 
-  /** Queries earlier generations, newest first, for the granted records. Returns false to retry later. */
+  /** Queries earlier generations, newest first, for the granted records. Returns false if this must be retried. */
   private async _collectRecords(slot: number, entry: SlotEntry): Promise<boolean> {
     for (const generation of entry.older) {
-      const found = await this._queryGeneration(slot, entry.epoch, generation);
-      if (found === 'complete') return true;
-      if (found === 'unresponsive') return false;
-      if (found === 'lost') {
+      const result = await this._queryGeneration(slot, entry.epoch, generation);
+      if (result === 'complete') return true;
+      if (result === 'unresponsive') return false;
+      if (result === 'lost') {
         this._slot(slot).markRecordsLost(KEY_RETENTION_MS);
         return true;
       }
@@ -292,17 +292,17 @@
 
   /**
    * `complete`: the generation's records were loaded. `none`: one of its holders never received them and is fenced,
-   * so that the generation granted nothing. `lost`: both processes terminated. `unresponsive`: not known.
+   * so that the generation granted nothing. `lost`: all of its holders terminated. `unresponsive`: not known yet.
    */
   private async _queryGeneration(
     slot: number,
     epoch: number,
     generation: Generation,
   ): Promise<'complete' | 'none' | 'lost' | 'unresponsive'> {
-    const state = this._slot(slot);
+    const keySlot = this._slot(slot);
     const holders = generation.copy === '' ? [generation.owner] : [generation.owner, generation.copy];
     if (holders.includes(this._options.self))
-      return state.completeEpoch === generation.epoch ? 'complete' : 'none';
+      return keySlot.completeEpoch === generation.epoch ? 'complete' : 'none';
     let terminated = 0;
     for (const holder of holders) {
       if (this._options.peers.isProvenTerminated(holder)) {
@@ -314,7 +314,7 @@
       if (reply?.kind !== 'holds') continue;
       if (reply.completeEpoch > generation.epoch) continue;
       if (reply.completeEpoch < generation.epoch) return 'none';
-      state.replace(reply.records, reply.lostForMs);
+      keySlot.replace(reply.records, reply.lostForMs);
       return 'complete';
     }
     return terminated === holders.length ? 'lost' : 'unresponsive';
--- a/packages/requests/src/keyMessages.ts
+++ b/packages/requests/src/keyMessages.ts
@@ -1,10 +1,8 @@
-/**
- * Messages about idempotency keys between hosts.
- */
+/** Messages about idempotency keys between hosts. */
 import * as z from 'zod';
 
-const MAX_KEY = 255;
-const keySchema = z.string().min(1).max(MAX_KEY);
+const MAX_KEY_LENGTH = 255;
+const keySchema = z.string().min(1).max(MAX_KEY_LENGTH);
 
 /** A small answer stored for resends. */
 export const storedAnswerSchema = z
@@ -29,7 +27,7 @@
   .readonly();
 export type KeyRecord = z.infer<typeof keyRecordSchema>;
 
-/** Requests permission to run from the owner of a key. */
+/** Asks the owner of a key for permission to run. */
 export const claimSchema = z
   .strictObject({
     key: keySchema,
@@ -89,7 +87,10 @@
 export const fenceSlotSchema = z.strictObject({ slot, epoch, holder: z.string() }).readonly();
 export type FenceSlot = z.infer<typeof fenceSlotSchema>;
 
-/** `holds`: the records are complete for `completeEpoch`. `gone`: another process answers. */
+/**
+ * `holds`: the records are complete for `completeEpoch`. `gone`: the holder's process ended and another one replied.
+ * `later-epoch`: the holder has already promised a later epoch.
+ */
 export const fenceReplySchema = z.discriminatedUnion('kind', [
   z.strictObject({
     kind: z.literal('holds'),
--- a/packages/requests/src/keySlot.ts
+++ b/packages/requests/src/keySlot.ts
@@ -1,14 +1,13 @@
-/**
- * The records of one slot at one host, as owner or as copy.
- */
+/** The records of one slot at one host, as owner or as copy. */
 import type { Clock } from '@fuchsiahitch/base';
 import type { StoredAnswer, KeyRecord } from './keyMessages.js';
 
-/** Counted from the last change of a key. Resends must arrive within it. */
+/** The time from the last change of a key until its record is removed. Resends must arrive within it. */
 export const KEY_RETENTION_MS = 600_000;
 /** Larger answers are not stored; their resends receive `unknown`. */
 export const MAX_STORED_ANSWER_BYTES = 16 * 1024;
 
+/** A stored record. Its form in messages is `KeyRecord`. */
 export interface SlotRecord {
   readonly key: string;
   readonly fingerprint: string;
@@ -94,7 +93,7 @@
     this.markRecordsLost(lostForMs);
   }
 
-  /** For this time, a key without a record may have run before. */
+  /** For `durationMs`, treats keys without a record as possibly granted before. */
   markRecordsLost(durationMs: number): void {
     if (durationMs > 0)
       this._recordsLostUntilMs = Math.max(this._recordsLostUntilMs, this._clock.nowMs() + durationMs);
--- a/packages/requests/src/outcome.ts
+++ b/packages/requests/src/outcome.ts
@@ -14,7 +14,7 @@
   | 'caller-left'
   | 'bad-request';
 
-/** Why it is unknown whether the request ran, or why its answer is not available. */
+/** Why it is unknown whether the request ran, or why its answer is unavailable. */
 export type UnknownReason =
   | 'connection-lost'
   | 'no-answer-in-time'
--- a/packages/requests/src/poisonCases.ts
+++ b/packages/requests/src/poisonCases.ts
@@ -2,16 +2,16 @@
  * Poison requests: requests that crash every endpoint that runs them.
  *
  * A crash looks like a broken connection, so that retries would crash one endpoint after another. Therefore each
- * termination is counted for all requests that ran at the endpoint. After two of them a request is held until the
- * endpoints have restarted, then one copy is tried in the whole fleet. An answer clears the request; another
- * termination condemns it.
+ * termination is counted for all requests that ran at the endpoint. After two terminations a request is held until the
+ * endpoints have restarted, then tried once in the whole fleet. An answer clears the request; another termination
+ * condemns it, so that it is refused.
  */
 import type { Clock } from '@fuchsiahitch/base';
 import { targetOfFingerprint } from './requestFingerprint.js';
 
 export type PoisonVerdict =
   | { readonly kind: 'free' }
-  /** One copy may be sent, by the host that claims this trial for the whole fleet. */
+  /** The request may be sent once, by the host that claims this trial for the whole fleet. */
   | { readonly kind: 'trial'; readonly number: number }
   /** Waits for the next trial or its result. */
   | { readonly kind: 'held'; readonly remainingMs: number }
@@ -19,12 +19,12 @@
   | { readonly kind: 'condemned' };
 
 export type PoisonMark =
-  /** The endpoint with this start terminated while running the request. */
+  /** The endpoint terminated while running the request. `startId` identifies its process. */
   | { readonly kind: 'end'; readonly startId: string }
   /** A trial was started after `endsBefore` terminations. */
   | { readonly kind: 'trial'; readonly number: number; readonly endsBefore: number };
 
-/** Identifies a mark among those of its request; a trial by its number only. */
+/** Returns a key that is unique among the marks of a request. A trial is identified by its number only. */
 export function markKey(mark: PoisonMark): string {
   return mark.kind === 'end' ? `end-${mark.startId}` : `trial-${mark.number}`;
 }
@@ -32,9 +32,9 @@
 const MIN_TERMINATIONS = 2;
 /** The first delay lets endpoints restart. The number of trials is limited because each may cost an endpoint. */
 const TRIAL_DELAYS_MS = [2000, 60_000, 600_000] as const;
-/** Terminations further apart than this are not combined. */
+/** Terminations further apart than this are not counted together. */
 const CASE_RETENTION_MS = 600_000;
-/** Beyond it the least recently marked case is evicted. */
+/** Beyond this number, the least recently marked case is evicted. */
 const MAX_CASES = 2000;
 
 interface PoisonCase {
@@ -63,7 +63,7 @@
     return this._caseCountByTarget.has(target);
   }
 
-  /** An endpoint terminated while running the request. Returns the number of such endpoints. */
+  /** Records that an endpoint terminated while running the request. Returns the number of such endpoints. */
   ended(fingerprint: string, startId: string): number {
     this._removeExpired(fingerprint);
     const poisonCase = this._getOrCreateCase(fingerprint);
@@ -72,7 +72,7 @@
     return poisonCase.terminatedStartIds.size;
   }
 
-  /** `endsBefore`: the count at the host that started the trial. */
+  /** `endsBefore`: the terminations that were known to the host that started the trial. */
   trialStarted(fingerprint: string, number: number, endsBefore: number): void {
     const poisonCase = this._getOrCreateCase(fingerprint);
     if (poisonCase.trials.has(number)) return;
@@ -96,8 +96,8 @@
   cleared(fingerprint: string): void {
     if (!this._cases.delete(fingerprint)) return;
     const target = targetOfFingerprint(fingerprint);
-    const left = (this._caseCountByTarget.get(target) ?? 1) - 1;
-    if (left > 0) this._caseCountByTarget.set(target, left);
+    const remaining = (this._caseCountByTarget.get(target) ?? 1) - 1;
+    if (remaining > 0) this._caseCountByTarget.set(target, remaining);
     else this._caseCountByTarget.delete(target);
   }
 
@@ -141,7 +141,7 @@
   private _getOrCreateCase(fingerprint: string): PoisonCase {
     const existing = this._cases.get(fingerprint);
     if (existing) {
-      // Reinserted, since eviction takes the first entry.
+      // Reinserted as the last entry, since eviction removes the first one.
       this._cases.delete(fingerprint);
       this._cases.set(fingerprint, existing);
       return existing;
--- a/packages/requests/src/requestFingerprint.ts
+++ b/packages/requests/src/requestFingerprint.ts
@@ -1,6 +1,4 @@
-/**
- * Fingerprints that recognize a repeated request at any host, independent of its identifier and headers.
- */
+/** Fingerprints that recognize a repeated request at any host, independent of its identifier and headers. */
 import { digest, strongDigest } from '@fuchsiahitch/base';
 
 export interface RequestIdentity {
@@ -15,21 +13,21 @@
   readonly bodyBytes?: number;
 }
 
-/** The prefix of the fingerprint, from request line and body length: a filter that need not read the body. */
+/** Returns the prefix of the fingerprint. It is known without the body: it covers the request line and body length. */
 export function targetDigest(request: RequestIdentity): string {
   const { host, method, target } = request;
   const bodyBytes = request.bodyBytes ?? request.body?.length ?? 0;
   return digest(`${method} ${host} ${target} ${bodyBytes}`);
 }
 
-/** Reads the complete body. */
+/** Covers the complete body. */
 export function requestFingerprint(request: RequestIdentity): string {
   const { caller, host, method, target, body } = request;
   const identity = strongDigest([caller, host, method, target, body ?? '']);
   return `${targetDigest(request)}-${identity}`;
 }
 
-/** The `targetDigest` of a fingerprint. */
+/** Returns the `targetDigest` part of a fingerprint. */
 export function targetOfFingerprint(fingerprint: string): string {
   return fingerprint.slice(0, fingerprint.indexOf('-'));
 }
--- a/packages/requests/src/requestQueue.ts
+++ b/packages/requests/src/requestQueue.ts
@@ -1,6 +1,4 @@
-/**
- * A bounded priority queue of requests that wait for capacity in one pool, each with its deadline.
- */
+/** A bounded priority queue of requests that wait for capacity in one pool, each with its deadline. */
 import type { CancelTimer, Clock, Deadline } from '@fuchsiahitch/base';
 
 /** In descending order: a lower priority is served only when the higher ones are empty. */
@@ -10,12 +8,12 @@
 export type QueueRefusal = 'queue-full' | 'too-late';
 
 interface WaitingRequest {
-  readonly offer: () => boolean;
+  readonly trySend: () => boolean;
   readonly refuse: (reason: QueueRefusal) => void;
   readonly cancelTimer: CancelTimer;
 }
 
-/** The window of the service rate. */
+/** The window over which the service rate is measured. */
 const RATE_WINDOW_MS = 2000;
 
 export class RequestQueue {
@@ -40,7 +38,7 @@
     return total;
   }
 
-  /** Estimates the wait of a new request from the recent service rate; 0 if none is ahead. */
+  /** Estimates the wait of a new request from the recent service rate; 0 if no request is ahead or none was served. */
   expectedWaitMs(priority: QueuePriority): number {
     let ahead = 0;
     for (const name of queuePriorities) {
@@ -54,15 +52,15 @@
   }
 
   /**
-   * `offer` is called when there may be room and returns true if the request was sent. `refuse` is called immediately
-   * if the queue is full or the expected wait exceeds the deadline, otherwise at the deadline. Returns a function that
-   * removes the request.
+   * `trySend` is called when there may be capacity and returns true if the request was sent. `refuse` is called
+   * immediately if the queue is full or the expected wait exceeds the deadline, otherwise at the deadline. Returns a
+   * function that removes the request.
    */
   enqueue(
     priority: QueuePriority,
     deadline: Deadline,
-    offer: () => boolean,
-    refuse: (r: QueueRefusal) => void,
+    trySend: () => boolean,
+    refuse: (reason: QueueRefusal) => void,
   ): () => void {
     if (this.size() >= this._limit) {
       refuse('queue-full');
@@ -76,7 +74,7 @@
     const cancelTimer = this._clock.after(deadline.remainingMs(), () => {
       if (queue?.delete(waiting)) refuse('too-late');
     });
-    const waiting: WaitingRequest = { offer, refuse, cancelTimer };
+    const waiting: WaitingRequest = { trySend, refuse, cancelTimer };
     queue?.add(waiting);
     return () => {
       queue?.delete(waiting);
@@ -84,11 +82,11 @@
     };
   }
 
-  /** Offers room by priority and then in order of arrival, until a request declines. */
+  /** Sends waiting requests by priority and then in order of arrival, until one cannot be sent. */
   dispatch(): void {
     for (const name of queuePriorities) {
       for (const waiting of this._queues.get(name) ?? []) {
-        if (!waiting.offer()) return;
+        if (!waiting.trySend()) return;
         waiting.cancelTimer();
         this._queues.get(name)?.delete(waiting);
         this._rotateWindow();
--- a/packages/requests/src/requestRun.ts
+++ b/packages/requests/src/requestRun.ts
@@ -21,7 +21,7 @@
   shutdown: 'connection-lost',
 };
 
-/** Events of attempts other than the current one are counted and dropped. */
+/** Drops and counts events of attempts other than the current one. */
 export class RequestRun {
   private readonly _retryAfterMs: number;
   private _phase: RequestPhase = 'waiting';
@@ -42,7 +42,7 @@
     return this._outcome;
   }
 
-  /** Events that arrived late or out of order. */
+  /** The number of events that arrived late or out of order. */
   droppedEvents(): number {
     return this._dropped;
   }
@@ -108,13 +108,13 @@
     return this._end(this._mayHaveRun ? this._unknown('connection-lost') : this._notRun(reason));
   }
 
-  /** Ends a waiting request for whose key the owner reported an earlier arrival. */
+  /** Ends a waiting request whose key was not granted. */
   endUnknown(reason: UnknownReason): RequestOutcome {
     if (this._outcome) return this._outcome;
     return this._end(this._unknown(reason));
   }
 
-  /** Ends a waiting request with the stored answer of an earlier arrival. */
+  /** Ends a waiting request with the stored answer of an earlier request with the same key. */
   endWithStoredAnswer(status: number): RequestOutcome {
     if (this._outcome) return this._outcome;
     return this._end({ kind: 'completed', status });
--- a/packages/requests/src/retryBudget.ts
+++ b/packages/requests/src/retryBudget.ts
@@ -1,6 +1,4 @@
-/**
- * Limits retries to a share of requests, so that they do not overload the endpoints that remain in a partial failure.
- */
+/** Limits retries to a share of requests, so that they do not overload the remaining endpoints in a partial failure. */
 const TOKENS_PER_RETRY = 1;
 
 export class RetryBudget {
--- a/packages/requests/src/slotMap.ts
+++ b/packages/requests/src/slotMap.ts
@@ -1,22 +1,22 @@
 /**
  * Assigns the idempotency keys of a failure domain to its hosts.
  *
- * The map is one value per domain in the platform's key-value service, updated by compare-and-swap. Its epochs fence:
- * a holder that received a later epoch of a slot accepts nothing of earlier ones (docs/design/keys.md).
+ * The map is one value per domain in the platform's key-value service, updated by compare-and-swap. Epochs fence former
+ * owners: a holder that received a later epoch of a slot accepts no messages of earlier ones (docs/design/keys.md).
  */
 import { hash32, rendezvous } from '@fuchsiahitch/base';
 import * as z from 'zod';
 
 export const SLOTS_PER_DOMAIN = 128;
-/** Earlier generations per slot that are not confirmed as settled. */
+/** The maximum number of earlier generations per slot that may still hold records. */
 const MAX_OLDER_GENERATIONS = 16;
-/** From this number on an owner removes the earlier generations of a settled slot. */
+/** From this number on, an owner removes the earlier generations of a settled slot. */
 const TRIM_LENGTH = 4;
 /** Differences up to this share of the mean, or up to `MIN_IMBALANCE`, are not rebalanced. */
 const IMBALANCE_SHARE = 0.25;
 const MIN_IMBALANCE = 2;
 
-/** One process of a host, as `hostId#incarnation`: a restarted host is another holder. */
+/** A process of a host, as `hostId#incarnation`: a restarted host is another holder. */
 export const holderIdSchema = z.string().regex(/^[^#]+#\d+$/, 'not a holder hostId#incarnation');
 
 /** The holders of a slot in one epoch; `copy` is empty if the owner is the only one. */
@@ -76,8 +76,9 @@
 
 export interface SlotPlanInput {
   readonly domain: string;
+  /** Digest of the list of failure domains. */
   readonly domains: string;
-  /** Sorted. */
+  /** The holders that are running, sorted. */
   readonly live: readonly string[];
   /** Own settled slots, whose earlier generations are no longer needed. */
   readonly settled: ReadonlySet<number>;
@@ -93,13 +94,13 @@
   return { domain: input.domain, domains: input.domains, revision, slots, gone: current?.gone ?? [] };
 }
 
-/** One run: keeps the assignments of live holders and distributes the rest evenly. */
+/** Computes one map: keeps the assignments of live holders and distributes the other slots evenly. */
 class SlotPlan {
   private readonly _entries: readonly (SlotEntry | undefined)[];
   private readonly _input: SlotPlanInput;
   private readonly _live: ReadonlySet<string>;
   /** Slots that each holder owns or copies. */
-  private readonly _dutyCounts = new Map<string, number>();
+  private readonly _assignedCounts = new Map<string, number>();
   private readonly _ownedCounts = new Map<string, number>();
   private _changed = false;
 
@@ -107,7 +108,7 @@
     this._entries = entries ?? Array.from({ length: SLOTS_PER_DOMAIN }, () => undefined);
     this._input = input;
     this._live = new Set(input.live);
-    for (const holder of input.live) this._dutyCounts.set(holder, 0);
+    for (const holder of input.live) this._assignedCounts.set(holder, 0);
     for (const entry of this._entries) {
       if (entry) this._adjustCounts(entry.owner, entry.copy, 1);
     }
@@ -142,7 +143,7 @@
     return this._withCopyMoved(entry, older) ?? this._withRolesSwapped(entry, older) ?? entry;
   }
 
-  /** At the maximum of earlier generations a slot that loses a holder could not be reassigned. */
+  /** Removes unneeded generations: with the maximum of them, a slot that loses a holder could not be reassigned. */
   private _trimmed(entry: SlotEntry, slot: number): SlotEntry {
     if (entry.older.length < TRIM_LENGTH || !this._input.settled.has(slot)) return entry;
     this._changed = true;
@@ -150,12 +151,12 @@
   }
 
   private _withCopyMoved(entry: SlotEntry, older: readonly Generation[]): SlotEntry | undefined {
-    const lightest = this._leastLoaded(entry.owner);
-    if (lightest === '' || lightest === entry.copy) return undefined;
-    const gap = this._dutyCount(entry.copy) - this._dutyCount(lightest);
+    const leastLoaded = this._leastLoaded(entry.owner);
+    if (leastLoaded === '' || leastLoaded === entry.copy) return undefined;
+    const gap = this._assignedCount(entry.copy) - this._assignedCount(leastLoaded);
     const mean = (2 * SLOTS_PER_DOMAIN) / this._input.live.length;
     if (gap <= Math.max(MIN_IMBALANCE, mean * IMBALANCE_SHARE)) return undefined;
-    return this._reassigned(entry, entry.owner, lightest, older);
+    return this._reassigned(entry, entry.owner, leastLoaded, older);
   }
 
   private _withRolesSwapped(entry: SlotEntry, older: readonly Generation[]): SlotEntry | undefined {
@@ -195,13 +196,13 @@
     let best = '';
     for (const holder of this._input.live) {
       if (holder === except) continue;
-      if (best === '' || this._dutyCount(holder) < this._dutyCount(best)) best = holder;
+      if (best === '' || this._assignedCount(holder) < this._assignedCount(best)) best = holder;
     }
     return best;
   }
 
-  private _dutyCount(holder: string): number {
-    return this._dutyCounts.get(holder) ?? 0;
+  private _assignedCount(holder: string): number {
+    return this._assignedCounts.get(holder) ?? 0;
   }
 
   private _ownedCount(holder: string): number {
@@ -210,7 +211,7 @@
 
   private _adjustCounts(owner: string, copy: string, change: number): void {
     this._ownedCounts.set(owner, this._ownedCount(owner) + change);
-    this._dutyCounts.set(owner, this._dutyCount(owner) + change);
-    if (copy !== '') this._dutyCounts.set(copy, this._dutyCount(copy) + change);
+    this._assignedCounts.set(owner, this._assignedCount(owner) + change);
+    if (copy !== '') this._assignedCounts.set(copy, this._assignedCount(copy) + change);
   }
 }
--- a/tests/keyFleet.ts
+++ b/tests/keyFleet.ts
@@ -14,7 +14,7 @@
   type ClaimResult,
   type Finish,
   type HolderPeers,
-  type KeyTransport,
+  type KeyRoutes,
   type SlotMap,
 } from '@fuchsiahitch/requests';
 import { SimNet, SimProcess } from '@fuchsiahitch/testkit';
@@ -37,7 +37,7 @@
   }
 }
 
-class KeyHost implements HolderPeers, KeyTransport {
+class KeyHost implements HolderPeers, KeyRoutes {
   readonly id: string;
   readonly incarnation: number;
   readonly process: SimProcess;
--- a/tests/requests.spec.ts
+++ b/tests/requests.spec.ts
@@ -24,7 +24,7 @@
 tap.setTimeout(0);
 
 await tap.test('should never send a request that was abandoned while it waited', t => {
-  // The dispatcher must not send a request whose wait has timed out and that was reported as not run.
+  // Guards against a dispatcher that sends a request whose wait timed out and that was reported as not run.
   const run = new RequestRun(1000);
   t.match(run.abandon('deadline'), { kind: 'not-run', reason: 'too-late' });
   t.equal(run.send(), undefined);
@@ -40,7 +40,7 @@
 });
 
 await tap.test('should drop answers of an earlier attempt', t => {
-  // Answers must be matched by attempt: the head of a broken attempt can arrive after the next one was sent.
+  // Guards against matching answers without their attempt: the head of a broken one can arrive after the next was sent.
   const run = new RequestRun(1000);
   const first = run.send() ?? 0;
   run.brokenRetryable(first);
@@ -74,14 +74,14 @@
       let outcome = run.outcome();
       for (const [name, lateBy] of events) {
         const attemptNumber = attempt - lateBy;
-        const isLive = run.phase() === 'sent' || run.phase() === 'answering';
+        const isInFlight = run.phase() === 'sent' || run.phase() === 'answering';
         if (name === 'send') attempt = run.send() ?? attempt;
         else if (name === 'abandon') run.abandon('deadline');
         else if (name === 'refuse') {
           if (run.phase() === 'waiting') run.refuse('no-endpoint');
         } else if (name === 'answered') run.answered(attemptNumber, 200, false);
         else run[name](attemptNumber);
-        if (isLive && lateBy === 0 && name !== 'provenNotRun' && name !== 'send') mayHaveRun = true;
+        if (isInFlight && lateBy === 0 && name !== 'provenNotRun' && name !== 'send') mayHaveRun = true;
         if (outcome && run.outcome() !== outcome) return false;
         outcome = run.outcome();
       }
@@ -102,8 +102,8 @@
   return stats;
 }
 
-await tap.test('should use an endpoint again whose probe was cancelled', async t => {
-  // A cancelled probe must not count as still in flight, or the breaker never closes.
+await tap.test('should use an endpoint again after its probe was cancelled', async t => {
+  // Guards against a cancelled probe that counts as in flight, so that the breaker never closes.
   const clock = new VirtualClock();
   const stats = withOpenBreaker(clock, 30_000);
   t.notOk(stats.isUsable());
@@ -120,7 +120,7 @@
 });
 
 await tap.test('should probe an endpoint that fails repeatedly within the configured time', async t => {
-  // Unbounded doubling of the breaker's open time would leave a recovered endpoint idle.
+  // Guards against unbounded doubling of the breaker's open time, which leaves a recovered endpoint idle.
   const clock = new VirtualClock();
   const stats = withOpenBreaker(clock, 2000);
   let probes = 0;
@@ -159,7 +159,7 @@
 };
 
 await tap.test('should spread requests although every host has the same outdated report', t => {
-  // Selection by the report alone would make all hosts send to the same endpoint until the next report.
+  // Guards against selection by the report alone, by which all hosts use the same endpoint until the next report.
   const clock = new VirtualClock();
   const hosts = Array.from({ length: 10 }, (_, i) => ({
     picker: new EndpointPicker(new SeededRandom(i)),
@@ -191,7 +191,7 @@
 });
 
 await tap.test('should not prefer an endpoint that fails fast', t => {
-  // An endpoint that fails immediately looks idle and would attract most requests.
+  // Guards against an endpoint that fails immediately, looks idle and attracts most requests.
   const clock = new VirtualClock();
   const picker = new EndpointPicker(new SeededRandom(1));
   const endpoints = endpointsOf(clock, 4);
@@ -223,15 +223,15 @@
   t.end();
 });
 
-await tap.test('should prefer the holder of a prefix unless it is overloaded', t => {
+await tap.test('should prefer the endpoint that caches a prefix unless it is overloaded', t => {
   const clock = new VirtualClock();
   const picker = new EndpointPicker(new SeededRandom(1));
   const endpoints = endpointsOf(clock, 4);
   const request = { ...PICK, prefix: 'which stars' };
   const first = picker.pick(endpoints, request)?.id;
   t.equal(picker.pick(endpoints, request)?.id, first);
-  const holder = endpoints.find(endpoint => endpoint.id === first);
-  for (let i = 0; i < 5; i++) holder?.stats.began(false);
+  const preferred = endpoints.find(endpoint => endpoint.id === first);
+  for (let i = 0; i < 5; i++) preferred?.stats.began(false);
   t.not(picker.pick(endpoints, request)?.id, first, 'the prefix is a preference only');
   t.end();
 });
@@ -258,11 +258,11 @@
       () => false,
       r => refused.push(r),
     );
-  let turns = 1;
+  let sendsLeft = 1;
   queue.enqueue(
     'customer-high',
     Deadline.after(clock, 60_000),
-    () => turns-- > 0,
+    () => sendsLeft-- > 0,
     r => refused.push(r),
   );
   queue.dispatch();
@@ -301,7 +301,7 @@
   });
 }
 
-interface Running {
+interface PendingRequest {
   answer: CallerAnswer | undefined;
   readonly left: AbortController;
   text: string;
@@ -311,8 +311,8 @@
   host: SimHost,
   work: Partial<CallerWork> & { readonly kind: CallerWork['kind'] },
   options: Partial<CallerRequest> = {},
-): Running {
-  const running: Running = { answer: undefined, left: new AbortController(), text: '' };
+): PendingRequest {
+  const running: PendingRequest = { answer: undefined, left: new AbortController(), text: '' };
   const onChunks = (chunks: readonly { readonly text: string }[]): void => {
     for (const chunk of chunks) running.text += chunk.text;
   };
@@ -352,9 +352,9 @@
 }
 
 await tap.test(
-  'should resume at another engine after a crash in mid-stream without duplicated or lost tokens',
+  'should resume a stream at another engine after a crash without duplicated or lost tokens',
   async t => {
-    // The request must continue exactly after the tokens that were already forwarded to the caller.
+    // Guards against a resumption that does not continue exactly after the tokens already forwarded to the caller.
     const fleet = await fleetOf();
     const running = send(fleet.host('tekapo-0'), { kind: 'completion', prompt: 'a long tail' });
     await fleet.until('streaming', () => running.text.length > 20);
@@ -468,7 +468,7 @@
 await tap.test(
   'should send nothing from any host to a leaving engine after 3 s, with the list and the store unreachable',
   async t => {
-    // The endpoint's own reports and answers and the messages of peers must be used besides the list.
+    // Guards against hosts that learn of leaving engines from the list only, not from reports, answers or peers.
     const fleet = await SimFleet.start({
       seed: 9,
       domains: ['tekapo'],
