--- a/packages/orders/src/loadChoice.ts
+++ b/packages/orders/src/loadChoice.ts
@@ -1,8 +1,8 @@
 /**
- * Selects the endpoints that load a newly named version.
+ * Selects the endpoints that load the version that a trainer named.
  *
- * A step also accepts tokens of the previous version. Therefore half of a model's endpoints load one version and the
- * other half the next: loads then interrupt no run of the current step, and occur half as often.
+ * A step also accepts tokens of the previous version, so half of a model's endpoints load one version and the other
+ * half the next. Loads then interrupt no request of the current step, and each endpoint loads half as often.
  */
 import type { Clock } from '@fuchsiahitch/base';
 
@@ -11,16 +11,16 @@
   readonly id: string;
   /** The version that it has or is loading. */
   readonly version: number;
-  /** Running requests: the least loaded endpoint loads first. */
+  /** The number of running requests. The least loaded endpoint loads first. */
   readonly load: number;
-  /** False while it loads or a former holder's order is too recent: it counts, but no load is due for it. */
+  /** False while it loads, or if a former leaseholder ordered a load too recently. It counts, but gets no order. */
   readonly acceptsOrders: boolean;
 }
 
 /** The minimum share of endpoints with the newest version. */
 const FRESH_SHARE = 0.5;
 
-/** Sorted by urgency. */
+/** Returns the endpoints that should load, most urgent first. `allowedLag`: the versions that a step may lag behind. */
 export function endpointsDueForLoad(
   candidates: readonly LoadCandidate[],
   namedVersion: number,
@@ -49,9 +49,9 @@
 /**
  * Limits the number of concurrent loads over all failure domains.
  *
- * Orderers of different domains do not coordinate: each computes the same window of due endpoints and gives orders to
- * those of its own domain. An endpoint that stays in the window too long no longer counts, so that it does not block
- * the others.
+ * The hosts that give orders in different domains do not coordinate: each computes the same window of due endpoints and
+ * gives orders to those of its own domain. An endpoint that stays in the window for `skipAfterMs` no longer counts, so
+ * that it does not block the others.
  */
 export class LoadWindow {
   private readonly _clock: Clock;
@@ -63,20 +63,21 @@
     this._skipAfterMs = skipAfterMs;
   }
 
+  /** Returns the first endpoints of `due`, of which at most `limit` count. */
   next(due: readonly DueEndpoint[], limit: number): readonly DueEndpoint[] {
     const nowMs = this._clock.nowMs();
-    const sinceMs = new Map<string, number>();
+    const firstDueMs = new Map<string, number>();
     const included: DueEndpoint[] = [];
     let counted = 0;
     for (const endpoint of due) {
       if (counted >= limit) break;
       const key = `${endpoint.id} ${endpoint.version}`;
       const dueSinceMs = this._firstDueMs.get(key) ?? nowMs;
-      sinceMs.set(key, dueSinceMs);
+      firstDueMs.set(key, dueSinceMs);
       included.push(endpoint);
       if (nowMs - dueSinceMs < this._skipAfterMs) counted += 1;
     }
-    this._firstDueMs = sinceMs;
+    this._firstDueMs = firstDueMs;
     return included;
   }
 }
--- a/packages/orders/src/loadSchedule.ts
+++ b/packages/orders/src/loadSchedule.ts
@@ -1,8 +1,8 @@
 /**
- * Orders the due loads of several models in one pool.
+ * Prioritizes the due loads of several models in one pool.
  *
- * The model with the smallest share of usable endpoints comes first, load by load, so that a running step does not wait
- * for loads that prepare the step of another trainer.
+ * Each load is that of the model with the smallest share of usable endpoints, so that a running step does not wait for
+ * loads that prepare the step of another trainer.
  */
 import { endpointsDueForLoad, type LoadCandidate } from './loadChoice.js';
 
@@ -23,20 +23,22 @@
 interface ModelQueue {
   readonly loads: ModelLoads;
   readonly due: string[];
+  /** Endpoints with a version that the step accepts, including loads that are already sorted. */
   usable: number;
+  /** Endpoints with the named version, including loads that are already sorted. */
   fresh: number;
 }
 
-/** Sorted by urgency. */
+/** Returns the due loads of all models, most urgent first. */
 export function prioritizeLoads(models: readonly ModelLoads[], allowedLag: number): readonly DueLoad[] {
   const queues = models.map(loads => toQueue(loads, allowedLag));
-  const ordered: DueLoad[] = [];
+  const sorted: DueLoad[] = [];
   for (;;) {
     const queue = mostUnderserved(queues);
     const id = queue?.due.shift();
-    if (!queue || id === undefined) return ordered;
+    if (!queue || id === undefined) return sorted;
     const { model, namedVersion, candidates } = queue.loads;
-    ordered.push({ id, model, version: namedVersion });
+    sorted.push({ id, model, version: namedVersion });
     const version = candidates.find(candidate => candidate.id === id)?.version ?? 0;
     if (version < namedVersion - allowedLag) queue.usable += 1;
     queue.fresh += 1;
@@ -54,12 +56,12 @@
 }
 
 function mostUnderserved(queues: readonly ModelQueue[]): ModelQueue | undefined {
-  let found: ModelQueue | undefined;
+  let best: ModelQueue | undefined;
   for (const queue of queues) {
     if (queue.due.length === 0) continue;
-    if (!found || isMoreUnderserved(queue, found)) found = queue;
+    if (!best || isMoreUnderserved(queue, best)) best = queue;
   }
-  return found;
+  return best;
 }
 
 function isMoreUnderserved(a: ModelQueue, b: ModelQueue): boolean {
--- a/packages/orders/src/model.ts
+++ b/packages/orders/src/model.ts
@@ -16,7 +16,7 @@
   .readonly();
 export type WeightTarget = z.infer<typeof weightTargetSchema>;
 
-/** An order to one endpoint. */
+/** An order to one endpoint. `token` is the fencing token. */
 export interface WeightOrder {
   readonly endpointId: string;
   readonly version: number;
--- a/packages/orders/src/swapPlanner.ts
+++ b/packages/orders/src/swapPlanner.ts
@@ -43,7 +43,7 @@
   readBack: undefined,
   readMs: -Infinity,
 };
-/** About the duration of a swap. */
+/** The default, about the duration of a swap. */
 const READ_BACK_INTERVAL_MS = 500;
 const MS_PER_SECOND = 1000;
 
@@ -79,17 +79,22 @@
   readBack(endpointId: string, readBack: ReadBack): void {
     const state = this._states.get(endpointId) ?? INITIAL_STATE;
     const isRestarted = state.readBack !== undefined && state.readBack.startId !== readBack.startId;
-    const base = isRestarted ? INITIAL_STATE : state;
+    const previous = isRestarted ? INITIAL_STATE : state;
     const isDone = readBack.version === this._target?.version;
     const readMs = this._clock.nowMs();
-    this._states.set(endpointId, { ...base, readBack, readMs, isSwapping: base.isSwapping && !isDone });
+    this._states.set(endpointId, {
+      ...previous,
+      readBack,
+      readMs,
+      isSwapping: previous.isSwapping && !isDone,
+    });
   }
 
   lastReadBack(endpointId: string): ReadBack | undefined {
     return this._states.get(endpointId)?.readBack;
   }
 
-  /** The caller must hold the lease of the token. */
+  /** Returns the orders to give now. The caller must hold the lease of `token`. */
   next(endpoints: readonly SwapEndpoint[], token: number): readonly WeightOrder[] {
     const target = this._target;
     if (!target) return [];
@@ -107,7 +112,7 @@
     return orders;
   }
 
-  /** `unknown` is not a failure: the read-back decides. */
+  /** Records the result of an order. `unknown` is not a failure: the read-back decides. */
   ended(endpointId: string, result: OrderResult): void {
     const state = this._states.get(endpointId);
     if (!state || result === 'accepted' || result === 'unknown') return;
@@ -126,7 +131,7 @@
     return due;
   }
 
-  /** The order was not given: it does not count as a try. */
+  /** Records that an order was not given, so that it does not count as a try. */
   postponed(endpointId: string): void {
     const state = this._states.get(endpointId);
     if (!state?.isSwapping) return;
@@ -175,12 +180,12 @@
     });
   }
 
-  /** Counts swaps as failed that were not confirmed in time. */
+  /** Counts swaps that were not confirmed in time as failed. */
   private _expireSwaps(): void {
     const nowMs = this._clock.nowMs();
     for (const [id, state] of this._states) {
-      const isOver = state.isSwapping && nowMs - state.orderedMs >= this._options.swapTimeoutMs;
-      if (isOver) this._states.set(id, this._failed(state));
+      const isTimedOut = state.isSwapping && nowMs - state.orderedMs >= this._options.swapTimeoutMs;
+      if (isTimedOut) this._states.set(id, this._failed(state));
     }
   }
 
--- a/tests/orders.spec.ts
+++ b/tests/orders.spec.ts
@@ -16,8 +16,8 @@
   return Array.from({ length: count }, (_, i) => ({ id: `e${i}`, isUsable: true }));
 }
 
-await tap.test('should stop before the lease expires, measured from the sending of its renewal', async t => {
-  // The store may have renewed the lease long before its answer arrives.
+await tap.test('should stop before the lease expires, measured from when its renewal was sent', async t => {
+  // Guards against counting from the answer: the store may have renewed the lease long before it arrives.
   const clock = new VirtualClock();
   const guard = new LeaseGuard(clock, { leaseMs: 10_000, marginMs: 3000 });
   t.equal(guard.token(), undefined);
@@ -66,7 +66,7 @@
 });
 
 await tap.test('should repeat a failed swap, then exclude the endpoint until it restarts', async t => {
-  // An accepted order is no proof of the swap: the load may fail without an error.
+  // Guards against taking an accepted order as proof of the swap: the load may fail without an error.
   const clock = new VirtualClock();
   const planner = new SwapPlanner(clock, OPTIONS);
   planner.setTarget(target(2));
@@ -137,7 +137,7 @@
 await tap.test(
   'should give no order after a pause beyond the lease to engines that check no token',
   async t => {
-    // A leader that resumes after its lease has expired must not give the orders that it had planned.
+    // Guards against a leader that resumes after its lease has expired and gives the orders that it had planned.
     const fleet = await fleetOf();
     await fleet.until('leader', () => leaderOf(fleet, 'tekapo') !== undefined);
     const formerLeader = leaderOf(fleet, 'tekapo');
