--- a/packages/rules/src/edit.ts
+++ b/packages/rules/src/edit.ts
@@ -5,16 +5,16 @@
 import * as z from 'zod';
 import { MAX_EDIT_IDS, ruleSchema, type Rule, type RuleDocument } from './model.js';
 
-const place = z
+const placeSchema = z
   .strictObject({ before: z.string().optional(), after: z.string().optional() })
-  .refine(value => !(value.before && value.after), 'name a rule to stand before or after, not both');
+  .refine(value => !(value.before && value.after), "expected at most one of 'before' and 'after'");
 
-/** `base` is the digest of the rule that the author saw. The operation is refused if the rule has changed since. */
+/** `base` is the digest of the rule that the author saw. If the rule has changed since, the operation is refused. */
 export const operationSchema = z.discriminatedUnion('op', [
-  z.strictObject({ op: z.literal('add'), rule: ruleSchema, place: place.readonly().optional() }),
+  z.strictObject({ op: z.literal('add'), rule: ruleSchema, place: placeSchema.readonly().optional() }),
   z.strictObject({ op: z.literal('replace'), rule: ruleSchema, base: z.string() }),
   z.strictObject({ op: z.literal('remove'), id: z.string(), base: z.string() }),
-  z.strictObject({ op: z.literal('move'), id: z.string(), base: z.string(), place: place.readonly() }),
+  z.strictObject({ op: z.literal('move'), id: z.string(), base: z.string(), place: placeSchema.readonly() }),
 ]);
 export type Operation = Readonly<z.infer<typeof operationSchema>>;
 
@@ -74,14 +74,14 @@
   readonly after?: string | undefined;
 }
 
-function addRule(rules: readonly Rule[], rule: Rule, wanted: Place): Result<readonly Rule[], EditRefusal> {
+function addRule(rules: readonly Rule[], rule: Rule, place: Place): Result<readonly Rule[], EditRefusal> {
   const current = rules.find(other => other.id === rule.id);
   if (current) return err({ kind: 'exists', ruleId: rule.id, current });
-  const anchor = wanted.before ?? wanted.after;
+  const anchor = place.before ?? place.after;
   if (anchor === undefined) return ok([...rules, rule]);
   const index = rules.findIndex(other => other.id === anchor);
   if (index < 0) return err({ kind: 'anchor-missing', anchor });
-  const position = wanted.before === undefined ? index + 1 : index;
+  const position = place.before === undefined ? index + 1 : index;
   return ok(rules.toSpliced(position, 0, rule));
 }
 
@@ -102,10 +102,10 @@
   rules: readonly Rule[],
   ruleId: string,
   base: string,
-  wanted: Place,
+  place: Place,
 ): Result<readonly Rule[], EditRefusal> {
   const rule = rules.find(other => other.id === ruleId);
   const removed = changeRule(rules, ruleId, base, undefined);
   if (!removed.ok || !rule) return removed;
-  return addRule(removed.value, rule, wanted);
+  return addRule(removed.value, rule, place);
 }
--- a/packages/rules/src/model.ts
+++ b/packages/rules/src/model.ts
@@ -22,7 +22,7 @@
 const names = z.array(name).min(1).max(100).readonly();
 const fraction = z.number().min(0).max(1);
 
-/** A generation for a customer, a call to a service, or a trainer's sample. */
+/** A generation for a customer, a call to a service, or the generation of a trainer's sample. */
 export const requestKinds = ['completion', 'service', 'sample'] as const;
 export type RequestKind = (typeof requestKinds)[number];
 
@@ -150,6 +150,7 @@
 
 export const EMPTY_DOCUMENT: RuleDocument = { revision: 0, rules: [], editIds: [] };
 
+/** The properties of a request that conditions are matched against. */
 export interface RequestFacts {
   readonly kind: RequestKind;
   readonly caller: string;
--- a/packages/rules/src/planEdits.ts
+++ b/packages/rules/src/planEdits.ts
@@ -15,10 +15,10 @@
     working = working.filter(other => other.id !== rule.id);
   }
   for (const [i, rule] of working.entries()) {
-    const next = wanted.find(other => other.id === rule.id);
-    if (!next || ruleDigest(next) === ruleDigest(rule)) continue;
-    operations.push({ op: 'replace', rule: next, base: ruleDigest(rule) });
-    working[i] = next;
+    const replacement = wanted.find(other => other.id === rule.id);
+    if (!replacement || ruleDigest(replacement) === ruleDigest(rule)) continue;
+    operations.push({ op: 'replace', rule: replacement, base: ruleDigest(rule) });
+    working[i] = replacement;
   }
   for (const [i, rule] of wanted.entries()) {
     if (working[i]?.id === rule.id) continue;
@@ -32,12 +32,12 @@
 }
 
 function placeOf(
-  work: readonly Rule[],
+  working: readonly Rule[],
   wanted: readonly Rule[],
   i: number,
 ): { after?: string; before?: string } {
   const before = wanted[i - 1];
   if (before) return { after: before.id };
-  const [first] = work;
+  const [first] = working;
   return first ? { before: first.id } : {};
 }
--- a/packages/rules/src/ruleEvaluator.ts
+++ b/packages/rules/src/ruleEvaluator.ts
@@ -2,13 +2,14 @@
 import { StateCondition, type SignalReader } from './stateCondition.js';
 import type { Action, Condition, RequestFacts, Rule, RuleDocument } from './model.js';
 
-/** Passed along with a request, so that it is decided only once. */
+/** The decision on a request. It is passed along with the request, so that rules are evaluated only once. */
 export interface Decision {
   readonly revision: number;
   readonly ruleId: string | undefined;
   readonly action: Action;
 }
 
+/** `failed`: the fields of the conditions that do not hold. */
 export interface Explanation {
   readonly ruleId: string;
   readonly matched: boolean;
@@ -22,7 +23,7 @@
 
 /** Maps the values of a field to bitmaps of the rules that accept them. */
 class FieldIndex {
-  private readonly _rows = new Map<string, Uint32Array>();
+  private readonly _bitmaps = new Map<string, Uint32Array>();
   private readonly _unconstrained: Uint32Array;
 
   constructor(rules: readonly Rule[], field: Field) {
@@ -31,23 +32,23 @@
       if (!rule.when[field]) setBit(this._unconstrained, i);
     }
     for (const [i, rule] of rules.entries()) {
-      for (const value of rule.when[field] ?? []) setBit(this._rowOf(value), i);
+      for (const value of rule.when[field] ?? []) setBit(this._bitmapOf(value), i);
     }
   }
 
   accepting(value: string): Uint32Array {
-    return this._rows.get(value) ?? this._unconstrained;
+    return this._bitmaps.get(value) ?? this._unconstrained;
   }
 
-  private _rowOf(value: string): Uint32Array {
-    const row = this._rows.get(value) ?? this._unconstrained.slice();
-    this._rows.set(value, row);
-    return row;
+  private _bitmapOf(value: string): Uint32Array {
+    const bitmap = this._bitmaps.get(value) ?? this._unconstrained.slice();
+    this._bitmaps.set(value, bitmap);
+    return bitmap;
   }
 }
 
-function setBit(row: Uint32Array, i: number): void {
-  row[i >>> 5] = (row[i >>> 5] ?? 0) | (1 << (i & 31));
+function setBit(bitmap: Uint32Array, i: number): void {
+  bitmap[i >>> 5] = (bitmap[i >>> 5] ?? 0) | (1 << (i & 31));
 }
 
 /** Evaluates rules with an index, so that a decision inspects only rules that can match. */
@@ -72,14 +73,14 @@
 
   /** Returns the decision of the first matching rule, or an empty action if no rule matches. */
   decide(facts: RequestFacts): Decision {
-    const rows = this._indexes.map((index, i) => index.accepting(facts[FIELDS[i] ?? 'kind'] ?? ''));
+    const bitmaps = this._indexes.map((index, i) => index.accepting(facts[FIELDS[i] ?? 'kind'] ?? ''));
     for (let word = 0; word < this._wordCount; word++) {
       let bits = 0xffffffff;
-      for (const row of rows) bits &= row[word] ?? 0;
+      for (const bitmap of bitmaps) bits &= bitmap[word] ?? 0;
       while (bits !== 0) {
         const bit = 31 - Math.clz32(bits & -bits);
         const rule = this.document.rules[word * WORD_BITS + bit];
-        if (rule && this._otherConditionsHold(rule, facts)) return this._decision(rule);
+        if (rule && this._unindexedConditionsHold(rule, facts)) return this._decision(rule);
         bits &= bits - 1;
       }
     }
@@ -88,20 +89,20 @@
 
   /** Returns all rules up to the one that decides, each with its failed conditions. */
   explain(facts: RequestFacts): readonly Explanation[] {
-    const lines: Explanation[] = [];
+    const explanations: Explanation[] = [];
     for (const rule of this.document.rules) {
       const failed = this._failedConditions(rule, facts);
-      lines.push({ ruleId: rule.id, matched: failed.length === 0, failed });
+      explanations.push({ ruleId: rule.id, matched: failed.length === 0, failed });
       if (failed.length === 0) break;
     }
-    return lines;
+    return explanations;
   }
 
   private _decision(rule: Rule): Decision {
     return { revision: this.document.revision, ruleId: rule.id, action: rule.then };
   }
 
-  private _otherConditionsHold(rule: Rule, facts: RequestFacts): boolean {
+  private _unindexedConditionsHold(rule: Rule, facts: RequestFacts): boolean {
     if (rule.when.hoursUtc && !isWithinHours(rule.when.hoursUtc, this._clock.wallMs())) return false;
     if (!hasPrefix(rule.when, facts.path ?? '')) return false;
     return this._stateConditions.get(rule.id)?.holds(facts.pool) ?? true;
--- a/packages/rules/src/ruleFile.ts
+++ b/packages/rules/src/ruleFile.ts
@@ -4,7 +4,7 @@
 import type * as z from 'zod';
 import { ruleListSchema, type Rule } from './model.js';
 
-/** Line numbers start at 1. */
+/** A problem in a rule file. Line numbers start at 1. */
 export interface FileProblem {
   readonly line: number;
   readonly text: string;
--- a/packages/rules/src/ruleHistory.ts
+++ b/packages/rules/src/ruleHistory.ts
@@ -10,7 +10,7 @@
   readonly edit: Edit;
 }
 
-/** The result of an offer. `gap`: the complete document is needed. */
+/** `taken`: accepted. `old`: not newer than the active rules. `gap`: the complete document is needed. */
 export type OfferResult = 'taken' | 'old' | 'gap';
 
 /** Recent edits that are retained to update peers without sending the complete document. */
--- a/packages/rules/src/simulate.ts
+++ b/packages/rules/src/simulate.ts
@@ -6,6 +6,7 @@
 
 export interface DecisionChange {
   readonly facts: RequestFacts;
+  /** The rules that decided before and after the change; undefined if none matched. */
   readonly before: string | undefined;
   readonly after: string | undefined;
 }
--- a/packages/rules/src/stateCondition.ts
+++ b/packages/rules/src/stateCondition.ts
@@ -1,7 +1,7 @@
 /**
  * State conditions with hysteresis.
  *
- * Load reports are delayed, so that without hysteresis all hosts would move their traffic back and forth at once.
+ * Load reports are delayed. Without hysteresis, all hosts would move their traffic back and forth simultaneously.
  */
 import type { Clock } from '@fuchsiahitch/base';
 import type { Signal } from './model.js';
@@ -20,17 +20,17 @@
   readonly sinceMs: number;
 }
 
-/** Evaluated separately for each pool. */
+/** A condition with hysteresis, evaluated separately for each pool. */
 export class StateCondition {
   private readonly _settings: StateConditionSettings;
   private readonly _clock: Clock;
   private readonly _readSignal: SignalReader;
   private readonly _states = new Map<string, ConditionState>();
 
-  constructor(settings: StateConditionSettings, clock: Clock, read: SignalReader) {
+  constructor(settings: StateConditionSettings, clock: Clock, readSignal: SignalReader) {
     this._settings = settings;
     this._clock = clock;
-    this._readSignal = read;
+    this._readSignal = readSignal;
   }
 
   holds(pool: string): boolean {
--- a/tests/rules.spec.ts
+++ b/tests/rules.spec.ts
@@ -268,22 +268,22 @@
 }
 
 function submit(host: SimHost, edit: Edit): { outcome: EditOutcome | undefined } {
-  const box: { outcome: EditOutcome | undefined } = { outcome: undefined };
+  const submission: { outcome: EditOutcome | undefined } = { outcome: undefined };
   host.process.run(() => {
     void host.ready.rules.submit(edit).then(outcome => {
-      box.outcome = outcome;
+      submission.outcome = outcome;
     });
   });
-  return box;
+  return submission;
 }
 
 await tap.test('should determine whether an edit was accepted when the response is lost', async t => {
   // Guards against a retry that applies an edit twice, or reverts a later one, after the first write took effect.
   const fleet = await fleetOf(1);
   fleet.store.loseAnswers = 1;
-  const box = submit(fleet.host('tekapo-0'), add('lost', rule('once')));
-  await fleet.until('told', () => box.outcome !== undefined);
-  t.match(box.outcome, { kind: 'accepted', revision: 1 });
+  const submission = submit(fleet.host('tekapo-0'), add('lost', rule('once')));
+  await fleet.until('told', () => submission.outcome !== undefined);
+  t.match(submission.outcome, { kind: 'accepted', revision: 1 });
   await fleet.until('active', () => revisions(fleet).every(revision => revision === 1));
   const again = submit(fleet.host('twizel-1'), add('lost', rule('once')));
   await fleet.until('outcome of the retry reported', () => again.outcome !== undefined);
@@ -293,9 +293,13 @@
 
 await tap.test('should accept all concurrent edits', async t => {
   const fleet = await fleetOf(2);
-  const boxes = [...fleet.hosts.values()].map((host, i) => submit(host, add(`race-${i}`, rule(`race-${i}`))));
-  await fleet.until('all outcomes reported', () => boxes.every(box => box.outcome !== undefined));
-  t.ok(boxes.every(box => box.outcome?.kind === 'accepted'));
+  const submissions = [...fleet.hosts.values()].map((host, i) =>
+    submit(host, add(`race-${i}`, rule(`race-${i}`))),
+  );
+  await fleet.until('all outcomes reported', () =>
+    submissions.every(submission => submission.outcome !== undefined),
+  );
+  t.ok(submissions.every(submission => submission.outcome?.kind === 'accepted'));
   await fleet.until('active', () => revisions(fleet).every(revision => revision === 4));
   t.same(
     fleet
@@ -313,9 +317,9 @@
   // read periodically, and pings carry revisions.
   const fleet = await fleetOf(3);
   fleet.store.areWatchesSilent = true;
-  const box = submit(fleet.host('tekapo-0'), add('quiet', rule('quiet')));
+  const submission = submit(fleet.host('tekapo-0'), add('quiet', rule('quiet')));
   await fleet.until('active', () => revisions(fleet).every(revision => revision === 1), 11_000);
-  t.match(box.outcome, { kind: 'accepted' });
+  t.match(submission.outcome, { kind: 'accepted' });
   await fleet.stop();
 });
 
@@ -397,7 +401,7 @@
 /** Applies random steps and checks that the revision of a process never decreases. */
 class RulesRun {
   readonly fleet: SimFleet;
-  readonly sent: { readonly edit: Edit; readonly box: { outcome: EditOutcome | undefined } }[] = [];
+  readonly sent: { readonly edit: Edit; readonly submission: { outcome: EditOutcome | undefined } }[] = [];
   private readonly _highest = new Map<SimHost, number>();
   private _count = 0;
 
@@ -442,7 +446,7 @@
 
   send(at: string, edit: Edit): void {
     const host = this.fleet.host(at);
-    if (host.services) this.sent.push({ edit, box: submit(host, edit) });
+    if (host.services) this.sent.push({ edit, submission: submit(host, edit) });
   }
 
   checkRevisions(): void {
@@ -473,10 +477,12 @@
   fleet.store.isDown = false;
   fleet.store.loseAnswers = 0;
   await fleet.clock.advance(20_000);
-  const undecided = sent.filter(({ box }) => box.outcome === undefined || box.outcome.kind === 'unknown');
+  const undecided = sent.filter(
+    ({ submission }) => submission.outcome === undefined || submission.outcome.kind === 'unknown',
+  );
   for (const { edit } of undecided) run.send('tekapo-0', edit);
   await fleet.until('all edits decided', () =>
-    sent.slice(-undecided.length).every(({ box }) => box.outcome !== undefined),
+    sent.slice(-undecided.length).every(({ submission }) => submission.outcome !== undefined),
   );
   await fleet.until(
     'all hosts agree',
@@ -492,7 +498,7 @@
 
 function checkAccepted(run: RulesRun, rules: readonly Rule[]): void {
   const accepted = run.sent
-    .filter(({ box }) => box.outcome?.kind === 'accepted')
+    .filter(({ submission }) => submission.outcome?.kind === 'accepted')
     .map(({ edit }) => edit.operation);
   const removed = new Set(accepted.map(one => (one.op === 'remove' ? one.id : '')));
   for (const operation of accepted) {
@@ -522,7 +528,7 @@
         const rules = await converge(run);
         run.checkRevisions();
         checkAccepted(run, rules);
-        accepted += run.sent.filter(({ box }) => box.outcome?.kind === 'accepted').length;
+        accepted += run.sent.filter(({ submission }) => submission.outcome?.kind === 'accepted').length;
         await run.fleet.stop();
       },
     );
