--- a/packages/steps/src/model.ts
+++ b/packages/steps/src/model.ts
@@ -34,7 +34,7 @@
     maxTokens: z.number().int().min(1).max(1_000_000),
     /** The number of weight versions by which a sample's oldest tokens may lag behind the trainer. */
     stalenessVersions: z.number().int().min(0).max(1000),
-    /** The maximum age of a sample since its generation was assigned. */
+    /** The maximum age of a sample, measured from the assignment of its slot. */
     stalenessMs: z.number().int().min(1000),
     /** The maximum duration of the step. Incomplete groups are reported as failed. */
     deadlineMs: z.number().int().min(1000),
--- a/packages/steps/src/provenance.ts
+++ b/packages/steps/src/provenance.ts
@@ -1,6 +1,6 @@
 /**
- * Records which weight versions produced a sample. Uses only the versions in the engine's stream, because a swap
- * that was ordered can fail or complete in the middle of a sample.
+ * Records which weight versions produced a sample. Uses only the versions in the engine's stream, because an
+ * ordered swap can fail, or complete in the middle of a sample.
  */
 import { err, ok, type Result } from '@fuchsiahitch/base';
 import type { Span } from './model.js';
@@ -13,6 +13,7 @@
   private readonly _spans: { version: number; tokens: number }[] = [];
   private _isProvable = true;
 
+  /** Adds the tokens of a chunk. `version` is undefined if the engine did not state it. */
   add(version: number | undefined, tokens: number): void {
     if (tokens === 0) return;
     if (version === undefined) {
--- a/packages/steps/src/staleness.ts
+++ b/packages/steps/src/staleness.ts
@@ -1,6 +1,6 @@
 /**
- * Staleness is checked at each hand-over against the version in the trainer's call, because a sample that was fresh
- * when sealed can be stale when it is fetched again.
+ * Staleness is checked at each delivery against the version in the trainer's call, because a sample that was fresh when
+ * its chunk was sealed can be stale when the chunk is requested again.
  */
 import type { Span } from './model.js';
 
--- a/packages/steps/src/stepLedger.ts
+++ b/packages/steps/src/stepLedger.ts
@@ -1,6 +1,4 @@
-/**
- * The owner's state of the slots of a step. Each slot is filled by exactly one sample.
- */
+/** The state of a step's slots at its owner. Each slot is filled by exactly one sample. */
 import type { Clock, Random } from '@fuchsiahitch/base';
 import type { Sample, StepSpec } from './model.js';
 import { isFresh } from './staleness.js';
@@ -11,7 +9,7 @@
   readonly prompt: string;
 }
 
-/** Slots that are assigned in one call and renewed together. */
+/** Slots that are assigned in one call and whose lease is renewed together. */
 export interface AssignmentBatch {
   readonly batch: number;
   readonly assignments: readonly Assignment[];
@@ -27,7 +25,7 @@
   readonly worker: string;
   readonly batch: number;
   readonly assignedMs: number;
-  /** Its sample was replaced. Repeated messages must not restore it. */
+  /** True if its sample was replaced. Repeated messages must not restore it. */
   isRetired: boolean;
 }
 
@@ -68,17 +66,17 @@
 }
 
 /**
- * A batch that is not renewed for this long is reassigned. Covers lost replies, and failures of workers in other
- * failure domains, which are not observed.
+ * A batch that is not renewed for this long is reassigned. Covers lost replies and failures of workers in other failure
+ * domains, which this host does not detect.
  */
 export const BATCH_LEASE_MS = 10_000;
-/** Failures caused by the prompt after which its slot is abandoned. */
+/** A slot fails after this number of failures that its prompt caused. */
 export const MAX_FAILURES_PER_SLOT = 4;
-/** Engine terminations after which the group of a prompt is abandoned, before it terminates the whole pool. */
+/** A group fails after this number of engine terminations, so that its prompt does not terminate the whole pool. */
 export const MAX_ENGINE_TERMINATIONS = 3;
 /** Failures on the same engine within this time count as one termination. */
 const SAME_TERMINATION_MS = 1000;
-/** Stragglers are hedged when at most this share of the slots is still assigned. */
+/** Stragglers are hedged once at most this share of the slots is still assigned. */
 const HEDGE_TAIL_SHARE = 0.1;
 /** A straggler takes longer than this multiple of the median duration. */
 const STRAGGLER_FACTOR = 2;
@@ -109,7 +107,7 @@
     this._hedgeShare = hedgeShare;
     this._groups = makeGroups(spec);
     this._slots = this._groups.flat();
-    // The longest group is popped first, because a long sample that is started last delays the step.
+    // The longest group is popped first, because a long sample that starts last delays the step.
     const expected = (slot: Slot): number => spec.groups[slot.group]?.expectedTokens ?? 0;
     this._queue = [...this._slots].sort((a, b) => expected(a) - expected(b) || b.index - a.index);
   }
@@ -149,7 +147,7 @@
   }
 
   hasWork(): boolean {
-    return this._queue.some(slot => slot.state.kind === 'open') || this._isTail();
+    return this._queue.some(slot => slot.state.kind === 'open') || this._canHedge();
   }
 
   /**
@@ -170,7 +168,7 @@
     return 'taken';
   }
 
-  /** Accepts a sample that a worker retained for a former owner. `requestedMs`: when it was requested. */
+  /** Accepts a sample that a worker generated for a former owner. `requestedMs`: when this host requested it. */
   adopt(sample: Sample, requestedMs: number): void {
     const slot = this._slots[sample.slot];
     const existing = this._attempts.get(sample.sampleId);
@@ -188,7 +186,7 @@
     this._fill(slot, sample, ageStartMs);
   }
 
-  /** `isOwnFault`: the cause is the prompt, not the engine or the host. */
+  /** Ends a failed attempt. `isOwnFault`: the cause is the prompt, not the engine or the host. */
   sampleFailed(sampleId: string, isOwnFault: boolean): void {
     const failed = this._attempts.get(sampleId);
     if (!failed) return;
@@ -308,7 +306,7 @@
     return counts;
   }
 
-  /** The number of samples reported for filled slots. */
+  /** The number of samples that arrived for slots that were already filled. */
   duplicates(): number {
     return this._duplicates;
   }
@@ -358,7 +356,7 @@
     this._queue.push(slot);
   }
 
-  private _isTail(): boolean {
+  private _canHedge(): boolean {
     if (this._hedges >= this._hedgeShare * this._slots.length) return false;
     const assigned = this._slots.filter(slot => slot.state.kind === 'assigned');
     const isTail = assigned.length <= Math.max(1, HEDGE_TAIL_SHARE * this._slots.length);
@@ -366,9 +364,12 @@
   }
 
   private _nextStraggler(worker: string): Slot | undefined {
-    if (!this._isTail()) return undefined;
-    const isElsewhere = (slot: Slot): boolean => !slot.attempts.some(attempt => attempt.worker === worker);
-    const slot = this._slots.find(s => s.state.kind === 'assigned' && this._isStraggler(s) && isElsewhere(s));
+    if (!this._canHedge()) return undefined;
+    const isOnOtherWorker = (slot: Slot): boolean =>
+      !slot.attempts.some(attempt => attempt.worker === worker);
+    const slot = this._slots.find(
+      s => s.state.kind === 'assigned' && this._isStraggler(s) && isOnOtherWorker(s),
+    );
     if (slot) this._hedges += 1;
     return slot;
   }
--- a/packages/steps/src/stepMessages.ts
+++ b/packages/steps/src/stepMessages.ts
@@ -1,6 +1,4 @@
-/**
- * Trainer calls, and messages about steps between hosts.
- */
+/** Calls of trainers, and messages about steps between hosts. */
 import * as z from 'zod';
 import { sampleSchema, stepSpecSchema } from './model.js';
 
@@ -111,7 +109,7 @@
   })
   .readonly();
 
-/** Renews the batches of a worker. */
+/** Renews the leases of a worker's batches. */
 export const workAliveSchema = z
   .strictObject({ key, batches: z.array(count).max(4096).readonly() })
   .readonly();
--- a/packages/steps/src/stepOwner.ts
+++ b/packages/steps/src/stepOwner.ts
@@ -1,8 +1,8 @@
 /**
  * The owner of a step: answers the trainer's take calls so that each sample is delivered exactly once.
  *
- * A trainer that sends the slots it holds serializes deliveries itself, without the store. For other trainers, the
- * manifest of each chunk is sealed by a fenced write before hand-over (docs/design/ledger.md).
+ * For a trainer that reports the slots it holds, these reports are sufficient. For other trainers, the manifest of each
+ * chunk is sealed by a fenced write to the store before delivery (docs/design/ledger.md).
  */
 import { err, ok, type Clock, type Random, type Result } from '@fuchsiahitch/base';
 import type { Sample, StepSpec } from './model.js';
@@ -59,7 +59,7 @@
     this._isFenced = true;
   }
 
-  /** True once another host owns the step. This object must then be dropped. */
+  /** True once another host owns the step. This object must then be discarded. */
   isFenced(): boolean {
     return this._isFenced;
   }
@@ -111,8 +111,8 @@
   }
 
   /**
-   * True if the trainer holds a chunk that this host does not have, because another host handed it over while
-   * this process was paused. Continuing would mark samples as delivered that never were.
+   * True if the trainer holds a chunk that this host does not have, because another host delivered it while this
+   * process was paused. Continuing would mark samples as delivered that never were.
    */
   private _isBehindTrainer(request: TakeRequest): boolean {
     if (request.cursor === 0 || this._head.state !== 'open') return false;
@@ -121,10 +121,10 @@
     return request.generation > 0 && !last.generations.some(one => one.generation === request.generation);
   }
 
-  /** Closes the step. For a trainer without receipts, only the current owner may report that it is over. */
-  private async _endStep(over: TakeReply, request: TakeRequest): Promise<TakeReply> {
+  /** Closes the step. To a trainer that does not report its slots, only the current owner may reply that it is over. */
+  private async _endStep(overReply: TakeReply, request: TakeRequest): Promise<TakeReply> {
     const closed = await this._close('closed');
-    if (closed.ok || request.held) return over;
+    if (closed.ok || request.held) return overReply;
     return this._storeFailed(closed.error);
   }
 
@@ -150,17 +150,17 @@
     if (!isLast) this._chunks.delete(chunk.chunk);
   }
 
-  /** Hands over any ready samples, because the trainer reports the slots that it holds. */
+  /** Delivers any ready samples without sealing, because the trainer reports the slots that it holds. */
   private _takeUnsealed(request: TakeRequest): TakeReply {
     const ready = this.ledger.readyGroups(request.trainerVersion, request.maxSamples);
     if (ready.length === 0) return this._noneReady();
-    return this._handOver(request.cursor, 1, ready);
+    return this._chunkReply(request.cursor, 1, ready);
   }
 
   private async _takeSealed(request: TakeRequest): Promise<TakeReply> {
     const sealed = this._chunks.get(request.cursor);
     const ready = sealed ? this._deliverableSamples(sealed, request) : undefined;
-    if (sealed && ready) return this._handOver(sealed.chunk, sealed.generations.length, ready);
+    if (sealed && ready) return this._chunkReply(sealed.chunk, sealed.generations.length, ready);
     if (sealed) this._reopenStale(sealed, request.trainerVersion);
     const groups = this.ledger.readyGroups(request.trainerVersion, request.maxSamples);
     if (groups.length === 0) return this._noneReady();
@@ -187,7 +187,7 @@
     // Samples may have become stale during the write.
     const ready = this._deliverableSamples(chunk, request);
     return ready
-      ? this._handOver(chunk.chunk, generation, ready)
+      ? this._chunkReply(chunk.chunk, generation, ready)
       : this._waitReply('generating', RETRY_AFTER_MS);
   }
 
@@ -209,7 +209,7 @@
     }
   }
 
-  private _handOver(chunk: number, generation: number, ready: readonly ReadySample[]): TakeReply {
+  private _chunkReply(chunk: number, generation: number, ready: readonly ReadySample[]): TakeReply {
     const nowMs = this._options.clock.nowMs();
     const samples = ready.map(({ sample, ageStartMs }) => ({ ...sample, ageMs: nowMs - ageStartMs }));
     return { kind: 'chunk', chunk, generation, samples, progress: this.ledger.counts() };
--- a/packages/steps/src/stepStore.ts
+++ b/packages/steps/src/stepStore.ts
@@ -1,4 +1,4 @@
-/** The state of a step in the platform's key-value service. Calls grow with chunks, not with samples. */
+/** The stored state of a step. The number of store calls grows with its chunks, not with its samples. */
 import * as z from 'zod';
 import type { Result } from '@fuchsiahitch/base';
 import type { StepSpec } from './model.js';
@@ -27,7 +27,7 @@
   .readonly();
 export type Manifest = z.infer<typeof manifestSchema>;
 
-/** All generations of a chunk. The trainer's receipt names the one that it holds. */
+/** All generations of a chunk. The trainer's take call states the one that it holds. */
 export const chunkSchema = z
   .strictObject({ chunk: z.number().int().min(0), generations: z.array(manifestSchema).min(1).readonly() })
   .readonly();
--- a/tests/stepMatrix.spec.ts
+++ b/tests/stepMatrix.spec.ts
@@ -46,12 +46,12 @@
     owner.process.kill();
     fleet.clock.after(OUTAGE_MS, () => void fleet.startHost(owner.domain, owner.id));
   },
-  'worker killed for good': ({ fleet }) => {
+  'worker killed permanently': ({ fleet }) => {
     const owner = ownerOf(fleet);
     const worker = fleet.liveHosts().find(host => host !== owner && host.ready.rollouts.running() > 0);
     worker?.process.kill();
   },
-  'entry host paused and woken': ({ fleet }) => {
+  'entry host paused and resumed': ({ fleet }) => {
     const owner = ownerOf(fleet);
     owner.process.pause();
     fleet.clock.after(OUTAGE_MS, () => owner.process.resume());
@@ -68,7 +68,7 @@
   "store's answer lost": ({ fleet }) => {
     fleet.store.loseAnswers = 2;
   },
-  'lease lapsed': ({ fleet }) => fleet.store.expireLeases(),
+  'lease expired': ({ fleet }) => fleet.store.expireLeases(),
   'swap failed': ({ fleet, trainer }) => {
     for (const engine of fleet.engines.values()) engine.failSwaps = 1;
     trainer.version += 1;
@@ -85,7 +85,7 @@
   "scorer's answer lost": ({ fleet }) => {
     fleet.scorer.loseAnswers = 2;
   },
-} satisfies Record<string, (scene: FaultContext) => void>;
+} satisfies Record<string, (context: FaultContext) => void>;
 type Fault = keyof typeof FAULTS;
 const FAULT_NAMES = Object.keys(FAULTS) as Fault[];
 
@@ -95,14 +95,14 @@
   ['entry host killed', "store's answer lost"],
   ['entry host killed', 'engine crash'],
   ['entry host killed', "trainer's connection broken"],
-  ['entry host killed', 'worker killed for good'],
-  ['entry host paused and woken', 'store down'],
-  ['entry host paused and woken', "store's answer lost"],
-  ['entry host paused and woken', "trainer's connection broken"],
-  ['entry host paused and woken', 'partition between domains'],
+  ['entry host killed', 'worker killed permanently'],
+  ['entry host paused and resumed', 'store down'],
+  ['entry host paused and resumed', "store's answer lost"],
+  ['entry host paused and resumed', "trainer's connection broken"],
+  ['entry host paused and resumed', 'partition between domains'],
   ['partition to the platform', 'entry host killed'],
   ['swap failed', 'engine crash'],
-  ["scorer's answer lost", 'worker killed for good'],
+  ["scorer's answer lost", 'worker killed permanently'],
 ];
 
 function specOf(): StepSpec {
--- a/tests/steps.spec.ts
+++ b/tests/steps.spec.ts
@@ -61,7 +61,7 @@
   const [slow, ...fast] = assignments;
   await clock.advance(100);
   for (const one of fast) ledger.sampleDone(sampleOf(one));
-  t.same(ledger.assign('w2', 5).assignments, [], 'not a straggler yet');
+  t.same(ledger.assign('w2', 5).assignments, [], 'the slow sample is not a straggler yet');
   await clock.advance(200);
   const [hedge] = ledger.assign('w2', 5).assignments;
   t.equal(hedge?.slot, slow?.slot);
@@ -106,10 +106,10 @@
   for (const one of ledger.assign('w', 8).assignments) ledger.engineTerminated(one.sampleId, 'engine-1');
   t.same(ledger.failedGroups(), [], 'eight slots failed with one engine');
   for (const engine of ['engine-2', 'engine-3', 'engine-4']) {
-    const [made, broken] = ledger.assign('w', 2).assignments;
-    if (!made || !broken) return t.end();
+    const [completed, broken] = ledger.assign('w', 2).assignments;
+    if (!completed || !broken) return t.end();
     ledger.engineTerminated(broken.sampleId, engine);
-    ledger.sampleDone(sampleOf(made));
+    ledger.sampleDone(sampleOf(completed));
   }
   t.same(ledger.failedGroups(), []);
   return t.end();
