--- a/tests/steps.spec.ts
+++ b/tests/steps.spec.ts
@@ -106,10 +106,10 @@
   for (const one of ledger.assign('w', 8).assignments) ledger.engineTerminated(one.sampleId, 'engine-1');
   t.same(ledger.failedGroups(), [], 'eight slots failed with one engine');
   for (const engine of ['engine-2', 'engine-3', 'engine-4']) {
-    const [completed, broken] = ledger.assign('w', 2).assignments;
-    if (!completed || !broken) return t.end();
+    const [made, broken] = ledger.assign('w', 2).assignments;
+    if (!made || !broken) return t.end();
     ledger.engineTerminated(broken.sampleId, engine);
-    ledger.sampleDone(sampleOf(completed));
+    ledger.sampleDone(sampleOf(made));
   }
   t.same(ledger.failedGroups(), []);
   return t.end();
