--- a/packages/orders/src/loadChoice.ts
+++ b/packages/orders/src/loadChoice.ts
@@ -11,9 +11,9 @@
   readonly id: string;
   /** The version that it has or is loading. */
   readonly version: number;
-  /** The number of running requests. The least loaded endpoint loads first. */
+  /** The estimated requests at the endpoint. The least loaded one loads first. */
   readonly load: number;
-  /** False while it loads, or if a former leaseholder ordered a load too recently. It counts, but gets no order. */
+  /** False while it loads, or while no lease holder may order it. It counts in the shares, but no load is due for it. */
   readonly acceptsOrders: boolean;
 }
 
--- a/packages/requests/src/requestFingerprint.ts
+++ b/packages/requests/src/requestFingerprint.ts
@@ -13,14 +13,14 @@
   readonly bodyBytes?: number;
 }
 
-/** Returns the prefix of the fingerprint. It is known without the body: it covers the request line and body length. */
+/** Returns the prefix of the fingerprint, which covers the request line and body length and does not need the body. */
 export function targetDigest(request: RequestIdentity): string {
   const { host, method, target } = request;
   const bodyBytes = request.bodyBytes ?? request.body?.length ?? 0;
   return digest(`${method} ${host} ${target} ${bodyBytes}`);
 }
 
-/** Covers the complete body. */
+/** Returns the fingerprint, which covers the caller and the complete body. */
 export function requestFingerprint(request: RequestIdentity): string {
   const { caller, host, method, target, body } = request;
   const identity = strongDigest([caller, host, method, target, body ?? '']);
--- a/tests/requests.spec.ts
+++ b/tests/requests.spec.ts
@@ -40,7 +40,7 @@
 });
 
 await tap.test('should drop answers of an earlier attempt', t => {
-  // Guards against matching answers without their attempt: the head of a broken one can arrive after the next was sent.
+  // Guards against using an answer of a broken attempt, whose head can arrive after the next attempt was sent.
   const run = new RequestRun(1000);
   const first = run.send() ?? 0;
   run.brokenRetryable(first);
--- a/tests/stepMatrix.spec.ts
+++ b/tests/stepMatrix.spec.ts
@@ -1,7 +1,6 @@
 /**
- * Fault matrix of samples: every fault at every stage of a sample's life cycle. Each cell runs hosts on a virtual
- * clock, injects the fault when a sample reaches the stage for the third time, and checks that every slot was
- * delivered exactly once, with correct provenance, within its staleness bound, and scored once.
+ * Fault matrix of samples: every fault at every stage of a sample's life cycle. Checks that every slot is delivered
+ * exactly once, with correct provenance, within its staleness bound, and scored once.
  */
 import tap from 'tap';
 import type { StepSpec } from '@fuchsiahitch/steps';
@@ -30,6 +29,7 @@
 
 const OUTAGE_MS = 12_000;
 const STEP_TIMEOUT_MS = 200_000;
+/** Faults are injected at this occurrence of a stage, or at the first one of `opened` and `sealed`. */
 const OCCURRENCE = 3;
 
 function ownerOf(fleet: SimFleet): SimHost {
