--- a/tests/fleetCost.spec.ts
+++ b/tests/fleetCost.spec.ts
@@ -1,44 +1,13 @@
 /**
- * Bounds on the work of a fleet by its size: store calls, peer calls, decoded records and timers.
+ * Bounds on the work of an idle fleet by its size: store calls, peer calls, decoded records and timers.
  */
 import tap from 'tap';
-import { GatewayFleet, type FleetHost, type FleetSize } from './gatewayFleet.js';
+import { countsOf, SIZES, type Counts } from './fleetCounts.js';
+import { GatewayFleet, type FleetSize } from './gatewayFleet.js';
 
-const SIZES: readonly FleetSize[] = [
-  { hosts: 9, domains: 3, endpoints: 11 },
-  { hosts: 49, domains: 4, endpoints: 35 },
-  { hosts: 165, domains: 5, endpoints: 48 },
-];
 const SETTLE_MS = 8000;
 const MEASURED_S = 10;
 
-interface Counts {
-  /** Store calls without lease renewals, which the store answers from memory. */
-  readonly storeCalls: number;
-  readonly renewals: number;
-  readonly peerCalls: number;
-  readonly peerBytes: number;
-  readonly decoded: number;
-  readonly timers: number;
-}
-
-function sum(hosts: readonly FleetHost[], read: (host: FleetHost) => number): number {
-  return hosts.reduce((total, host) => total + read(host), 0);
-}
-
-function countsOf(fleet: GatewayFleet): Counts {
-  const { hosts, store } = fleet;
-  const renewals = store.calls.filter(call => call === 'keepLease').length;
-  return {
-    storeCalls: store.calls.length - renewals,
-    renewals,
-    peerCalls: sum(hosts, host => [...host.calls.values()].reduce((a, b) => a + b, 0)),
-    peerBytes: sum(hosts, host => host.sentBytes),
-    decoded: sum(hosts, host => host.records.decoded),
-    timers: sum(hosts, host => host.timers),
-  };
-}
-
 /** The counts per second of an idle fleet. */
 async function measureIdleRates(size: FleetSize): Promise<Counts> {
   const fleet = new GatewayFleet(size);
@@ -97,17 +66,3 @@
   for (const { size, counts, label } of idleMeasurements) t.ok(counts.timers / size.hosts <= 50, label);
   t.end();
 });
-
-await tap.test('should read the store only a few times when all hosts start at once', async t => {
-  // Guards against a number of store calls that is quadratic in the number of hosts.
-  for (const size of SIZES) {
-    const fleet = new GatewayFleet(size);
-    await fleet.start();
-    await fleet.clock.advance(5000);
-    const { storeCalls } = countsOf(fleet);
-    fleet.stop();
-    // Three snapshots, a lease and its key, twice while watches are not shared yet; and the watches of the domains.
-    const maxCalls = 10 * size.hosts + 6 * 5 * size.domains;
-    t.ok(storeCalls <= maxCalls, `${size.hosts} hosts: ${storeCalls} calls`);
-  }
-});
