--- a/packages/orders/src/loadChoice.ts
+++ b/packages/orders/src/loadChoice.ts
@@ -13,7 +13,7 @@
   readonly version: number;
   /** The estimated requests at the endpoint. The least loaded one loads first. */
   readonly load: number;
-  /** False while it loads, or while no lease holder may order it. It counts in the shares, but no load is due for it. */
+  /** False while it loads, or while no lease holder may order it. It counts in the shares, but is never due. */
   readonly acceptsOrders: boolean;
 }
 
--- a/packages/steps/src/stepOwner.ts
+++ b/packages/steps/src/stepOwner.ts
@@ -1,8 +1,8 @@
 /**
  * The owner of a step: answers the trainer's take calls so that each sample is delivered exactly once.
  *
- * If a trainer reports the slots it holds, no stored record of deliveries is needed. For other trainers, the manifest of
- * each chunk is sealed by a fenced write to the store before delivery (docs/design/ledger.md).
+ * If a trainer reports the slots it holds, no stored record of deliveries is needed. For other trainers, the manifest
+ * of each chunk is sealed by a fenced write to the store before delivery (docs/design/ledger.md).
  */
 import { err, ok, type Clock, type Random, type Result } from '@fuchsiahitch/base';
 import type { Sample, StepSpec } from './model.js';
