--- a/tests/accounts.spec.ts
+++ b/tests/accounts.spec.ts
@@ -171,7 +171,7 @@
   service.start();
   await clock.advance(200);
   t.equal(service.access(key('new'), false).kind, 'denied');
-  client.mode = 'away';
+  client.mode = 'refusing';
   await clock.advance(5000);
   t.equal(service.access(key('new'), false).kind, 'unsure');
   t.equal(service.access(key('ann-1'), false).kind, 'granted', 'known keys are still served');
--- a/tests/batchEnds.spec.ts
+++ b/tests/batchEnds.spec.ts
@@ -76,7 +76,7 @@
           const endMs = await endElsewhere(world, a, b);
           t.ok(sentMs.length > 0, 'items were sent before');
           await world.clock.advance(backMs);
-          a.storeClient.mode = 'well';
+          a.storeClient.mode = 'available';
           a.storeClient.callDelayMs = slowMs;
           await world.clock.advance(MAX_AFTER_END_MS + OBSERVATION_MS - backMs);
           const lateCalls = describeLate(sentMs, endMs);
@@ -133,7 +133,7 @@
       await world.clock.advance(2400);
       const endMs = await endElsewhere(world, a, b);
       await world.clock.advance(backMs);
-      a.storeClient.mode = 'well';
+      a.storeClient.mode = 'available';
       await world.clock.advance(MAX_AFTER_END_MS + OBSERVATION_MS - backMs);
       const lateCalls = describeLate(sentMs, endMs);
       if (lateCalls !== '') found.push(`unresponsive to ${backMs} ms after the end: ${lateCalls}`);
@@ -163,7 +163,7 @@
     const other = b.self();
     b.kill();
     world.expireLease('b');
-    a.storeClient.mode = 'well';
+    a.storeClient.mode = 'available';
     await world.until(a.batches.adoptFrom('b1', other));
     await world.clock.advance(100);
     for (let ms = 0; ms <= 4000; ms += 500) {
--- a/tests/batchService.spec.ts
+++ b/tests/batchService.spec.ts
@@ -123,9 +123,9 @@
   await world.clock.advance(900);
   world.store.loseAnswers = 1;
   await world.clock.advance(1000);
-  a.storeClient.mode = 'away';
+  a.storeClient.mode = 'refusing';
   await world.clock.advance(1000);
-  a.storeClient.mode = 'well';
+  a.storeClient.mode = 'available';
   await world.clock.advance(1300);
   a.kill();
   world.expireLease('a');
@@ -233,7 +233,7 @@
   if (!a || !b) return;
   world.client.script = () => ({ events: 100, end: { kind: 'done' }, eventMs: 20 });
   await submit(world, a);
-  a.storeClient.mode = 'away';
+  a.storeClient.mode = 'refusing';
   await world.clock.advance(1500);
   t.equal((await read(world, b)).kind, 'unsure', 'its lease is still valid');
   world.expireLease('a');
@@ -251,13 +251,13 @@
   if (!a || !b) return;
   world.client.script = () => ({ events: 400, end: { kind: 'done' }, eventMs: 20 });
   await submit(world, a);
-  a.storeClient.mode = 'away';
+  a.storeClient.mode = 'refusing';
   world.expireLease('a');
   world.blockedLinks.add('b-a');
   await world.clock.advance(1000);
   await read(world, b);
   t.equal(b.batches.ownedCount(), 1);
-  a.storeClient.mode = 'well';
+  a.storeClient.mode = 'available';
   await read(world, a);
   t.equal(a.batches.ownedCount(), 0);
   t.ok(world.client.cancelled.length >= 3, 'the previous owner cancelled its attempts');
@@ -287,7 +287,7 @@
   if (!a) return;
   world.client.script = () => ({ events: 400, end: { kind: 'done' }, eventMs: 20 });
   await submit(world, a);
-  a.storeClient.mode = 'away';
+  a.storeClient.mode = 'refusing';
   await world.clock.advance(1000);
   t.equal((await read(world, a, 0, 100)).kind, 'unsure');
   world.stop();
@@ -297,7 +297,7 @@
   const [world, a] = await startHosts('a');
   if (!a) return;
   t.equal((await read(world, a)).kind, 'no-batch');
-  a.storeClient.mode = 'away';
+  a.storeClient.mode = 'refusing';
   t.equal((await read(world, a)).kind, 'unsure');
   world.stop();
 });
@@ -422,7 +422,7 @@
   await submit(world, a);
   a.storeClient.mode = 'silent';
   await world.clock.advance(5000);
-  a.storeClient.mode = 'well';
+  a.storeClient.mode = 'available';
   await world.clock.advance(2500);
   const page = await read(world, a);
   t.ok(page.kind === 'page' && page.page.results.length === 3);
--- a/tests/batchStore.spec.ts
+++ b/tests/batchStore.spec.ts
@@ -56,9 +56,9 @@
   const batches = new BatchStore(testContext(clock), client);
   store.delayNextWriteMs = 3000;
   const pending = batches.accept(BATCH, A, deadline(1000));
-  client.mode = 'well';
+  client.mode = 'available';
   await clock.advance(50);
-  client.mode = 'away';
+  client.mode = 'refusing';
   const outcome = await within(clock, pending, 1500);
   t.equal(outcome.kind, 'unknown');
   await clock.advance(3000);
@@ -68,7 +68,7 @@
 await tap.test('should report "not done" when the store executed nothing', async t => {
   const { clock, store, deadline } = world();
   const client = store.client();
-  client.mode = 'away';
+  client.mode = 'refusing';
   const batches = new BatchStore(testContext(clock), client);
   const outcome = await within(clock, batches.accept(BATCH, A, deadline(1000)), 1500);
   t.equal(outcome.kind, 'not-done');
@@ -78,11 +78,11 @@
 await tap.test('should accept a batch if the store becomes available before the deadline', async t => {
   const { clock, store, deadline } = world();
   const client = store.client();
-  client.mode = 'away';
+  client.mode = 'refusing';
   const batches = new BatchStore(testContext(clock), client);
   const pending = batches.accept(BATCH, A, deadline(6000));
   await clock.advance(4500);
-  client.mode = 'well';
+  client.mode = 'available';
   t.equal((await within(clock, pending, 500)).kind, 'accepted');
 });
 
--- a/tests/claimLease.spec.ts
+++ b/tests/claimLease.spec.ts
@@ -106,7 +106,7 @@
     t.equal(await world.until(end), 'unsure');
     await world.clock.advance(3000);
     t.equal(world.client.items.length, sent);
-    a.storeClient.mode = 'well';
+    a.storeClient.mode = 'available';
     t.equal(await world.until(a.batches.end('b1')), 'ended');
     world.stop();
   },
--- a/tests/configuration.spec.ts
+++ b/tests/configuration.spec.ts
@@ -20,7 +20,7 @@
     await clock.advance(200);
     client.mode = 'silent';
     await clock.advance(silentMs + 1000);
-    client.mode = 'well';
+    client.mode = 'available';
     store.put(keys.configurationKey, JSON.stringify({ revision: 2, route: route(), models: ['m'] }));
     await clock.advance(1950);
     const result = configuration.route('quests', '/run/x');
--- a/tests/dutyStandIn.ts
+++ b/tests/dutyStandIn.ts
@@ -6,7 +6,7 @@
 import { totalOf, type UsageReport } from '@fuchsiahitch/metering';
 
 /** `late`: not answered, and executed seconds later, as the platform may do with any call. */
-export type DutyMode = 'well' | 'silent' | 'busy' | 'away' | 'lost' | 'late';
+export type DutyMode = 'available' | 'silent' | 'busy' | 'unreachable' | 'lost' | 'late';
 
 const ANSWER_MS = 2;
 const SILENT_MS = 1500;
@@ -17,7 +17,7 @@
 }
 
 export class DutyStandIn {
-  mode: DutyMode = 'well';
+  mode: DutyMode = 'available';
   /** Hosts that cannot reach the stand-in. */
   readonly unreachableFrom = new Set<string>();
   readonly reports = new Map<number, UsageReport>();
@@ -50,14 +50,14 @@
 
   private async _call(hostId: string, act: DutyHolder, execute: () => void): Promise<DutyAnswer> {
     await sleep(this._clock, ANSWER_MS);
-    const mode = this.unreachableFrom.has(hostId) ? 'away' : this.mode;
-    if (mode === 'away') return 'unreached';
+    const mode = this.unreachableFrom.has(hostId) ? 'unreachable' : this.mode;
+    if (mode === 'unreachable') return 'unreached';
     if (mode === 'late') return this._executeLate(execute);
     this._checkRules({ ...act, hostId, atMs: this._clock.nowMs() });
     if (mode === 'busy') return 'busy';
     if (this.isSoldOut) return 'refused';
     if (mode !== 'silent') execute();
-    if (mode === 'well') return 'accepted';
+    if (mode === 'available') return 'accepted';
     await sleep(this._clock, SILENT_MS);
     return 'unknown';
   }
--- a/tests/endedReads.spec.ts
+++ b/tests/endedReads.spec.ts
@@ -92,7 +92,7 @@
       } else {
         refusals += 1;
         if (refusals < MAX_REFUSALS) continue;
-        if (host.storeClient.mode === 'well') this._report(`${outcome.kind} ${where}`);
+        if (host.storeClient.mode === 'available') this._report(`${outcome.kind} ${where}`);
         return;
       }
     } while (after < count);
@@ -214,7 +214,7 @@
     await world.clock.advance(outageMs);
     await readers.read(c, 'from the store');
     t.equal(readers.returnedCount(), 3);
-    a.storeClient.mode = 'well';
+    a.storeClient.mode = 'available';
     for (let passedMs = 0; passedMs < 1500; passedMs += 50) {
       await readers.readAt([a, b], `${passedMs} ms after ${outageMs} ms without the store`);
       await world.clock.advance(50);
@@ -311,7 +311,7 @@
       await world.clock.advance(1500);
       await readers.read(c, when);
       t.equal(readers.returnedCount(), 3);
-      a.storeClient.mode = 'well';
+      a.storeClient.mode = 'available';
       await world.clock.advance(SETTLED_MS);
       await readers.readAt([a, b, c], when);
       t.equal(await world.until(c.batches.end('b1')), 'ended');
@@ -349,7 +349,7 @@
         await world.clock.advance(Math.min(backMs, SETTLED_MS));
         if (backMs < Infinity) {
           await world.clock.advance(Math.max(0, backMs - SETTLED_MS));
-          a.storeClient.mode = 'well';
+          a.storeClient.mode = 'available';
         }
         await world.clock.advance(Math.max(0, SETTLED_MS - backMs));
         await readers.readAfterDelays([b, a, c], when, SHORT_READ_DELAYS_MS);
@@ -364,7 +364,7 @@
 async function reconnectStore(world: GatewayWorld, host: GatewayHost): Promise<boolean> {
   const { lines } = host.context.log;
   const before = lines.length;
-  host.storeClient.mode = 'well';
+  host.storeClient.mode = 'available';
   const reactions = new Set(['results listed', 'progress recorded', 'batch stopped']);
   const hasReacted = (): boolean => lines.slice(before).some(line => reactions.has(line.text));
   for (let ms = 0; ms < 2500 && !hasReacted(); ms += 10) await world.clock.advance(10);
--- a/tests/fakeStore.ts
+++ b/tests/fakeStore.ts
@@ -22,8 +22,8 @@
   readonly leaseId: string | undefined;
 }
 
-/** `away`: fails each call without executing it. `silent`: never responds. */
-export type StoreMode = 'well' | 'away' | 'silent';
+/** `refusing`: fails each call without executing it. `silent`: never responds. */
+export type StoreMode = 'available' | 'refusing' | 'silent';
 
 /** Delay between a change and the response to a watch. */
 const WATCH_DELAY_MS = 10;
@@ -174,7 +174,7 @@
 }
 
 export class FakeStoreClient implements RevisionedStore {
-  private _mode: StoreMode = 'well';
+  private _mode: StoreMode = 'available';
   /** Delay of each call before it is executed. */
   callDelayMs = 0;
   /** Delay of each response after the call was executed. */
@@ -291,7 +291,7 @@
   /** The error of a call in the current mode, if any. */
   private async _reachError(deadline: Deadline): Promise<StoreError | undefined> {
     if (this.callDelayMs > 0) await sleep(this._clock, this.callDelayMs);
-    if (this.mode === 'away') return 'not-done';
+    if (this.mode === 'refusing') return 'not-done';
     if (this.mode !== 'silent') return undefined;
     await sleep(this._clock, deadline.remainingMs());
     return 'unknown';
--- a/tests/gateway.spec.ts
+++ b/tests/gateway.spec.ts
@@ -73,11 +73,11 @@
   const { clock, store, client, seen, stop } = startMirror();
   store.put('p/a', '1');
   await clock.advance(200);
-  client.mode = 'away';
+  client.mode = 'refusing';
   store.put('p/b', '2');
   store.remove('p/a');
   store.compact();
-  client.mode = 'well';
+  client.mode = 'available';
   await clock.advance(3000);
   t.same([...seen], [['p/b', '2']]);
   stop.abort();
@@ -92,7 +92,7 @@
   t.same([...seen], [['p/a', '1']]);
   t.ok(mirror.sinceFailureMs() < 4000);
   store.put('p/b', '2');
-  client.mode = 'well';
+  client.mode = 'available';
   await clock.advance(5000);
   t.equal(seen.get('p/b'), '2');
   stop.abort();
@@ -146,11 +146,11 @@
   // Guards against refusing every request after a store outage, until the endpoints have renewed their records.
   const { clock, store, client, endpoints, stop } = startDirectory();
   await clock.advance(1000);
-  client.mode = 'away';
+  client.mode = 'refusing';
   await clock.advance(3000);
   store.remove(`${keys.endpointPrefix}e1`);
   store.remove(`${keys.endpointPrefix}e2`);
-  client.mode = 'well';
+  client.mode = 'available';
   await clock.advance(1500);
   t.equal(endpoints.all().length, 2);
   store.put(`${keys.endpointPrefix}e1`, endpointRecord());
@@ -470,14 +470,14 @@
 await tap.test('should reach the store through a peer, and directly once it is available again', async t => {
   // Guards against a host that can't use the store while its peers can.
   const { clock, own, store, data, stop } = startRelay();
-  own.mode = 'away';
+  own.mode = 'refusing';
   const put = { kind: 'put', key: 'k', value: 'v' } as const;
   const done = await store.transact([], [put], Deadline.after(clock, 1000));
   t.ok(done.ok && done.value.succeeded);
   t.equal(data.value('k'), 'v');
   const got = await store.get('k', Deadline.after(clock, 1000));
   t.ok(got.ok && got.value?.value === 'v');
-  own.mode = 'well';
+  own.mode = 'available';
   await clock.advance(1500);
   const before = own.calls;
   await store.get('k', Deadline.after(clock, 1000));
@@ -499,8 +499,8 @@
 
 await tap.test('should report that nothing was executed when no peer reaches the store either', async t => {
   const { clock, own, peer, store, stop } = startRelay();
-  own.mode = 'away';
-  peer.mode = 'away';
+  own.mode = 'refusing';
+  peer.mode = 'refusing';
   const done = await store.transact([], [], Deadline.after(clock, 1000));
   t.ok(!done.ok && done.error === 'not-done');
   stop.abort();
@@ -527,14 +527,14 @@
   };
   const monitor = new ReachabilityMonitor(context, store, hosts);
   monitor.start();
-  own.mode = 'away';
-  peer.mode = 'away';
+  own.mode = 'refusing';
+  peer.mode = 'refusing';
   await clock.advance(5000);
   t.notOk(monitor.isCutOff(), 'the store is unavailable to all hosts');
   isPeerUp = false;
   await clock.advance(1500);
   t.ok(monitor.isCutOff());
-  own.mode = 'well';
+  own.mode = 'available';
   await store.get('k', Deadline.after(clock, 500));
   await clock.advance(500);
   await clock.advance(1500);
--- a/tests/meteringFaults.spec.ts
+++ b/tests/meteringFaults.spec.ts
@@ -12,20 +12,20 @@
     for (let seed = 10; seed < 22; seed++) {
       const { fleet, truth } = await startedFleet();
       const random = new SeededRandom(seed);
-      const modes = ['silent', 'busy', 'away', 'lost', 'late'] as const;
+      const modes = ['silent', 'busy', 'unreachable', 'lost', 'late'] as const;
       for (let fault = 0; fault < 4; fault++) {
         await truth.load(random, 10, 1000 + random.below(4000));
         const reporter = fleet.hostAt(fleet.store.value('fuchsiahitch/live/usage') ?? '');
-        const mode = modes[random.below(modes.length)] ?? 'well';
+        const mode = modes[random.below(modes.length)] ?? 'available';
         const kind = random.below(4);
         if (kind === 0) fleet.duties.mode = mode;
         if (kind === 1 && reporter) fleet.restart(reporter, `again-${fault}`);
         if (kind === 2 && reporter) fleet.duties.unreachableFrom.add(reporter.context.hostId);
         if (kind === 3 && reporter) reporter.storeClient.mode = 'silent';
         await truth.load(random, 10, 2000 + random.below(4000));
-        fleet.duties.mode = 'well';
+        fleet.duties.mode = 'available';
         fleet.duties.unreachableFrom.clear();
-        if (reporter) reporter.storeClient.mode = 'well';
+        if (reporter) reporter.storeClient.mode = 'available';
       }
       await fleet.clock.advance(15_000);
       t.same(fleet.duties.broken, [], `seed ${seed}`);
--- a/tests/meteringOutages.spec.ts
+++ b/tests/meteringOutages.spec.ts
@@ -42,9 +42,9 @@
   const { fleet, truth } = await startedFleet();
   const random = new SeededRandom(31);
   await truth.load(random, 20, 7000);
-  for (const host of fleet.hosts) host.storeClient.mode = 'away';
+  for (const host of fleet.hosts) host.storeClient.mode = 'refusing';
   await truth.load(random, 20, 5000);
-  for (const host of fleet.hosts) host.storeClient.mode = 'well';
+  for (const host of fleet.hosts) host.storeClient.mode = 'available';
   await truth.load(random, 20, 15_000);
   await fleet.clock.advance(10_000);
   t.same(truth.mismatches(2, 6), []);
--- a/tests/orphans.spec.ts
+++ b/tests/orphans.spec.ts
@@ -28,7 +28,7 @@
   // Fails if only readers trigger takeovers: the readers of an isolated domain can't reach hosts elsewhere.
   const [world, c, a, b] = await startOwnedBatch();
   await world.clock.advance(1500);
-  c.storeClient.mode = 'away';
+  c.storeClient.mode = 'refusing';
   for (const peer of ['a', 'b']) {
     world.blockedLinks.add(`c-${peer}`);
     world.blockedLinks.add(`${peer}-c`);
@@ -38,7 +38,7 @@
   await world.clock.advance(1500);
   t.equal(a.batches.ownedCount() + b.batches.ownedCount(), 1);
   await world.clock.advance(4000);
-  c.storeClient.mode = 'well';
+  c.storeClient.mode = 'available';
   world.blockedLinks.clear();
   const page = await world.until(c.batches.read('b1', 0, 500));
   t.ok(page.kind === 'page' && page.page.results.length === 3, 'complete once the domain is reachable again');
@@ -81,10 +81,10 @@
   const [world, c, a, b] = await startOwnedBatch();
   c.kill();
   world.expireLease('c');
-  for (const host of [a, b]) host.storeClient.mode = 'away';
+  for (const host of [a, b]) host.storeClient.mode = 'refusing';
   reportRemoved(a, b);
   await world.clock.advance(1500);
-  for (const host of [a, b]) host.storeClient.mode = 'well';
+  for (const host of [a, b]) host.storeClient.mode = 'available';
   await world.clock.advance(2500);
   t.equal(a.batches.ownedCount() + b.batches.ownedCount(), 1);
   world.stop();
--- a/tests/platformWire.spec.ts
+++ b/tests/platformWire.spec.ts
@@ -119,13 +119,13 @@
   await virtual.advance(100);
   t.same(store.keys('status/'), ['status/retire/storage-1']);
   t.same(JSON.parse(store.value('status/retire/storage-1') ?? ''), { state: 'completed' });
-  for (const fault of ['away', 'compacted'] as const) {
+  for (const fault of ['refusing', 'compacted'] as const) {
     store.remove('status/retire/storage-1');
-    if (fault === 'away') client.mode = 'away';
+    if (fault === 'refusing') client.mode = 'refusing';
     store.put('op/retire/storage-1', '{}');
     if (fault === 'compacted') store.compact();
     await virtual.advance(17_000);
-    client.mode = 'well';
+    client.mode = 'available';
     await virtual.advance(1000);
     t.same(store.keys('status/'), ['status/retire/storage-1'], fault);
   }
--- a/tests/poisonRequests.spec.ts
+++ b/tests/poisonRequests.spec.ts
@@ -191,13 +191,13 @@
   // Guards against a request that crashes two endpoints at each host while marks can't be stored.
   const world = await startWorld('storefront', 24);
   const { fleet, endpoints } = world;
-  for (const host of fleet.hosts) host.storeClient.mode = 'away';
+  for (const host of fleet.hosts) host.storeClient.mode = 'refusing';
   for (let turn = 0; turn < 9; turn++) {
     void send(world, turn, lookupRequest(`r${turn}`, POISON_TARGET));
     await fleet.clock.advance(1100);
   }
   t.ok(endpoints.crashes.length <= 3, `${endpoints.crashes.length} endpoints ended`);
-  for (const host of fleet.hosts) host.storeClient.mode = 'well';
+  for (const host of fleet.hosts) host.storeClient.mode = 'available';
   await fleet.clock.advance(3000);
   const stored = fleet.store.keys('fuchsiahitch/live/poison/');
   t.ok(stored.length >= 2, 'the marks are stored after the outage');
--- a/tests/poisonSoak.spec.ts
+++ b/tests/poisonSoak.spec.ts
@@ -53,7 +53,7 @@
       this._sendRandom();
       await fleet.clock.advance(STEP_MS);
     }
-    this._setStore('well');
+    this._setStore('available');
     for (let step = 0; step < CALM_STEPS; step++) {
       this._sendRandom();
       await fleet.clock.advance(STEP_MS);
@@ -66,9 +66,9 @@
     const draw = this._random.below(400);
     if (draw < 6) this.endpoints.crashBusiest('storefront');
     if (draw === 6) this.endpoints.crashAll('storefront');
-    if (draw === 7) this._setStore('away');
+    if (draw === 7) this._setStore('refusing');
     if (draw === 8) this._setStore('silent');
-    if (draw >= 9 && draw < 40) this._setStore('well');
+    if (draw >= 9 && draw < 40) this._setStore('available');
     if (draw === 40) await this._restartAll();
   }
 
@@ -78,9 +78,9 @@
     this.lastFaultMs = this.fleet.clock.nowMs();
   }
 
-  private _setStore(mode: 'well' | 'away' | 'silent'): void {
+  private _setStore(mode: 'available' | 'refusing' | 'silent'): void {
     const { hosts, clock } = this.fleet;
-    if (hosts.some(host => host.storeClient.mode !== 'well' || mode !== 'well'))
+    if (hosts.some(host => host.storeClient.mode !== 'available' || mode !== 'available'))
       this.lastFaultMs = clock.nowMs();
     for (const host of hosts) host.storeClient.mode = mode;
   }
--- a/tests/scoring.spec.ts
+++ b/tests/scoring.spec.ts
@@ -213,7 +213,7 @@
     await submit(world, a);
     await world.clock.advance(fault === 'no-store' ? 100 : 1800);
     if (fault === 'no-store') {
-      a.storeClient.mode = 'away';
+      a.storeClient.mode = 'refusing';
       await world.clock.advance(1000);
     }
     a.kill();
@@ -237,13 +237,13 @@
   if (!a || !b) return;
   await submit(world, a);
   await world.clock.advance(100);
-  a.storeClient.mode = 'away';
+  a.storeClient.mode = 'refusing';
   world.blockedLinks.add('b-a');
   world.expireLease('a');
   await world.clock.advance(600);
   await resultsAt(world, b);
   await world.clock.advance(1000);
-  a.storeClient.mode = 'well';
+  a.storeClient.mode = 'available';
   await world.clock.advance(2000);
   const there = await resultsAt(world, b);
   t.equal(there.length, 3);
@@ -382,7 +382,7 @@
     a.storeClient.mode = 'silent';
     await world.clock.advance(4000);
     t.equal(world.client.sends.length, 3);
-    a.storeClient.mode = 'well';
+    a.storeClient.mode = 'available';
     await world.clock.advance(2500);
     t.equal((await resultsAt(world, a)).length, 3);
     t.equal(world.client.sends.length, 3);
