--- a/packages/demo/src/main.ts
+++ b/packages/demo/src/main.ts
@@ -180,7 +180,7 @@
 const hasPassed = rows.every(row => row.holds.every(Boolean));
 process.stdout.write(`\n${hasPassed ? 'every promise held' : 'a promise was BROKEN'}`);
 process.stdout.write(
-  `, ${Math.round((performance.now() - startMs) / 1000)} s, ${supervisor.count()} processes\n`,
+  `, ${Math.round((performance.now() - startMs) / 1000)} s, ${supervisor.processCount()} processes\n`,
 );
 await supervisor.stopAll();
 process.exit(hasPassed ? 0 : 1);
--- a/packages/demo/src/runningDeployment.ts
+++ b/packages/demo/src/runningDeployment.ts
@@ -42,7 +42,7 @@
 
   async start(): Promise<void> {
     const [store, members, scorer, weights] = await Promise.all(
-      ['key-value', 'members', 'scorer', 'weight-store'].map(kind => this._supervisor.standIn({ kind })),
+      ['key-value', 'members', 'scorer', 'weight-store'].map(kind => this._supervisor.startStandIn({ kind })),
     );
     this._storeUrl = `http://${store?.addresses ?? ''}`;
     this._membersUrl = `http://${members?.addresses ?? ''}`;
@@ -128,7 +128,7 @@
   private async _startEndpoint(pool: PoolPlan, domain: string, id: string): Promise<void> {
     const engineFlags = { slots: String(ENGINE_SLOTS), 'weight-store-url': this._weightStoreUrl };
     const flags = { kind: pool.kind, id, ...(pool.kind === 'engine' ? engineFlags : {}) };
-    const endpoint = { id, domain, pool, started: await this._supervisor.standIn(flags) };
+    const endpoint = { id, domain, pool, started: await this._supervisor.startStandIn(flags) };
     this.endpoints.push(endpoint);
     await this._changeList({ endpoint: this._entryOf(endpoint) });
   }
@@ -152,7 +152,7 @@
   }
 
   private async _startEntry(domain: string, id: string): Promise<StartedProcess<EntryAddresses>> {
-    const started = await this._supervisor.entry({
+    const started = await this._supervisor.startEntry({
       'host-id': id,
       domain,
       domains: this.plan.domains.join(','),
--- a/packages/demo/src/supervisor.ts
+++ b/packages/demo/src/supervisor.ts
@@ -40,22 +40,22 @@
     process.on('exit', () => this.killAll());
   }
 
-  count(): number {
+  processCount(): number {
     return this._children.size;
   }
 
-  async standIn(flags: Readonly<Record<string, string>>): Promise<StartedProcess<string>> {
+  async startStandIn(flags: Readonly<Record<string, string>>): Promise<StartedProcess<string>> {
     const child = this._start('fuchsiahitch-standin.mjs', flags);
-    const addresses = await firstLine(child, line => {
+    const addresses = await firstMatchingLine(child, line => {
       const parsed = standInLineSchema.safeParse(line);
       return parsed.success ? parsed.data.address : undefined;
     });
     return { child, addresses };
   }
 
-  async entry(flags: Readonly<Record<string, string>>): Promise<StartedProcess<EntryAddresses>> {
+  async startEntry(flags: Readonly<Record<string, string>>): Promise<StartedProcess<EntryAddresses>> {
     const child = this._start('fuchsiahitch-entry.mjs', flags);
-    const addresses = await firstLine(child, line => {
+    const addresses = await firstMatchingLine(child, line => {
       const parsed = entryLineSchema.safeParse(line);
       return parsed.success ? parsed.data.context : undefined;
     });
@@ -104,7 +104,7 @@
   }
 }
 
-async function firstLine<T>(child: ChildProcess, read: (line: unknown) => T | undefined): Promise<T> {
+async function firstMatchingLine<T>(child: ChildProcess, read: (line: unknown) => T | undefined): Promise<T> {
   const { stdout } = child;
   if (!stdout) throw new Error('broken invariant: a started process has no stdout pipe');
   return new Promise((resolve, reject) => {
--- a/packages/demo/src/training.ts
+++ b/packages/demo/src/training.ts
@@ -45,7 +45,7 @@
     urls: deployment.urls('trainers'),
     trainerVersion: () => version.current,
     maxSamples: MAX_SAMPLES,
-    sendsHeld: announcesWeights,
+    reportsHeldSlots: announcesWeights,
     stepTimeoutMs: STEP_TIMEOUT_MS,
   });
   const reports: StepReport[] = [];
--- a/packages/measure/src/controlSim.ts
+++ b/packages/measure/src/controlSim.ts
@@ -33,7 +33,7 @@
 
 export const controlSim: Measurement = {
   name: 'control',
-  about:
+  description:
     'control at 9, 33, 110 and 330 hosts on a virtual clock: spread, weights, bytes, store calls, CPU, memory',
   async run(print) {
     const bytesPerPoll = await pollBytes();
--- a/packages/measure/src/controlSockets.ts
+++ b/packages/measure/src/controlSockets.ts
@@ -14,7 +14,7 @@
 
 export const controlSockets: Measurement = {
   name: 'sockets',
-  about: 'control of 3, 9 and 18 real hosts without traffic: CPU, inner protocol bytes, heap a host',
+  description: 'control of 3, 9 and 18 real hosts without traffic: CPU, inner protocol bytes, heap a host',
   async run(print) {
     for (const hosts of SIZES) {
       globalThis.gc?.();
--- a/packages/measure/src/figure.ts
+++ b/packages/measure/src/figure.ts
@@ -13,14 +13,14 @@
 /** A measurement that terminates by itself. */
 export interface Measurement {
   readonly name: string;
-  readonly about: string;
+  readonly description: string;
   run(print: (figure: Figure) => void): Promise<void>;
 }
 
-const DIGITS = 4;
+const SIGNIFICANT_DIGITS = 4;
 
 export function printFigure(figure: Figure): void {
-  const value = Number(figure.value.toPrecision(DIGITS));
+  const value = Number(figure.value.toPrecision(SIGNIFICANT_DIGITS));
   process.stdout.write(`${JSON.stringify({ ...figure, value })}\n`);
 }
 
--- a/packages/measure/src/hop.ts
+++ b/packages/measure/src/hop.ts
@@ -22,7 +22,7 @@
 
 export const hop: Measurement = {
   name: 'hop',
-  about: 'cost of an entry host as a hop against a bare pass-through: small requests, streams, memory',
+  description: 'cost of an entry host as a hop against a bare pass-through: small requests, streams, memory',
   async run(print) {
     const engine = await startFastEngine();
     const fleet = await TestFleet.start({
--- a/packages/measure/src/main.ts
+++ b/packages/measure/src/main.ts
@@ -22,7 +22,8 @@
 
 const names = process.argv.slice(2);
 if (names.includes('--list') || names.includes('--help')) {
-  for (const { name, about } of MEASUREMENTS) process.stdout.write(`${name.padEnd(12)} ${about}\n`);
+  for (const { name, description } of MEASUREMENTS)
+    process.stdout.write(`${name.padEnd(12)} ${description}\n`);
   process.exit(0);
 }
 const unknown = names.filter(name => !MEASUREMENTS.some(measurement => measurement.name === name));
--- a/packages/measure/src/placement.ts
+++ b/packages/measure/src/placement.ts
@@ -107,7 +107,7 @@
 
 export const placement: Measurement = {
   name: 'placement',
-  about: 'steps completed in time under each placement strategy, in a model',
+  description: 'steps completed in time under each placement strategy, in a model',
   async run(print) {
     for (const work of WORKLOADS) {
       for (const strategy of STRATEGIES) {
--- a/packages/measure/src/requests.ts
+++ b/packages/measure/src/requests.ts
@@ -5,7 +5,7 @@
 import { SimFleet, SimTrainer } from '@fuchsiahitch/testkit';
 import type { Figure, Measurement } from './figure.js';
 import {
-  LeastReported,
+  LeastReportedLoad,
   ProductPolicy,
   RoundRobin,
   runRouting,
@@ -20,7 +20,7 @@
 
 export const requests: Measurement = {
   name: 'requests',
-  about: 'customer p99 beside rollouts; spread, retries and p99 with a third of the endpoints failing',
+  description: 'customer p99 beside rollouts; spread, retries and p99 with a third of the endpoints failing',
   async run(print) {
     const unloaded = await measureCustomers(false);
     const loaded = await measureCustomers(true);
@@ -41,7 +41,7 @@
     const policies: readonly ((clock: VirtualClock, random: SeededRandom) => RoutingPolicy)[] = [
       (clock, random) => new ProductPolicy(clock, random),
       () => new RoundRobin(),
-      () => new LeastReported(),
+      () => new LeastReportedLoad(),
     ];
     for (const make of policies) await measureRouting(make, print);
   },
@@ -125,7 +125,7 @@
       ...(bound !== undefined && isProduct ? { bound } : {}),
     });
   reportFigure('p99, all endpoints well', result.healthyP99Ms, 'ms');
-  reportFigure('busiest endpoint to the mean, all well', result.spread, 'ratio');
+  reportFigure('busiest endpoint to the mean, all well', result.peakToMeanLoad, 'ratio');
   reportFigure('p99, a third of the endpoints fail', result.faultP99Ms, 'ms');
   reportFigure('requests without a whole answer, a third fail', result.lostShare, 'share');
   reportFigure('extra attempts, a third fail', result.extraAttempts, 'share', '<= 0.1');
--- a/packages/measure/src/routingSimulation.ts
+++ b/packages/measure/src/routingSimulation.ts
@@ -135,7 +135,7 @@
 }
 
 /** Baseline: the endpoint with the lowest load in the last report, with unlimited retries. */
-export class LeastReported extends RoundRobin {
+export class LeastReportedLoad extends RoundRobin {
   override readonly name = 'least reported load';
   private readonly _loads = new Array<number>(ENDPOINTS).fill(0);
 
@@ -151,7 +151,7 @@
 export interface RoutingResult {
   readonly healthyP99Ms: number;
   readonly faultP99Ms: number;
-  readonly spread: number;
+  readonly peakToMeanLoad: number;
   readonly lostShare: number;
   readonly extraAttempts: number;
 }
@@ -190,7 +190,7 @@
   return {
     healthyP99Ms: p99(healthy.timesMs),
     faultP99Ms: p99(fault.timesMs),
-    spread,
+    peakToMeanLoad: spread,
     lostShare: fault.lost / fault.requests,
     extraAttempts: fault.attempts / fault.requests - 1,
   };
--- a/packages/measure/src/ruleDecisions.ts
+++ b/packages/measure/src/ruleDecisions.ts
@@ -14,7 +14,7 @@
 
 export const ruleDecisions: Measurement = {
   name: 'rules',
-  about: 'microseconds a rule decision at 10, 100 and 1,000 rules',
+  description: 'microseconds a rule decision at 10, 100 and 1,000 rules',
   async run(print) {
     for (const count of RULE_COUNTS) {
       const bound = count === 1000 ? { bound: '<= 5' } : {};
--- a/packages/measure/src/steps.ts
+++ b/packages/measure/src/steps.ts
@@ -32,7 +32,7 @@
 
 export const steps: Measurement = {
   name: 'steps',
-  about: "the ledger's cost at 8,192 samples; idle share and fairness against first come, first served",
+  description: "the ledger's cost at 8,192 samples; idle share and fairness against first come, first served",
   async run(print) {
     await measureLedger(print);
     await measureIdle(print);
--- a/packages/standins/src/engineStandIn.ts
+++ b/packages/standins/src/engineStandIn.ts
@@ -163,12 +163,12 @@
     raw.end();
   }
 
-  private async _acquireSlot(isUrgent: boolean): Promise<void> {
+  private async _acquireSlot(isHighPriority: boolean): Promise<void> {
     if (this._running < this._options.slots) {
       this._running += 1;
       return;
     }
-    await new Promise<void>(resolve => this._queue.push({ isHighPriority: isUrgent, start: resolve }));
+    await new Promise<void>(resolve => this._queue.push({ isHighPriority, start: resolve }));
   }
 
   private _releaseSlot(): void {
--- a/packages/standins/src/scorerStandIn.ts
+++ b/packages/standins/src/scorerStandIn.ts
@@ -10,14 +10,14 @@
 
 export class ScorerStandIn extends StandIn {
   private readonly _scores = new Map<string, number>();
-  private readonly _runs = new Map<string, number>();
+  private readonly _scoreCounts = new Map<string, number>();
 
   constructor() {
     super();
     this.server.post('/score', (request, reply) => {
       const { sample_id: sampleId, text } = scoreSchema.parse(request.body);
       const score = (hash32(text) % SCORE_LEVELS) / SCORE_LEVELS;
-      this._runs.set(sampleId, (this._runs.get(sampleId) ?? 0) + 1);
+      this._scoreCounts.set(sampleId, (this._scoreCounts.get(sampleId) ?? 0) + 1);
       this._scores.set(sampleId, score);
       if (this.faults.consume('loseAnswers')) {
         reply.raw.socket?.destroy();
@@ -30,11 +30,11 @@
       const score = this._scores.get(id);
       return score === undefined ? reply.status(404).send({}) : reply.send({ score });
     });
-    this.server.get('/runs', () => Object.fromEntries(this._runs));
+    this.server.get('/runs', () => Object.fromEntries(this._scoreCounts));
   }
 
   /** Number of times each sample was scored. */
-  get runs(): ReadonlyMap<string, number> {
-    return this._runs;
+  get scoreCounts(): ReadonlyMap<string, number> {
+    return this._scoreCounts;
   }
 }
--- a/packages/standins/src/serviceStandIn.ts
+++ b/packages/standins/src/serviceStandIn.ts
@@ -6,26 +6,26 @@
 import { StandIn } from './standIn.js';
 
 export interface ServiceOptions {
-  readonly holdMs: number;
+  readonly executionMs: number;
   readonly id: string;
 }
 
 export class ServiceStandIn extends StandIn {
   /** Headers of each lookup as received. */
   readonly lookups: Readonly<Record<string, unknown>>[] = [];
-  private readonly _runs = new Map<string, number>();
+  private readonly _executionCounts = new Map<string, number>();
   private readonly _options: ServiceOptions;
   private _isLeaving = false;
 
   constructor(options: Partial<ServiceOptions> = {}) {
     super();
-    this._options = { holdMs: 5, id: 'service', ...options };
+    this._options = { executionMs: 5, id: 'service', ...options };
     this.server.post('/holds', (request, reply) => this._hold(request, reply));
     this.server.get('/listings', request => {
       this.lookups.push(request.headers);
       return { listings: ['dark-sky-tour', 'quest-pack'] };
     });
-    this.server.get('/runs', () => Object.fromEntries(this._runs));
+    this.server.get('/runs', () => Object.fromEntries(this._executionCounts));
     this.server.post('/leave', () => {
       this._isLeaving = true;
       return {};
@@ -33,8 +33,8 @@
   }
 
   /** Number of executions per idempotency key. */
-  get runs(): ReadonlyMap<string, number> {
-    return this._runs;
+  get executionCounts(): ReadonlyMap<string, number> {
+    return this._executionCounts;
   }
 
   private async _hold(request: FastifyRequest, reply: FastifyReply): Promise<void> {
@@ -47,8 +47,8 @@
       return;
     }
     const key = String(request.headers['idempotency-key'] ?? 'none');
-    this._runs.set(key, (this._runs.get(key) ?? 0) + 1);
-    await pause(this._options.holdMs);
+    this._executionCounts.set(key, (this._executionCounts.get(key) ?? 0) + 1);
+    await pause(this._options.executionMs);
     if (this.faults.consume('loseAnswers')) {
       reply.raw.socket?.destroy();
       return;
--- a/packages/standins/src/trainer.ts
+++ b/packages/standins/src/trainer.ts
@@ -21,7 +21,7 @@
   readonly trainerVersion: () => number;
   readonly maxSamples: number;
   /** Whether the trainer sends the slots that it holds. */
-  readonly sendsHeld: boolean;
+  readonly reportsHeldSlots: boolean;
   readonly stepTimeoutMs: number;
 }
 
@@ -114,7 +114,7 @@
       generation: position.generation,
       trainerVersion: position.version,
       maxSamples: this._options.maxSamples,
-      ...(this._options.sendsHeld ? { held } : {}),
+      ...(this._options.reportsHeldSlots ? { held } : {}),
     };
     const parsed = takeReplySchema.safeParse(await this._post('/v1/steps/take', body));
     return parsed.success ? parsed.data : undefined;
--- a/packages/testkit/src/simBackends.ts
+++ b/packages/testkit/src/simBackends.ts
@@ -313,7 +313,7 @@
     signal: AbortSignal,
   ): Promise<GenerationResult> {
     const engine = this._engines.get(request.url);
-    if (!engine || !this._reaches(engine))
+    if (!engine || !this._isReachable(engine))
       return { kind: 'not-run', isUnreachable: true, isLeaving: false, retryAfterMs: 0 };
     if (engine.isLeaving) return { kind: 'not-run', isUnreachable: false, isLeaving: true, retryAfterMs: 0 };
     if (request.prompt.includes('poison')) return { kind: 'failed', status: 400 };
@@ -333,13 +333,13 @@
   async report(url: string): Promise<EngineReport | undefined> {
     const engine = this._engines.get(url);
     this._onStage('report');
-    if (!engine || !this._reaches(engine)) return undefined;
+    if (!engine || !this._isReachable(engine)) return undefined;
     return this._net.call(this._host, engine.process, CALL_TIMEOUT_MS, () => engine.report());
   }
 
   async order(url: string, version: number, token: number): Promise<OrderAnswer> {
     const engine = this._engines.get(url);
-    if (!engine || !this._reaches(engine)) return 'failed';
+    if (!engine || !this._isReachable(engine)) return 'failed';
     return (
       (await this._net.call(this._host, engine.process, CALL_TIMEOUT_MS, () =>
         engine.order(version, token),
@@ -347,7 +347,7 @@
     );
   }
 
-  private _reaches(engine: SimEngine): boolean {
+  private _isReachable(engine: SimEngine): boolean {
     return !engine.isCrashed && !this._net.isCut(this._host, engine.process);
   }
 
@@ -364,7 +364,7 @@
     for (let i = request.resumeTokens; i < length; i++) {
       await new Promise<void>(resolve => this._host.after(engine.tokenMs, resolve));
       if (signal.aborted) return { kind: 'cancelled' };
-      if (!this._reaches(engine) || engine.startId !== startId) return { kind: 'broken' };
+      if (!this._isReachable(engine) || engine.startId !== startId) return { kind: 'broken' };
       versions[i] = engine.version;
       if (!engine.firstTokenMs.has(request.requestId))
         engine.firstTokenMs.set(request.requestId, this._host.nowMs());
@@ -377,8 +377,8 @@
 }
 
 /** A plain service, called without network faults, that counts the executions of each idempotency key. */
-export class SimServices implements ServiceClient {
-  readonly runs = new Map<string, number>();
+export class SimService implements ServiceClient {
+  readonly executionCounts = new Map<string, number>();
   refuse = 0;
   loseAnswers = 0;
   callMs = 5;
@@ -394,7 +394,7 @@
       return { kind: 'not-run', isUnreachable: false, isLeaving: false, retryAfterMs: 0 };
     }
     const key = service.headers['idempotency-key'] ?? service.path;
-    this.runs.set(key, (this.runs.get(key) ?? 0) + 1);
+    this.executionCounts.set(key, (this.executionCounts.get(key) ?? 0) + 1);
     await new Promise<void>(resolve => this._host.after(this.callMs, resolve));
     if (signal.aborted) return { kind: 'cancelled' };
     if (this.loseAnswers > 0) {
@@ -415,7 +415,7 @@
 /** Counts how often each sample was scored. */
 export class SimScorer {
   readonly process: SimProcess;
-  readonly runs = new Map<string, number>();
+  readonly scoreCounts = new Map<string, number>();
   loseAnswers = 0;
 
   constructor(process: SimProcess) {
@@ -440,7 +440,7 @@
   async score(sample: ScoreRequest, deadline: Deadline): Promise<ScoreResult> {
     this._onStage('scoring');
     return this._callScorer(deadline, () => {
-      this._scorer.runs.set(sample.sampleId, (this._scorer.runs.get(sample.sampleId) ?? 0) + 1);
+      this._scorer.scoreCounts.set(sample.sampleId, (this._scorer.scoreCounts.get(sample.sampleId) ?? 0) + 1);
       this._onStage('scored');
       return { kind: 'scored', score: 1 };
     });
@@ -448,7 +448,7 @@
 
   async find(sampleId: string, deadline: Deadline): Promise<ScoreResult> {
     return this._callScorer(deadline, () =>
-      this._scorer.runs.has(sampleId) ? { kind: 'scored', score: 1 } : { kind: 'not-scored' },
+      this._scorer.scoreCounts.has(sampleId) ? { kind: 'scored', score: 1 } : { kind: 'not-scored' },
     );
   }
 
--- a/packages/testkit/src/simFleet.ts
+++ b/packages/testkit/src/simFleet.ts
@@ -32,7 +32,7 @@
   SimMemberListClient,
   SimScorer,
   SimScorerClient,
-  SimServices,
+  SimService,
   SimStore,
   SimStoreClient,
 } from './simBackends.js';
@@ -131,7 +131,7 @@
   readonly scorer: SimScorer;
   readonly engines = new Map<string, SimEngine>();
   readonly hosts = new Map<string, SimHost>();
-  readonly services: SimServices;
+  readonly services: SimService;
   readonly options: SimFleetOptions;
   /** Called when a step, sample or write reaches a stage; tests inject faults here. */
   onStage: (stage: string) => void = () => undefined;
@@ -143,11 +143,11 @@
     this.options = options;
     setMaxListeners(0, this._stop.signal);
     this.random = new SeededRandom(options.seed);
-    this.net = new SimNet(this.clock, this.random, { maxDelayMs: 4, lossShare: 0 });
+    this.net = new SimNet(this.clock, this.random, { maxDelayMs: 4, lossRate: 0 });
     this.store = new SimStore(new SimProcess('store', this.clock));
     this.list = new SimMemberList(new SimProcess('list', this.clock));
     this.scorer = new SimScorer(new SimProcess('scorer', this.clock));
-    this.services = new SimServices(new SimProcess('service', this.clock));
+    this.services = new SimService(new SimProcess('service', this.clock));
     this.store.onPut.push(key => {
       if (key.includes('/chunk/')) this.onStage('sealed');
     });
--- a/packages/testkit/src/simTrainer.ts
+++ b/packages/testkit/src/simTrainer.ts
@@ -24,16 +24,16 @@
   private readonly _fleet: SimFleet;
   private readonly _net: SimNet;
   private readonly _spec: StepSpec;
-  private readonly _sendsHeld: boolean;
+  private readonly _reportsHeldSlots: boolean;
   private _nextHost = 0;
   private _cursor = 0;
   private _generation = 0;
 
-  constructor(fleet: SimFleet, spec: StepSpec, sendsHeld: boolean) {
+  constructor(fleet: SimFleet, spec: StepSpec, reportsHeldSlots: boolean) {
     this._fleet = fleet;
     this._net = fleet.net;
     this._spec = spec;
-    this._sendsHeld = sendsHeld;
+    this._reportsHeldSlots = reportsHeldSlots;
     this.process = new SimProcess(`trainer-${spec.trainer}`, fleet.clock);
   }
 
@@ -84,7 +84,7 @@
       generation: this._generation,
       trainerVersion: this.version,
       maxSamples: 4,
-      ...(this._sendsHeld ? { held } : {}),
+      ...(this._reportsHeldSlots ? { held } : {}),
     };
   }
 
@@ -106,38 +106,38 @@
 
 /** Returns a description of each violated delivery guarantee; empty if there is none. */
 export function guaranteeViolations(fleet: SimFleet, spec: StepSpec, trainer: SimTrainer): readonly string[] {
-  const problems: string[] = [];
-  const slots = spec.groups.reduce((sum, group) => sum + group.samples, 0);
+  const violations: string[] = [];
+  const slotCount = spec.groups.reduce((sum, group) => sum + group.samples, 0);
   const counts = new Map<number, number>();
   for (const { sample } of trainer.deliveries) counts.set(sample.slot, (counts.get(sample.slot) ?? 0) + 1);
-  for (let slot = 0; slot < slots; slot++) {
-    if (counts.get(slot) !== 1) problems.push(`slot ${slot} delivered ${counts.get(slot) ?? 0} times`);
+  for (let slot = 0; slot < slotCount; slot++) {
+    if (counts.get(slot) !== 1) violations.push(`slot ${slot} delivered ${counts.get(slot) ?? 0} times`);
   }
-  for (const delivery of trainer.deliveries) problems.push(...deliveryViolations(fleet, spec, delivery));
-  return problems;
+  for (const delivery of trainer.deliveries) violations.push(...deliveryViolations(fleet, spec, delivery));
+  return violations;
 }
 
 function deliveryViolations(fleet: SimFleet, spec: StepSpec, delivery: Delivery): readonly string[] {
   const { sample, trainerVersion, deliveredMs } = delivery;
-  const problems: string[] = [];
+  const violations: string[] = [];
   const versions = sample.spans.flatMap(span => Array.from({ length: span.tokens }, () => span.version));
   const engines = [...fleet.engines.values()];
   const isProvenanceCorrect = versions.every((version, i) =>
     engines.some(engine => engine.made.get(sample.sampleId)?.[i] === version),
   );
   if (!isProvenanceCorrect)
-    problems.push(`slot ${sample.slot}: provenance differs from the versions that generated the tokens`);
+    violations.push(`slot ${sample.slot}: provenance differs from the versions that generated the tokens`);
   const text = versions.map((_, i) => `${i} `).join('');
   if (sample.text !== text)
-    problems.push(`slot ${sample.slot}: a token is duplicated or missing: ${sample.text}`);
+    violations.push(`slot ${sample.slot}: a token is duplicated or missing: ${sample.text}`);
   if (trainerVersion - Math.min(...versions) > spec.stalenessVersions)
-    problems.push(`slot ${sample.slot}: too many versions old`);
+    violations.push(`slot ${sample.slot}: too many versions old`);
   const firstTokenMs = Math.min(
     ...engines.map(engine => engine.firstTokenMs.get(sample.sampleId) ?? Infinity),
   );
   if (deliveredMs - firstTokenMs > spec.stalenessMs)
-    problems.push(`slot ${sample.slot}: ${deliveredMs - firstTokenMs} ms old`);
-  const scoreRuns = fleet.scorer.runs.get(sample.sampleId) ?? 0;
-  if (scoreRuns !== 1) problems.push(`slot ${sample.slot}: scored ${scoreRuns} times`);
-  return problems;
+    violations.push(`slot ${sample.slot}: ${deliveredMs - firstTokenMs} ms old`);
+  const scoreRuns = fleet.scorer.scoreCounts.get(sample.sampleId) ?? 0;
+  if (scoreRuns !== 1) violations.push(`slot ${sample.slot}: scored ${scoreRuns} times`);
+  return violations;
 }
--- a/packages/testkit/src/simulation.ts
+++ b/packages/testkit/src/simulation.ts
@@ -66,14 +66,14 @@
 export interface SimNetOptions {
   readonly maxDelayMs: number;
   /** Share of messages lost in each direction. */
-  readonly lossShare: number;
+  readonly lossRate: number;
 }
 
 const LOSS_RESOLUTION = 1000;
 
 /** Delivers calls between processes with random delay and loss, and across cut connections not at all. */
 export class SimNet {
-  lossShare: number;
+  lossRate: number;
   private readonly _clock: VirtualClock;
   private readonly _random: SeededRandom;
   private readonly _maxDelayMs: number;
@@ -83,7 +83,7 @@
     this._clock = clock;
     this._random = random;
     this._maxDelayMs = options.maxDelayMs;
-    this.lossShare = options.lossShare;
+    this.lossRate = options.lossRate;
   }
 
   cut(a: string, b: string): void {
@@ -124,6 +124,6 @@
 
   private _isLost(from: SimProcess, to: SimProcess): boolean {
     if (this._cuts.has(`${from.name}|${to.name}`)) return true;
-    return this._random.below(LOSS_RESOLUTION) < this.lossShare * LOSS_RESOLUTION;
+    return this._random.below(LOSS_RESOLUTION) < this.lossRate * LOSS_RESOLUTION;
   }
 }
--- a/tests/golden.spec.ts
+++ b/tests/golden.spec.ts
@@ -152,7 +152,7 @@
     await fleet.until('all answered', () => answered === 120);
     session.note(`outcomes: ${JSON.stringify([...outcomes])}`);
     session.note(
-      `holds run more than once: ${[...fleet.services.runs.values()].filter(runs => runs > 1).length}`,
+      `holds run more than once: ${[...fleet.services.executionCounts.values()].filter(runs => runs > 1).length}`,
     );
   });
   compare(t, 'cloud-night', session);
--- a/tests/keyFleet.ts
+++ b/tests/keyFleet.ts
@@ -143,7 +143,7 @@
 
   constructor(seed: number, ids: readonly string[]) {
     this.random = new SeededRandom(seed);
-    this.net = new SimNet(this.clock, this.random, { maxDelayMs: 10, lossShare: 0 });
+    this.net = new SimNet(this.clock, this.random, { maxDelayMs: 10, lossRate: 0 });
     for (const id of ids) this.start(id);
   }
 
--- a/tests/keys.spec.ts
+++ b/tests/keys.spec.ts
@@ -385,7 +385,7 @@
     case 'heal':
       return fleet.net.heal();
     case 'loss':
-      fleet.net.lossShare = one.share;
+      fleet.net.lossRate = one.share;
       return;
     case 'store':
       fleet.store.isDown = one.isDown;
@@ -418,7 +418,7 @@
           fleet.host(id).isCutOff = false;
         }
         fleet.net.heal();
-        fleet.net.lossShare = 0;
+        fleet.net.lossRate = 0;
         fleet.store.isDown = false;
         fleet.plan('h1', HOSTS);
         await fleet.clock.advance(10_000);
--- a/tests/requests.spec.ts
+++ b/tests/requests.spec.ts
@@ -375,7 +375,7 @@
   const again = send(fleet.host('twizel-1'), { kind: 'service' }, { key: 'seat-4' });
   await fleet.until('answered again', () => again.answer !== undefined);
   t.match(again.answer?.outcome, { kind: 'unknown', reason: 'answer-not-kept' });
-  t.equal(fleet.services.runs.get('seat-4'), 1);
+  t.equal(fleet.services.executionCounts.get('seat-4'), 1);
   await fleet.stop();
 });
 
@@ -385,7 +385,7 @@
   const running = send(fleet.host('tekapo-0'), { kind: 'service' });
   await fleet.until('told', () => running.answer !== undefined);
   t.match(running.answer?.outcome, { kind: 'unknown' });
-  t.equal(fleet.services.runs.get('none'), 1);
+  t.equal(fleet.services.executionCounts.get('none'), 1);
   await fleet.stop();
 });
 
@@ -395,7 +395,7 @@
   const running = send(fleet.host('tekapo-0'), { kind: 'service' }, { key: 'busy' });
   await fleet.until('told', () => running.answer !== undefined);
   t.match(running.answer?.outcome, { kind: 'completed' });
-  t.equal(fleet.services.runs.get('busy'), 1);
+  t.equal(fleet.services.executionCounts.get('busy'), 1);
   await fleet.stop();
 });
 
@@ -405,12 +405,12 @@
   const first = send(fleet.host('tekapo-0'), { kind: 'service' }, { key: 'later' });
   await fleet.until('told', () => first.answer !== undefined);
   t.match(first.answer?.outcome, { kind: 'not-run' });
-  t.equal(fleet.services.runs.get('later'), undefined);
+  t.equal(fleet.services.executionCounts.get('later'), undefined);
   fleet.services.refuse = 0;
   const again = send(fleet.host('tekapo-1'), { kind: 'service' }, { key: 'later' });
   await fleet.until('answered again', () => again.answer !== undefined);
   t.match(again.answer?.outcome, { kind: 'completed' });
-  t.equal(fleet.services.runs.get('later'), 1);
+  t.equal(fleet.services.executionCounts.get('later'), 1);
   await fleet.stop();
 });
 
@@ -510,7 +510,7 @@
     const foreign = send(fleet.host('twizel-1'), { kind: 'service' }, { key: 'tekapo:hold-9' });
     await fleet.until('told', () => foreign.answer !== undefined);
     t.match(foreign.answer?.outcome, { kind: 'unknown', reason: 'key-owner-unreachable' });
-    t.equal(fleet.services.runs.get('tekapo:hold-9'), 1);
+    t.equal(fleet.services.executionCounts.get('tekapo:hold-9'), 1);
     await fleet.stop();
   },
 );
--- a/tests/sockets.spec.ts
+++ b/tests/sockets.spec.ts
@@ -183,5 +183,5 @@
   fleet.hosts.delete('tekapo-1');
   const resent = await fleet.call('tekapo-2', 'callers', '/svc/skybook/holds', { body: {}, headers: hold });
   t.equal(resent.headers['fuchsiahitch-outcome'], 'completed');
-  t.equal(fleet.services[0]?.runs.get('before-shutdown'), 1);
+  t.equal(fleet.services[0]?.executionCounts.get('before-shutdown'), 1);
 });
--- a/tests/stepMatrix.spec.ts
+++ b/tests/stepMatrix.spec.ts
@@ -122,7 +122,7 @@
 async function runCell(
   faults: readonly Fault[],
   stage: Stage,
-  sendsHeld: boolean,
+  reportsHeldSlots: boolean,
 ): Promise<readonly string[]> {
   const fleet = await SimFleet.start({
     seed: 11,
@@ -132,7 +132,7 @@
     engineSlots: 4,
   });
   const spec = specOf();
-  const trainer = new SimTrainer(fleet, spec, sendsHeld);
+  const trainer = new SimTrainer(fleet, spec, reportsHeldSlots);
   let occurrences = 0;
   const injected: Fault[] = [];
   fleet.onStage = reached => {
@@ -155,24 +155,24 @@
 }
 
 /** A trainer that reports the slots that it holds needs no sealed chunks, so that stage does not occur. */
-function stagesFor(sendsHeld: boolean): readonly Stage[] {
-  return sendsHeld ? STAGES.filter(stage => stage !== 'sealed') : STAGES;
+function stagesFor(reportsHeldSlots: boolean): readonly Stage[] {
+  return reportsHeldSlots ? STAGES.filter(stage => stage !== 'sealed') : STAGES;
 }
 
 tap.setTimeout(0);
 
 /** Runs only the cells whose name contains this text. */
 const cellFilter = process.env.CELL ?? '';
-for (const sendsHeld of [false, true]) {
-  const mode = sendsHeld ? 'reports held slots' : 'retries without receipts';
+for (const reportsHeldSlots of [false, true]) {
+  const mode = reportsHeldSlots ? 'reports held slots' : 'retries without receipts';
   for (const fault of FAULT_NAMES) {
     if (!`${fault}/${mode}`.includes(cellFilter)) continue;
     await tap.test(
       `should preserve all delivery guarantees with ${fault} at each stage, trainer ${mode}`,
       { timeout: 0 },
       async t => {
-        for (const stage of stagesFor(sendsHeld))
-          t.same(await runCell([fault], stage, sendsHeld), [], `${fault} at ${stage}`);
+        for (const stage of stagesFor(reportsHeldSlots))
+          t.same(await runCell([fault], stage, reportsHeldSlots), [], `${fault} at ${stage}`);
       },
     );
   }
--- a/tests/wholePath.spec.ts
+++ b/tests/wholePath.spec.ts
@@ -72,7 +72,7 @@
     }
     t.equal(new Set(bodies).size, 1, 'every resend got the first answer');
     t.equal(
-      fleet.services.reduce((sum, service) => sum + (service.runs.get('hold-1') ?? 0), 0),
+      fleet.services.reduce((sum, service) => sum + (service.executionCounts.get('hold-1') ?? 0), 0),
       1,
     );
   },
@@ -121,13 +121,13 @@
   t.pass('swapped');
 });
 
-async function run(sendsHeld: boolean, step: StepSpec): Promise<StepReport> {
+async function run(reportsHeldSlots: boolean, step: StepSpec): Promise<StepReport> {
   const urls = fleet.urls('trainers');
   const trainer = new Trainer({
     urls,
     trainerVersion: () => 1,
     maxSamples: 8,
-    sendsHeld,
+    reportsHeldSlots,
     stepTimeoutMs: 30_000,
   });
   return trainer.runStep(step);
@@ -137,5 +137,5 @@
   t.equal(report.isOver, true);
   t.equal(report.samples.length, samples);
   t.equal(new Set(report.samples.map(sample => sample.slot)).size, samples);
-  t.ok(report.samples.every(sample => (fleet.scorer.runs.get(sample.sampleId) ?? 0) === 1));
+  t.ok(report.samples.every(sample => (fleet.scorer.scoreCounts.get(sample.sampleId) ?? 0) === 1));
 }
--- a/utils/upgradeDaemons.mjs
+++ b/utils/upgradeDaemons.mjs
@@ -36,8 +36,10 @@
     this._others = new Supervisor(other);
   }
 
-  async entry(flags) {
-    return this.builds.get(flags['host-id']) === 'this' ? super.entry(flags) : this._others.entry(flags);
+  async startEntry(flags) {
+    return this.builds.get(flags['host-id']) === 'this'
+      ? super.startEntry(flags)
+      : this._others.startEntry(flags);
   }
 
   crash(child) {
