--- a/packages/demo/src/customers.ts
+++ b/packages/demo/src/customers.ts
@@ -57,14 +57,14 @@
   }
 
   private async _loop(client: number): Promise<void> {
-    const kinds = [
+    const sendByKind = [
       async (): Promise<void> => this._lookUp(),
       async (name: string): Promise<void> => this._complete(name),
       async (name: string): Promise<void> => this._hold(name),
     ];
     for (let round = 0; !this._isStopped; round++) {
       const startMs = performance.now();
-      await kinds[(client + round) % kinds.length]?.(`${client}-${round}`);
+      await sendByKind[(client + round) % sendByKind.length]?.(`${client}-${round}`);
       this.latencyMs.recordValue(Math.min(MAX_LATENCY_MS, Math.round(performance.now() - startMs)));
       await delay(PAUSE_MS);
     }
--- a/packages/demo/src/runningDeployment.ts
+++ b/packages/demo/src/runningDeployment.ts
@@ -176,18 +176,18 @@
     const endMs = performance.now() + READY_TIMEOUT_MS;
     while (performance.now() < endMs) {
       const { output, exitCode } = await this.ctl('hosts', '--json', 'yes');
-      if (exitCode === 0 && isSettled(JSON.parse(output) as HostLine[], this.hosts.length)) return;
+      if (exitCode === 0 && isSettled(JSON.parse(output) as HostStatusLine[], this.hosts.length)) return;
       await delay(POLL_MS);
     }
     throw new Error(`${this.plan.name}: hosts were not ready in time`);
   }
 }
 
-interface HostLine {
+interface HostStatusLine {
   readonly status?: { readonly isReady: boolean; readonly slotsOwned: number; readonly slotsSettled: number };
 }
 
-function isSettled(lines: readonly HostLine[], hosts: number): boolean {
+function isSettled(lines: readonly HostStatusLine[], hosts: number): boolean {
   const ready = lines.filter(({ status }) => status?.isReady === true && status.slotsOwned > 0);
   return ready.length === hosts && ready.every(({ status }) => status?.slotsSettled === status?.slotsOwned);
 }
--- a/packages/measure/src/controlSim.ts
+++ b/packages/measure/src/controlSim.ts
@@ -1,8 +1,7 @@
 /**
- * Control traffic at the target sizes: the real services of each host over a simulated network on a virtual clock.
+ * Control-plane traffic at the target sizes: the real services of each host on a simulated network and a virtual clock.
  *
- * CPU time includes the simulation and the encoding of every message, so it is an upper bound. `sockets` measures real
- * sockets.
+ * CPU time includes the simulation, so it is an upper bound. The measurement `sockets` uses real sockets.
  */
 import { SimFleet } from '@fuchsiahitch/testkit';
 import type { Figure, Measurement } from './figure.js';
@@ -22,7 +21,7 @@
   { domains: 10, hostsPerDomain: 33, enginesPerDomain: 130 },
 ];
 const IDLE_MS = 30_000;
-/** Time until pings no longer carry announcements from the start. */
+/** Time until pings no longer carry the announcements of the fleet's start. */
 const SETTLE_MS = 90_000;
 const EDITS = 5;
 const STEP_MS = 20;
@@ -34,10 +33,10 @@
 export const controlSim: Measurement = {
   name: 'control',
   description:
-    'control at 9, 33, 110 and 330 hosts on a virtual clock: spread, weights, bytes, store calls, CPU, memory',
+    'control plane of 9, 33, 110 and 330 hosts on a virtual clock: rule edits, weights, bytes, store calls, CPU, heap',
   async run(print) {
     const bytesPerPoll = await pollBytes();
-    print({ figure: 'load report over HTTP, both ways', value: bytesPerPoll, unit: 'bytes' });
+    print({ figure: 'load report over HTTP, request and response', value: bytesPerPoll, unit: 'bytes' });
     for (const size of SIZES) await measureSize(size, bytesPerPoll, print);
   },
 };
@@ -65,7 +64,7 @@
   await measureIdle(fleet, hostCount, bytesPerPoll, reportFigure);
   globalThis.gc?.();
   reportFigure(
-    'memory of control a host',
+    'control plane heap per host',
     (process.memoryUsage().heapUsed - heapBefore) / hostCount / 1024 / 1024,
     'MB',
     '<= 32',
@@ -89,20 +88,25 @@
   const reportsBefore = fleet.loadReportCalls;
   const cpu = process.cpuUsage();
   await fleet.clock.advance(IDLE_MS);
-  const spent = process.cpuUsage(cpu);
+  const cpuUsed = process.cpuUsage(cpu);
   const seconds = IDLE_MS / MS_PER_SECOND;
-  const peer = hosts.map((host, i) => (host.peerBytes - (before[i] ?? 0)) / seconds);
-  const polls = ((fleet.loadReportCalls - reportsBefore) * bytesPerPoll) / hostCount / seconds;
-  reportFigure('control bytes a host and second, mean', mean(peer) + polls, 'bytes/s', '<= 2048');
-  reportFigure('inner protocol bytes a host and second, most', Math.max(...peer), 'bytes/s');
-  reportFigure('store calls of the fleet', (fleet.store.calls - callsBefore) / seconds, 'calls/s', '<= 600');
-  const core = (spent.user + spent.system) / MICROSECONDS_PER_SECOND / hostCount / seconds;
-  reportFigure('control CPU a host, simulation included', core * 100, '% of a core', '<= 3.8');
+  const peerByteRates = hosts.map((host, i) => (host.peerBytes - (before[i] ?? 0)) / seconds);
+  const pollByteRate = ((fleet.loadReportCalls - reportsBefore) * bytesPerPoll) / hostCount / seconds;
+  reportFigure(
+    'control bytes per host and second, mean',
+    mean(peerByteRates) + pollByteRate,
+    'bytes/s',
+    '<= 2048',
+  );
+  reportFigure('peer protocol bytes per host and second, maximum', Math.max(...peerByteRates), 'bytes/s');
+  reportFigure('store calls of all hosts', (fleet.store.calls - callsBefore) / seconds, 'calls/s', '<= 600');
+  const coreShare = (cpuUsed.user + cpuUsed.system) / MICROSECONDS_PER_SECOND / hostCount / seconds;
+  reportFigure('control CPU per host, simulation included', coreShare * 100, '% of a core', '<= 3.8');
 }
 
 async function measureEdits(fleet: SimFleet, reportFigure: ReportFigure): Promise<void> {
   const hosts = fleet.liveHosts();
-  const spreads: number[] = [];
+  const propagationTimesMs: number[] = [];
   for (let i = 0; i < EDITS; i++) {
     const host = hosts[(i * 7) % hosts.length];
     const rule = {
@@ -119,11 +123,20 @@
     ) {
       await fleet.clock.advance(STEP_MS);
     }
-    spreads.push(fleet.clock.nowMs() - startMs);
+    propagationTimesMs.push(fleet.clock.nowMs() - startMs);
   }
-  spreads.sort((a, b) => a - b);
-  reportFigure('edit in force everywhere, p50', (spreads[Math.floor(EDITS / 2)] ?? 0) / MS_PER_SECOND, 's');
-  reportFigure('edit in force everywhere, most', Math.max(...spreads) / MS_PER_SECOND, 's', '<= 11');
+  propagationTimesMs.sort((a, b) => a - b);
+  reportFigure(
+    'rule edit applied on all hosts, p50',
+    (propagationTimesMs[Math.floor(EDITS / 2)] ?? 0) / MS_PER_SECOND,
+    's',
+  );
+  reportFigure(
+    'rule edit applied on all hosts, maximum',
+    Math.max(...propagationTimesMs) / MS_PER_SECOND,
+    's',
+    '<= 11',
+  );
 }
 
 async function measureWeights(fleet: SimFleet, reportFigure: ReportFigure): Promise<void> {
@@ -134,7 +147,12 @@
   while (!engines.every(engine => engine.version === 2) && fleet.clock.nowMs() - startMs < EDIT_LIMIT_MS) {
     await fleet.clock.advance(STEP_MS);
   }
-  reportFigure('weights on all servers', (fleet.clock.nowMs() - startMs) / MS_PER_SECOND, 's', '<= 10');
+  reportFigure(
+    'weights loaded on all engines',
+    (fleet.clock.nowMs() - startMs) / MS_PER_SECOND,
+    's',
+    '<= 10',
+  );
 }
 
 function mean(values: readonly number[]): number {
--- a/packages/measure/src/controlSockets.ts
+++ b/packages/measure/src/controlSockets.ts
@@ -1,5 +1,5 @@
 /**
- * Control traffic of idle hosts over real sockets: CPU time, bytes and heap per host.
+ * Control-plane traffic of idle hosts over real sockets: CPU time, bytes and heap per host.
  *
  * All hosts and stand-ins share this process, so CPU time per host is an upper bound.
  */
@@ -14,7 +14,8 @@
 
 export const controlSockets: Measurement = {
   name: 'sockets',
-  description: 'control of 3, 9 and 18 real hosts without traffic: CPU, inner protocol bytes, heap a host',
+  description:
+    'control plane of 3, 9 and 18 idle hosts over real sockets: CPU, peer protocol bytes and heap per host',
   async run(print) {
     for (const hosts of SIZES) {
       globalThis.gc?.();
@@ -29,24 +30,28 @@
       const bytesBefore = await peerBytes(fleet);
       const cpu = process.cpuUsage();
       await pause(MEASURE_MS);
-      const spent = process.cpuUsage(cpu);
+      const cpuUsed = process.cpuUsage(cpu);
       const seconds = MEASURE_MS / MS_PER_SECOND;
-      const core = (spent.user + spent.system) / MICROSECONDS_PER_SECOND / seconds / hosts;
+      const coreShare = (cpuUsed.user + cpuUsed.system) / MICROSECONDS_PER_SECOND / seconds / hosts;
       print({
-        figure: `control CPU a host, ${hosts} real hosts`,
-        value: core * 100,
+        figure: `control CPU per host, ${hosts} hosts on sockets`,
+        value: coreShare * 100,
         unit: '% of a core',
         bound: '<= 3.8',
       });
       const bytes = ((await peerBytes(fleet)) - bytesBefore) / seconds / hosts;
       print({
-        figure: `inner protocol bytes a host and second, ${hosts} real hosts`,
+        figure: `peer protocol bytes per host and second, ${hosts} hosts on sockets`,
         value: bytes,
         unit: 'bytes/s',
       });
       globalThis.gc?.();
       const heap = (process.memoryUsage().heapUsed - heapBefore) / hosts / 1024 / 1024;
-      print({ figure: `heap a host with its listeners, ${hosts} real hosts`, value: heap, unit: 'MB' });
+      print({
+        figure: `heap per host with its listeners, ${hosts} hosts on sockets`,
+        value: heap,
+        unit: 'MB',
+      });
       await fleet.stop();
     }
   },
--- a/packages/measure/src/figure.ts
+++ b/packages/measure/src/figure.ts
@@ -1,5 +1,5 @@
 /**
- * Output of measurements: one JSON line per figure.
+ * Measurements and their output, one JSON line per figure.
  */
 
 export interface Figure {
@@ -10,7 +10,6 @@
   readonly bound?: string;
 }
 
-/** A measurement that terminates by itself. */
 export interface Measurement {
   readonly name: string;
   readonly description: string;
@@ -19,12 +18,13 @@
 
 const SIGNIFICANT_DIGITS = 4;
 
+/** Prints a figure as a JSON line, rounded to four significant digits. */
 export function printFigure(figure: Figure): void {
   const value = Number(figure.value.toPrecision(SIGNIFICANT_DIGITS));
   process.stdout.write(`${JSON.stringify({ ...figure, value })}\n`);
 }
 
-/** Whether the value satisfies its bound, `<= x` or `>= x`. True without a bound. */
+/** Returns whether the value satisfies its bound, `<= x` or `>= x`. True without a bound. */
 export function isWithin(figure: Figure): boolean {
   const match = /^(<=|>=) ([\d.]+)$/.exec(figure.bound ?? '');
   if (!match) return true;
--- a/packages/measure/src/hop.ts
+++ b/packages/measure/src/hop.ts
@@ -1,8 +1,8 @@
 /**
- * Cost of an entry host as a proxy hop, compared with a bare pass-through proxy on the same libraries in the same run.
+ * Cost of an entry host as a proxy hop, compared with a minimal pass-through proxy on the same libraries.
  *
- * Client, hop and endpoint share this process. The cost of a hop is the CPU time of a request through it minus that of a
- * direct request; on one thread, the ratio of costs is the ratio of throughputs.
+ * Client, proxy and endpoint share this process. The cost of a hop is the CPU time of a request through it minus that
+ * of a direct request; on one thread, the ratio of costs is the ratio of throughputs.
  */
 import http from 'node:http';
 import Fastify, { type FastifyInstance } from 'fastify';
@@ -22,7 +22,8 @@
 
 export const hop: Measurement = {
   name: 'hop',
-  description: 'cost of an entry host as a hop against a bare pass-through: small requests, streams, memory',
+  description:
+    'cost of an entry host as a proxy hop against a pass-through proxy: small requests, streams, memory',
   async run(print) {
     const engine = await startFastEngine();
     const fleet = await TestFleet.start({
@@ -40,50 +41,60 @@
     };
     fleet.members.change({ endpoint: { ...engineEntry, slots: 64, checksFencing: false, state: 'live' } });
     const service = fleet.services[0]?.url ?? '';
-    const bare = await startPassThrough(service, engine.url);
+    const passThrough = await startPassThrough(service, engine.url);
     const host = fleet.urls('callers')[0] ?? '';
     const agent = new Agent({ connections: CONCURRENCY });
     await waitForPool(host, agent);
 
     const small = {
       direct: `${service}/listings`,
-      bare: `${bare.url}/svc/skybook/listings`,
+      passThrough: `${passThrough.url}/svc/skybook/listings`,
       entry: `${host}/svc/skybook/listings`,
     };
-    const cost = await measureCosts(url => get(url, agent), small, REQUESTS);
+    const smallCosts = await measureCosts(url => get(url, agent), small, REQUESTS);
     print({
-      figure: 'small request: CPU of the bare pass-through',
-      value: cost.bare - cost.direct,
+      figure: 'small request: CPU, pass-through proxy',
+      value: smallCosts.passThrough - smallCosts.direct,
       unit: 'us',
     });
-    print({ figure: 'small request: CPU of the entry host', value: cost.entry - cost.direct, unit: 'us' });
-    const ratio = (cost.bare - cost.direct) / (cost.entry - cost.direct);
     print({
-      figure: 'small request: throughput of the entry host to the bare one',
+      figure: 'small request: CPU, entry host',
+      value: smallCosts.entry - smallCosts.direct,
+      unit: 'us',
+    });
+    const ratio = (smallCosts.passThrough - smallCosts.direct) / (smallCosts.entry - smallCosts.direct);
+    print({
+      figure: 'small request: throughput, entry host relative to pass-through proxy',
       value: ratio,
       unit: 'ratio',
       bound: '>= 0.5',
     });
 
-    const addedMs = (await medianMs(small.entry, agent)) - (await medianMs(small.bare, agent));
-    print({ figure: 'small request: added median at low load', value: addedMs, unit: 'ms', bound: '<= 1' });
+    const addedMs = (await medianMs(small.entry, agent)) - (await medianMs(small.passThrough, agent));
+    print({
+      figure: 'small request: median latency added to the pass-through proxy, low load',
+      value: addedMs,
+      unit: 'ms',
+      bound: '<= 1',
+    });
 
-    const streams = { direct: engine.url, bare: bare.url, entry: host };
-    const perStream = await measureCosts(url => stream(url, agent), streams, STREAMS);
+    const streams = { direct: engine.url, passThrough: passThrough.url, entry: host };
+    const streamCosts = await measureCosts(url => stream(url, agent), streams, STREAMS);
     const perToken = (us: number): number => us / STREAM_TOKENS;
     print({
-      figure: 'stream: CPU a token, bare',
-      value: perToken(perStream.bare - perStream.direct),
+      figure: 'stream: CPU per token, pass-through proxy',
+      value: perToken(streamCosts.passThrough - streamCosts.direct),
       unit: 'us',
     });
     print({
-      figure: 'stream: CPU a token, entry host',
-      value: perToken(perStream.entry - perStream.direct),
+      figure: 'stream: CPU per token, entry host',
+      value: perToken(streamCosts.entry - streamCosts.direct),
       unit: 'us',
     });
-    const streamRatio = (perStream.bare - perStream.direct) / (perStream.entry - perStream.direct);
+    const streamRatio =
+      (streamCosts.passThrough - streamCosts.direct) / (streamCosts.entry - streamCosts.direct);
     print({
-      figure: 'stream: tokens a second of the entry host to the bare one',
+      figure: 'stream: tokens per second, entry host relative to pass-through proxy',
       value: streamRatio,
       unit: 'ratio',
       bound: '>= 0.5',
@@ -96,29 +107,29 @@
       bound: '<= 8',
     });
     await agent.close();
-    await bare.server.close();
+    await passThrough.server.close();
     await fleet.stop();
     engine.server.closeAllConnections();
     engine.server.close();
   },
 };
 
-type Urls = Readonly<Record<'direct' | 'bare' | 'entry', string>>;
+type Urls = Readonly<Record<'direct' | 'passThrough' | 'entry', string>>;
 
-/** CPU time per call and route in microseconds: the minimum over interleaved rounds. */
+/** Returns the CPU time per call in microseconds for each URL: the minimum over interleaved rounds. */
 async function measureCosts(
   call: (url: string) => Promise<void>,
   urls: Urls,
   calls: number,
 ): Promise<Record<keyof Urls, number>> {
-  const minimum = { direct: Infinity, bare: Infinity, entry: Infinity };
+  const minimum = { direct: Infinity, passThrough: Infinity, entry: Infinity };
   for (const url of Object.values(urls)) await runMany(() => call(url), Math.min(WARM_UP_CALLS, calls));
   for (let round = 0; round < ROUNDS; round++) {
-    for (const name of ['direct', 'bare', 'entry'] as const) {
+    for (const name of ['direct', 'passThrough', 'entry'] as const) {
       const before = process.cpuUsage();
       await runMany(() => call(urls[name]), calls);
-      const spent = process.cpuUsage(before);
-      minimum[name] = Math.min(minimum[name], (spent.user + spent.system) / calls);
+      const cpuUsed = process.cpuUsage(before);
+      minimum[name] = Math.min(minimum[name], (cpuUsed.user + cpuUsed.system) / calls);
     }
   }
   return minimum;
@@ -185,7 +196,7 @@
   readonly server: S;
 }
 
-/** An engine that writes all tokens at once, so that the hop is the bottleneck. */
+/** An engine that writes all tokens at once, so that the proxy is the bottleneck. */
 async function startFastEngine(): Promise<Started<http.Server>> {
   const events = Array.from({ length: STREAM_TOKENS }, (_, i) => {
     const event = { choices: [{ index: 0, text: `token${i} ` }], tokens: 1, weight_version: 1 };
--- a/packages/measure/src/main.ts
+++ b/packages/measure/src/main.ts
@@ -28,7 +28,7 @@
 }
 const unknown = names.filter(name => !MEASUREMENTS.some(measurement => measurement.name === name));
 if (unknown.length > 0) {
-  process.stderr.write(`no measurement '${unknown.join("', '")}': see --list\n`);
+  process.stderr.write(`unknown measurement '${unknown.join("', '")}', see --list\n`);
   process.exit(2);
 }
 const missed: Figure[] = [];
@@ -39,5 +39,6 @@
 for (const measurement of MEASUREMENTS) {
   if (names.length === 0 || names.includes(measurement.name)) await measurement.run(print);
 }
-for (const figure of missed) process.stderr.write(`missed: ${figure.figure} ${figure.bound ?? ''}\n`);
+for (const figure of missed)
+  process.stderr.write(`out of bounds: ${figure.figure}, expected ${figure.bound ?? ''}\n`);
 process.exit(missed.length > 0 ? 1 : 0);
--- a/packages/measure/src/placement.ts
+++ b/packages/measure/src/placement.ts
@@ -1,8 +1,8 @@
 /**
- * Duration of a trainer's steps under each placement strategy, in a model of the endpoints.
+ * Duration of a trainer's steps under each placement strategy, in a simulation of the endpoints.
  *
- * The placement and move decisions are the product's code. Endpoints differ only in pace. Item lengths have a long tail and
- * their estimates have errors. All strategies run on the same steps.
+ * The placement and move decisions are the product's code. Endpoints differ only in pace. Item lengths have a long
+ * tail, and their estimates have errors. All strategies run on the same steps.
  */
 import {
   placeItem,
@@ -18,8 +18,8 @@
 const SEEDS = 40;
 const STEPS = 12;
 const TICK_MS = 25;
-const MOVE_MS = 250;
-/** Time limit for a step: its due time plus tolerance, minus acceptance and listing. */
+const MOVE_CHECK_INTERVAL_MS = 250;
+/** A step's due time plus tolerance, minus the time to accept the step and to list its results. */
 const COMPLETION_LIMIT_MS = 7900;
 /** Number of events after which an owner has an estimate of an endpoint's pace. */
 const MIN_OBSERVED_EVENTS = 16;
@@ -31,29 +31,29 @@
   readonly name: string;
   readonly groups: number;
   readonly groupSize: number;
-  readonly wantedGroups: number;
+  readonly requiredGroups: number;
   readonly intervalMs: number;
   readonly meanEvents: number;
   readonly maxEvents: number;
   /** Milliseconds per event, by endpoint. */
   readonly pacesMs: readonly number[];
-  readonly places: number;
+  readonly slotsPerEndpoint: number;
 }
 
 const FAST_PACE_MS = 50;
 const SLOW_PACE_MS = 65;
 
-function paces(quick: number, slower: number): readonly number[] {
-  return [...Array<number>(quick).fill(FAST_PACE_MS), ...Array<number>(slower).fill(SLOW_PACE_MS)];
+function paces(fastCount: number, slowCount: number): readonly number[] {
+  return [...Array<number>(fastCount).fill(FAST_PACE_MS), ...Array<number>(slowCount).fill(SLOW_PACE_MS)];
 }
 
 const WORKLOADS: readonly Workload[] = [
-  workload('few large groups', { groups: 8, groupSize: 16, wantedGroups: 8 }),
-  workload('many groups', { groups: 15, groupSize: 8, wantedGroups: 14 }),
-  workload('short texts', { groups: 15, groupSize: 8, wantedGroups: 14, meanEvents: 11, maxEvents: 77 }),
-  workload('equal endpoints', { groups: 8, groupSize: 16, wantedGroups: 8, pacesMs: paces(9, 0) }),
-  workload('few endpoints', { groups: 8, groupSize: 16, wantedGroups: 8, pacesMs: paces(3, 2) }),
-  workload('half as many again', { groups: 8, groupSize: 16, wantedGroups: 8, pacesMs: paces(9, 5) }),
+  workload('few large groups', { groups: 8, groupSize: 16, requiredGroups: 8 }),
+  workload('many groups', { groups: 15, groupSize: 8, requiredGroups: 14 }),
+  workload('short texts', { groups: 15, groupSize: 8, requiredGroups: 14, meanEvents: 11, maxEvents: 77 }),
+  workload('equal endpoints', { groups: 8, groupSize: 16, requiredGroups: 8, pacesMs: paces(9, 0) }),
+  workload('few endpoints', { groups: 8, groupSize: 16, requiredGroups: 8, pacesMs: paces(3, 2) }),
+  workload('more endpoints', { groups: 8, groupSize: 16, requiredGroups: 8, pacesMs: paces(9, 5) }),
 ];
 
 function workload(name: string, overrides: Partial<Workload>): Workload {
@@ -61,28 +61,28 @@
     name,
     groups: 8,
     groupSize: 16,
-    wantedGroups: 8,
+    requiredGroups: 8,
     intervalMs: 4000,
     meanEvents: 19.6,
     maxEvents: 141,
     pacesMs: paces(6, 3),
-    places: 8,
+    slotsPerEndpoint: 8,
     ...overrides,
   };
 }
 
-/** `hasSharedPaces`: an owner also uses paces that earlier owners observed, not only its own observations. */
 interface Strategy {
   readonly name: string;
   readonly policy: PlacementPolicy;
+  /** Whether an owner knows all paces from the start, instead of only those that it has observed. */
   readonly hasSharedPaces: boolean;
 }
 
 const STRATEGIES: readonly Strategy[] = [
-  { name: 'roomiest, own paces', policy: new MostFreePlacement(), hasSharedPaces: false },
-  { name: 'quickest, own paces', policy: new FastestPlacement(), hasSharedPaces: false },
-  { name: 'roomiest, told paces', policy: new MostFreePlacement(), hasSharedPaces: true },
-  { name: 'quickest, told paces', policy: new FastestPlacement(), hasSharedPaces: true },
+  { name: 'most free slots, own paces', policy: new MostFreePlacement(), hasSharedPaces: false },
+  { name: 'fastest, own paces', policy: new FastestPlacement(), hasSharedPaces: false },
+  { name: 'most free slots, shared paces', policy: new MostFreePlacement(), hasSharedPaces: true },
+  { name: 'fastest, shared paces', policy: new FastestPlacement(), hasSharedPaces: true },
 ];
 
 interface ModelItem {
@@ -107,7 +107,7 @@
 
 export const placement: Measurement = {
   name: 'placement',
-  description: 'steps completed in time under each placement strategy, in a model',
+  description: 'steps completed in time under each placement strategy, in a simulation',
   async run(print) {
     for (const work of WORKLOADS) {
       for (const strategy of STRATEGIES) {
@@ -117,8 +117,8 @@
         ).flat();
         const inTime = stepTimesMs.filter(ms => ms <= COMPLETION_LIMIT_MS).length / stepTimesMs.length;
         const mean = stepTimesMs.reduce((a, b) => a + b, 0) / stepTimesMs.length;
-        print({ figure: `${work.name}, ${name}: steps whole in time`, value: inTime, unit: 'share' });
-        print({ figure: `${work.name}, ${name}: a step is whole after`, value: mean, unit: 'ms' });
+        print({ figure: `${work.name}, ${name}: steps completed in time`, value: inTime, unit: 'share' });
+        print({ figure: `${work.name}, ${name}: mean step time`, value: mean, unit: 'ms' });
       }
       await Promise.resolve();
     }
@@ -135,8 +135,8 @@
     for (const step of open) {
       advanceItems(step, work, used, nowMs);
       placeWaitingItems(step, work, strategy, used, nowMs);
-      if (nowMs % MOVE_MS === 0) moveSlowItems(step, work, strategy, used, nowMs);
-      if (countCompleteGroups(step, work) >= work.wantedGroups) finishStep(step, used, nowMs);
+      if (nowMs % MOVE_CHECK_INTERVAL_MS === 0) moveSlowItems(step, work, strategy, used, nowMs);
+      if (countCompleteGroups(step, work) >= work.requiredGroups) finishStep(step, used, nowMs);
     }
   }
   return steps.map(step => (step.completedMs ?? 0) - step.startMs);
@@ -156,18 +156,18 @@
     };
   });
   const estimates = items.map(item => item.estimatedEvents).sort((a, b) => b - a);
-  const longFrom = estimates[Math.floor(estimates.length * LONG_SHARE)] ?? Infinity;
+  const longThreshold = estimates[Math.floor(estimates.length * LONG_SHARE)] ?? Infinity;
   return {
     startMs,
     items,
-    longThreshold: longFrom,
+    longThreshold,
     groupEndpoints: new Map(),
     observedEvents: new Map(),
     completedMs: undefined,
   };
 }
 
-/** Draws a log-normal length; about one in ten is five times as long. */
+/** Draws from a log-normal distribution; about one length in ten is multiplied by five. */
 function drawEventCount({ meanEvents, maxEvents }: Workload, random: SeededRandom): number {
   const spread = 0.84;
   const isTail = random.below(RANDOM_RESOLUTION) < 0.104 * RANDOM_RESOLUTION;
@@ -229,13 +229,13 @@
   return work.pacesMs.map((paceMs, i) => ({
     id: String(i),
     domain: '',
-    freeSlots: work.places - (used[i] ?? 0),
+    freeSlots: work.slotsPerEndpoint - (used[i] ?? 0),
     paceMs: isPaceKnown(step, strategy, i) ? paceMs : undefined,
   }));
 }
 
-function isPaceKnown(step: ModelStep, { hasSharedPaces: isTold }: Strategy, endpoint: number): boolean {
-  return isTold || (step.observedEvents.get(endpoint) ?? 0) >= MIN_OBSERVED_EVENTS;
+function isPaceKnown(step: ModelStep, { hasSharedPaces: isShared }: Strategy, endpoint: number): boolean {
+  return isShared || (step.observedEvents.get(endpoint) ?? 0) >= MIN_OBSERVED_EVENTS;
 }
 
 function moveSlowItems(
@@ -252,7 +252,9 @@
     const runMs = nowMs - item.runningSinceMs;
     const other = work.pacesMs.findIndex(
       (otherMs, i) =>
-        (used[i] ?? 0) < work.places && isPaceKnown(step, strategy, i) && shouldMove(runMs, paceMs, otherMs),
+        (used[i] ?? 0) < work.slotsPerEndpoint &&
+        isPaceKnown(step, strategy, i) &&
+        shouldMove(runMs, paceMs, otherMs),
     );
     if (other < 0) continue;
     releaseItem(item, used);
--- a/packages/measure/src/pollBytes.ts
+++ b/packages/measure/src/pollBytes.ts
@@ -7,6 +7,7 @@
 
 const POLLS = 20;
 
+/** Returns the mean number of bytes of a request and its response. */
 export async function pollBytes(): Promise<number> {
   const engine = new EngineStandIn();
   await engine.listen('127.0.0.1:0');
--- a/packages/measure/src/requests.ts
+++ b/packages/measure/src/requests.ts
@@ -20,20 +20,21 @@
 
 export const requests: Measurement = {
   name: 'requests',
-  description: 'customer p99 beside rollouts; spread, retries and p99 with a third of the endpoints failing',
+  description:
+    'customer p99 under rollout load; load imbalance, retries and p99 with a third of the endpoints failing',
   async run(print) {
     const unloaded = await measureCustomers(false);
     const loaded = await measureCustomers(true);
-    print({ figure: 'customer p99, rollouts off', value: unloaded.p99Ms, unit: 'ms' });
-    print({ figure: 'customer p99, rollouts saturate the pool', value: loaded.p99Ms, unit: 'ms' });
+    print({ figure: 'customer p99, without rollouts', value: unloaded.p99Ms, unit: 'ms' });
+    print({ figure: 'customer p99, pool saturated by rollouts', value: loaded.p99Ms, unit: 'ms' });
     print({
-      figure: 'customer p99, rollouts on to off',
+      figure: 'customer p99, with rollouts relative to without',
       value: loaded.p99Ms / unloaded.p99Ms,
       unit: 'ratio',
       bound: '<= 1.5',
     });
     print({
-      figure: 'customer requests lost or cut',
+      figure: 'customer requests not completed',
       value: unloaded.lost + loaded.lost,
       unit: 'requests',
       bound: '<= 0',
@@ -43,7 +44,7 @@
       () => new RoundRobin(),
       () => new LeastReportedLoad(),
     ];
-    for (const make of policies) await measureRouting(make, print);
+    for (const createPolicy of policies) await measureRouting(createPolicy, print);
   },
 };
 
@@ -109,12 +110,12 @@
 }
 
 async function measureRouting(
-  make: (clock: VirtualClock, random: SeededRandom) => RoutingPolicy,
+  createPolicy: (clock: VirtualClock, random: SeededRandom) => RoutingPolicy,
   print: (figure: Figure) => void,
 ): Promise<void> {
   const clock = new VirtualClock();
   const random = new SeededRandom(SEED);
-  const policy = make(clock, random);
+  const policy = createPolicy(clock, random);
   const result = await runRouting(policy, clock, random);
   const isProduct = policy instanceof ProductPolicy;
   const reportFigure = (name: string, value: number, unit: string, bound?: string): void =>
@@ -124,9 +125,14 @@
       unit,
       ...(bound !== undefined && isProduct ? { bound } : {}),
     });
-  reportFigure('p99, all endpoints well', result.healthyP99Ms, 'ms');
-  reportFigure('busiest endpoint to the mean, all well', result.peakToMeanLoad, 'ratio');
-  reportFigure('p99, a third of the endpoints fail', result.faultP99Ms, 'ms');
-  reportFigure('requests without a whole answer, a third fail', result.lostShare, 'share');
-  reportFigure('extra attempts, a third fail', result.extraAttempts, 'share', '<= 0.1');
+  reportFigure('p99, all endpoints healthy', result.healthyP99Ms, 'ms');
+  reportFigure('peak to mean endpoint load, all endpoints healthy', result.peakToMeanLoad, 'ratio');
+  reportFigure('p99, a third of the endpoints failing', result.faultP99Ms, 'ms');
+  reportFigure('requests not completed, a third of the endpoints failing', result.lostShare, 'share');
+  reportFigure(
+    'retries per request, a third of the endpoints failing',
+    result.extraAttempts,
+    'share',
+    '<= 0.1',
+  );
 }
--- a/packages/measure/src/routingSimulation.ts
+++ b/packages/measure/src/routingSimulation.ts
@@ -23,7 +23,7 @@
 const HEALTHY_MS = 15_000;
 const FAULT_MS = 15_000;
 const DEADLINE_MS = 3000;
-const RETRY_WAIT_MS = 10;
+const CHOICE_RETRY_MS = 10;
 const MAX_ATTEMPTS = 4;
 
 /** A routing policy. Endpoints and hosts are identified by index. */
@@ -40,9 +40,9 @@
 
 const BASE_VIEW = { domain: 'd', pool: 'p', isLeaving: false, version: '' };
 
-/** The product's routing decisions. */
+/** The product's routing code. */
 export class ProductPolicy implements RoutingPolicy {
-  readonly name = 'ours';
+  readonly name = 'product';
   private readonly _pickers: readonly EndpointPicker[];
   private readonly _views: readonly (readonly EndpointView[])[];
   private readonly _budgets: readonly RetryBudget[];
@@ -156,6 +156,7 @@
   readonly extraAttempts: number;
 }
 
+/** Counts and latencies of one phase of a run. */
 interface Phase {
   requests: number;
   attempts: number;
@@ -244,7 +245,7 @@
     host: number,
     startMs: number,
     tried: ReadonlySet<number>,
-    tries: number,
+    attemptNumber: number,
   ): void {
     if (this._clock.nowMs() - startMs > DEADLINE_MS) {
       phase.lost += 1;
@@ -252,7 +253,7 @@
     }
     const chosen = this._policy.choose(host, tried);
     if (chosen === undefined) {
-      this._clock.after(RETRY_WAIT_MS, () => this._attempt(phase, host, startMs, tried, tries));
+      this._clock.after(CHOICE_RETRY_MS, () => this._attempt(phase, host, startMs, tried, attemptNumber));
       return;
     }
     phase.attempts += 1;
@@ -260,8 +261,8 @@
     this._serve(chosen, isFailure => {
       this._policy.ended(host, chosen, isFailure);
       if (!isFailure) phase.timesMs.push(this._clock.nowMs() - startMs);
-      else if (tries < MAX_ATTEMPTS && this._policy.mayRetry(host)) {
-        this._attempt(phase, host, startMs, new Set([...tried, chosen]), tries + 1);
+      else if (attemptNumber < MAX_ATTEMPTS && this._policy.mayRetry(host)) {
+        this._attempt(phase, host, startMs, new Set([...tried, chosen]), attemptNumber + 1);
       } else phase.lost += 1;
     });
   }
--- a/packages/measure/src/ruleDecisions.ts
+++ b/packages/measure/src/ruleDecisions.ts
@@ -14,7 +14,7 @@
 
 export const ruleDecisions: Measurement = {
   name: 'rules',
-  description: 'microseconds a rule decision at 10, 100 and 1,000 rules',
+  description: 'microseconds per rule decision with 10, 100 and 1,000 rules',
   async run(print) {
     for (const count of RULE_COUNTS) {
       const bound = count === 1000 ? { bound: '<= 5' } : {};
@@ -53,5 +53,6 @@
   decide(WARM_UP);
   const startMs = performance.now();
   decide(DECISIONS);
+  // Uses the result, so that the calls are not optimized away.
   return decided < 0 ? 0 : ((performance.now() - startMs) / DECISIONS) * MICROSECONDS_PER_MS;
 }
--- a/packages/measure/src/steps.ts
+++ b/packages/measure/src/steps.ts
@@ -1,5 +1,5 @@
 /**
- * Cost of the step ledger, and idle time of trainers compared with a simpler schedule in the same run.
+ * Cost of the step ledger, and idle time of trainers compared with first come, first served in the same run.
  */
 import { SeededRandom, VirtualClock, type Random } from '@fuchsiahitch/base';
 import {
@@ -105,7 +105,7 @@
     for (const one of owner.assign(`w${i % WORKERS}`, ASSIGNMENT_SIZE).assignments)
       owner.sampleDone(sampleOf(one));
   }
-  const filledMs = performance.now() - startMs;
+  const fillTimeMs = performance.now() - startMs;
   globalThis.gc?.();
   const bytes = (process.memoryUsage().heapUsed - heapBefore) / LEDGER_SAMPLES;
   const takeStartMs = performance.now();
@@ -122,18 +122,18 @@
     if (reply.kind !== 'chunk') break;
     cursor += 1;
   }
-  const takenMs = performance.now() - takeStartMs;
+  const takeTimeMs = performance.now() - takeStartMs;
   print({
     figure: 'ledger: assign and fill',
-    value: (filledMs / LEDGER_SAMPLES) * 1000,
-    unit: 'us a sample',
+    value: (fillTimeMs / LEDGER_SAMPLES) * 1000,
+    unit: 'us per sample',
   });
   print({
-    figure: 'ledger: seal and hand over',
-    value: (takenMs / LEDGER_SAMPLES) * 1000,
-    unit: 'us a sample',
+    figure: 'ledger: seal and deliver',
+    value: (takeTimeMs / LEDGER_SAMPLES) * 1000,
+    unit: 'us per sample',
   });
-  print({ figure: 'ledger: memory beside the text', value: bytes, unit: 'bytes a sample' });
+  print({ figure: 'ledger: heap per sample, without its text', value: bytes, unit: 'bytes per sample' });
   print({
     figure: 'store calls of a step of 8,192 samples',
     value: store.calls,
@@ -183,14 +183,14 @@
     print({ figure: `step time of the large house, ${name}`, value: run.stepMs.large ?? 0, unit: 'ms' });
   }
   print({
-    figure: 'idle share, ours to the baseline',
+    figure: 'idle share, product relative to baseline',
     value: product.idleShare / baseline.idleShare,
     unit: 'ratio',
     bound: '<= 0.5',
   });
   const slowdown = (product.stepMs.small ?? 0) / (alone.stepMs.small ?? 1);
   print({
-    figure: "small house's step time to its share alone",
+    figure: "small house's step time, relative to running alone on its share",
     value: slowdown,
     unit: 'ratio',
     bound: '<= 1.2',
@@ -208,18 +208,18 @@
   readonly stepMs: Readonly<Record<string, number>>;
 }
 
-/** Runs steps on a share of the engines; with a share below 1, a house runs alone on its fair share. */
+/** Runs the steps of all houses on a share of the engines and returns the trainers' idle share and mean step times. */
 async function runPolicy(policy: Policy, houses: readonly House[], engineShare = 1): Promise<PolicyResult> {
   const clock = new VirtualClock();
   const random = new SeededRandom(SEED);
   const schedule = new FairSchedule();
   const running: RunningStep[] = [];
   const durations = new Map<string, number[]>();
-  const left = new Map<string, number>(houses.map(house => [house.house, STEPS]));
+  const remainingSteps = new Map<string, number>(houses.map(house => [house.house, STEPS]));
   const open = (plan: House): void => {
-    const step = left.get(plan.house) ?? 0;
+    const step = remainingSteps.get(plan.house) ?? 0;
     if (step === 0) return;
-    left.set(plan.house, step - 1);
+    remainingSteps.set(plan.house, step - 1);
     const ledger = new StepLedger(
       specOf(plan.house, step, plan.groups, plan.samples),
       clock,
@@ -230,8 +230,8 @@
   };
   const finish = (step: RunningStep): void => {
     running.splice(running.indexOf(step), 1);
-    const list = durations.get(step.plan.house) ?? [];
-    durations.set(step.plan.house, [...list, clock.nowMs() - step.startedMs]);
+    const stepTimes = durations.get(step.plan.house) ?? [];
+    durations.set(step.plan.house, [...stepTimes, clock.nowMs() - step.startedMs]);
     clock.after(TRAINING_MS, () => open(step.plan));
   };
   const engines = Math.max(1, Math.round(ENGINES * engineShare));
@@ -239,7 +239,8 @@
     runSlot({ slot, clock, random, schedule, running, policy, finish });
   }
   for (const house of houses) open(house);
-  const isDone = (): boolean => running.length === 0 && [...left.values()].every(count => count === 0);
+  const isDone = (): boolean =>
+    running.length === 0 && [...remainingSteps.values()].every(count => count === 0);
   while (!isDone() && clock.nowMs() < TIME_LIMIT_MS) await clock.advance(1000);
   const all = [...durations.values()].flat();
   const idleMs = all.reduce((sum, ms) => sum + ms, 0);
