--- a/utils/bundleOptions.mjs
+++ b/utils/bundleOptions.mjs
@@ -1,6 +1,6 @@
-// Build options of the bundles.
+// esbuild options of the bundles.
 
-/** Optional dependencies that this project does not use. */
+/** Optional dependencies of libraries that this project does not use. */
 export const UNUSED = [
   '@nestjs/platform-express',
   '@nestjs/microservices',
@@ -15,7 +15,7 @@
   'cbor-extract',
 ];
 
-/** Some CommonJS libraries call `require` at run time. */
+/** Defines `require`, which some CommonJS libraries call at run time. */
 export const BANNER = [
   '#!/usr/bin/env node',
   "import { createRequire as makeRequire } from 'node:module';",
@@ -23,8 +23,8 @@
 ].join('\n');
 
 /**
- * Build of the programs that run on the users' platform. Modules that are imported on demand, such as the metrics server, go
- * into separate files, so that startup neither reads nor compiles them.
+ * Options for the programs that run on the users' platform. Dynamically imported modules, such as the metrics server,
+ * are split into separate files, so that startup neither reads nor compiles them.
  */
 export const TARGET_BUILD = {
   entryPoints: {
--- a/utils/checkDeps.mjs
+++ b/utils/checkDeps.mjs
@@ -1,5 +1,5 @@
-// Checks that every package imports only what its DEPS.list allows, and that package.json agrees.
-// Each line of a DEPS.list names one allowed module: another package, a library, or a Node module.
+// Checks that every package imports only what its DEPS.list allows, and declares the packages that it imports.
+// Each line of a DEPS.list names one module: another package, a library, or a Node.js module.
 import fs from 'node:fs';
 import path from 'node:path';
 
@@ -56,7 +56,7 @@
   }
 }
 if (problems > 0) {
-  console.error(`${problems} import problems`);
+  console.error(`${problems} import problems found`);
   process.exit(1);
 }
 console.log('imports: every package conforms to its DEPS.list');
--- a/utils/fuzz.mjs
+++ b/utils/fuzz.mjs
@@ -1,4 +1,4 @@
-// Runs the property tests with many cases: `npm run fuzz -- [RUNS] [SEED]`. CI uses few runs and a fixed seed.
+// Runs the property tests with many cases and, unless given, a new seed. Usage: npm run fuzz -- [RUNS] [SEED]
 import { spawnSync } from 'node:child_process';
 
 const [runs = '2000', seed = String(Date.now() % 1_000_000)] = process.argv.slice(2);
--- a/utils/lostSteps.mjs
+++ b/utils/lostSteps.mjs
@@ -1,9 +1,10 @@
-// Reads logs of entry hosts and reports which steps were late or incomplete, and what delayed their items.
-// Usage: node utils/lostSteps.mjs [--due-ms N] [--all] FILE...   (a line may have a prefix before its JSON)
+// Reads logs of entry hosts and prints the steps that were late or incomplete, with the causes of their items' delays.
+// Usage: node utils/lostSteps.mjs [--due-ms N] [--all] FILE...
+// Log lines may have a prefix before their JSON object.
 import fs from 'node:fs';
 import { parseArgs } from 'node:util';
 
-/** Default of --due-ms: steps that take longer count as late. */
+/** Default of --due-ms, the time after which a step counts as late. */
 const DEFAULT_DUE_MS = 7500;
 
 const { values: flags, positionals: files } = parseArgs({
@@ -22,16 +23,16 @@
 const batches = new Map();
 
 function batchOf(id) {
-  const known = batches.get(id);
-  if (known) return known;
+  const existing = batches.get(id);
+  if (existing) return existing;
   const batch = { id, items: new Map(), listed: [], takeovers: 0 };
   batches.set(id, batch);
   return batch;
 }
 
 function itemOf(batch, id) {
-  const known = batch.items.get(id);
-  if (known) return known;
+  const existing = batch.items.get(id);
+  if (existing) return existing;
   const item = { id, attempts: [], scores: [], fruitless: 0 };
   batch.items.set(id, item);
   return item;
@@ -74,14 +75,14 @@
     try {
       entry = JSON.parse(line.slice(start));
     } catch {
-      continue; // A truncated line.
+      continue; // The line is truncated.
     }
     const reader = READERS[entry.message];
     if (reader && entry.context.batchId) reader(batchOf(entry.context.batchId), entry.context, entry.time);
   }
 }
 
-/** Breaks down an item's time since its batch was accepted, by kind. */
+/** Returns the milliseconds that an item spent in each state since its batch was accepted. */
 function timesOf(batch, item) {
   const times = { queued: 0, ran: 0, silent: 0, broken: 0, refused: 0, moved: 0, outdated: 0, scoring: 0 };
   const kinds = {
@@ -92,11 +93,11 @@
     'not-run': 'refused',
     'old-version': 'outdated',
   };
-  let freeMs = batch.atMs;
+  let queuedSinceMs = batch.atMs;
   for (const { atMs, end, tookMs } of item.attempts) {
-    times.queued += Math.max(0, atMs - tookMs - freeMs);
+    times.queued += Math.max(0, atMs - tookMs - queuedSinceMs);
     times[kinds[end] ?? 'broken'] += tookMs;
-    freeMs = atMs;
+    queuedSinceMs = atMs;
   }
   for (const { tookMs } of item.scores) times.scoring += tookMs;
   return times;
@@ -124,23 +125,23 @@
     notes.push(
       `owner changed ${batch.takeovers}x, last at ${((batch.takenMs - batch.atMs) / 1000).toFixed(1)} s`,
     );
-  if (fruitless > 0) notes.push(`${fruitless} attempts in a row without progress`);
+  if (fruitless > 0) notes.push(`${fruitless} consecutive attempts without progress`);
   return `${late.length} items late: ${parts.join(', ')} (item seconds)${notes.map(note => `; ${note}`).join('')}`;
 }
 
 for (const file of files) read(file);
 
-let lost = 0;
+let lateCount = 0;
 for (const batch of [...batches.values()].filter(({ atMs }) => atMs !== undefined)) {
   const listed = batch.listed.reduce((sum, { results }) => sum + results, 0);
   const lastMs = batch.listed.at(-1)?.atMs ?? batch.atMs;
   const tookMs = (batch.endedMs ?? lastMs) - batch.atMs;
-  const isLost = tookMs > dueMs || batch.endedMs === undefined;
-  if (isLost) lost += 1;
-  if (!isLost && !flags.all) continue;
+  const isLate = tookMs > dueMs || batch.endedMs === undefined;
+  if (isLate) lateCount += 1;
+  if (!isLate && !flags.all) continue;
   const name = `${batch.model || '-'} step ${batch.step ?? '-'}`;
   console.log(
     `${name}, batch ${batch.id} at ${batch.host}: ${listed} of ${batch.total} listed, ${(tookMs / 1000).toFixed(1)} s; ${describe(batch)}`,
   );
 }
-console.log(`${lost} of ${batches.size} batches over ${dueMs} ms`);
+console.log(`${lateCount} of ${batches.size} batches later than ${dueMs} ms or not ended`);
--- a/utils/runTests.mjs
+++ b/utils/runTests.mjs
@@ -1,4 +1,4 @@
-// Runs the compiled tests with tap. The last line of output is 'N passed, N failed'.
+// Runs the compiled tests with tap, or those whose file names contain an argument. Prints 'N passed, N failed' last.
 import fs from 'node:fs';
 import { spawnSync } from 'node:child_process';
 import { readKnownRed, verdictOf } from './testVerdict.mjs';
@@ -11,7 +11,7 @@
   .filter(name => named.length === 0 || named.some(part => name.includes(part)))
   .map(name => `${folder}/${name}`);
 if (files.length === 0) {
-  console.error('no test file matches the given names');
+  console.error(`no test file in ${folder} matches: ${named.join(' ')}`);
   process.exit(2);
 }
 const args = ['tap', 'run', '--disable-coverage', '--allow-empty-coverage', '--reporter=tap', '--jobs=6'];
--- a/utils/setup.mjs
+++ b/utils/setup.mjs
@@ -1,4 +1,4 @@
-// Installs dependencies if they are missing or older than the lock file, then builds.
+// Installs the dependencies if they are missing or older than the lock file, then builds.
 import fs from 'node:fs';
 import { execSync } from 'node:child_process';
 
--- a/utils/testVerdict.mjs
+++ b/utils/testVerdict.mjs
@@ -1,15 +1,14 @@
-// Evaluates a test run. Failures listed in KNOWN-RED.txt are printed but do not fail the run.
-//
-// Usage: node utils/testVerdict.mjs KNOWN-RED.txt < OUTPUT   (OUTPUT: TAP output of the runner)
+// Evaluates the TAP output of a test run. Failures listed in KNOWN-RED.txt are printed but do not fail the run.
+// Usage: node utils/testVerdict.mjs KNOWN-RED.txt < TAP
 import fs from 'node:fs';
 import { pathToFileURL } from 'node:url';
 
 /** Maximum number of entries in KNOWN-RED.txt. */
 const MAX_KNOWN_RED = 3;
-/** Fields of a line: the test, the command with its seed, the observed failure, and the issue. */
+/** Fields of an entry: the test, the command with its seed, the observed failure, and the issue. */
 const FIELDS = 4;
 
-/** Parses KNOWN-RED.txt. Each line has the form `FILE: TITLE | COMMAND | SEEN | ISSUE`. */
+/** Parses KNOWN-RED.txt. An entry has the form `FILE: TITLE | COMMAND | SEEN | ISSUE`; `#` starts a comment line. */
 export function parseKnownRed(text) {
   const lines = text.split('\n').filter(line => line.trim() !== '' && !line.startsWith('#'));
   if (lines.length > MAX_KNOWN_RED)
@@ -17,14 +16,14 @@
   return lines.map(line => {
     const fields = line.split('|').map(field => field.trim());
     if (fields.length !== FIELDS || fields.includes(''))
-      throw new Error(`KNOWN-RED.txt: expected four fields separated by '|': ${line}`);
+      throw new Error(`KNOWN-RED.txt: expected four non-empty fields separated by '|': ${line}`);
     return { test: fields[0], line };
   });
 }
 
 /**
- * Returns the tests of a TAP output, named `FILE: TITLE`, and the files that failed without a failed test or before printing
- * their plan. A file without a plan exited early, so its remaining tests did not run.
+ * Returns the tests of a TAP output, named `FILE: TITLE`, and the files that failed without a failed test or without a
+ * plan. A file without a plan exited early, so its remaining tests did not run.
  */
 function readTap(output) {
   const tests = [];
@@ -45,17 +44,20 @@
   return { tests, brokenFiles };
 }
 
-/** `status`: exit status of the runner. A status other than 0 without a failed test or file counts as one failure. */
+/**
+ * Counts the passed and failed tests. An exit status of the runner other than 0 without a failed test or file counts as
+ * one failure.
+ */
 export function verdictOf(output, knownRed, status) {
   const { tests, brokenFiles } = readTap(output);
   const failed = tests.filter(test => test.isFailed);
   const red = knownRed.filter(({ test }) => failed.some(({ name }) => name === test));
   const green = knownRed.filter(known => !red.includes(known));
   const unexpected = failed.filter(({ name }) => !knownRed.some(({ test }) => test === name));
-  const isUnexplained = status !== 0 && failed.length === 0 && brokenFiles.length === 0;
+  const isRunnerFailure = status !== 0 && failed.length === 0 && brokenFiles.length === 0;
   return {
     passed: tests.length - failed.length,
-    failed: unexpected.length + brokenFiles.length + (isUnexplained ? 1 : 0),
+    failed: unexpected.length + brokenFiles.length + (isRunnerFailure ? 1 : 0),
     notes: [
       ...red.map(({ line }) => `known red: ${line}`),
       ...green.map(({ line }) => `known red, but did not fail in this run: ${line}`),
--- a/utils/updateGolden.mjs
+++ b/utils/updateGolden.mjs
@@ -1,4 +1,4 @@
-// Rewrites the golden files from the current output of the sessions. Review the diff before committing it.
+// Rewrites the golden files of golden.spec.ts. Review the diff before committing it.
 import { spawnSync } from 'node:child_process';
 
 const env = { ...process.env, UPDATE_GOLDEN: 'yes' };
--- a/utils/upgrade.mjs
+++ b/utils/upgrade.mjs
@@ -1,5 +1,6 @@
-// Runs hosts of another checkout's build and of this one in one deployment, on data that the other build wrote, and prints
-// whether every check held. Usage: npm run upgrade -- CHECKOUT   (CHECKOUT is built: npm run setup && node utils/bundleTarget.mjs)
+// Runs hosts of another checkout's build and of this one in one deployment, on data that the other build wrote.
+// Usage: npm run upgrade -- CHECKOUT
+// CHECKOUT must be built: npm run setup && node utils/bundleTarget.mjs
 import { Checks } from './upgradeChecks.mjs';
 import { checkDaemons } from './upgradeDaemons.mjs';
 import { checkEdgeHosts } from '../platform/upgrade/edgeHosts.mjs';
@@ -12,5 +13,5 @@
 const checks = new Checks();
 await checkEdgeHosts(checkout, checks);
 await checkDaemons(checkout, checks);
-console.log(`${checks.passed} held, ${checks.failed} failed`);
+console.log(`${checks.passed} passed, ${checks.failed} failed`);
 process.exit(checks.failed === 0 ? 0 : 1);
--- a/utils/upgradeChecks.mjs
+++ b/utils/upgradeChecks.mjs
@@ -1,4 +1,4 @@
-// Checks of `npm run upgrade`, printed one a line.
+// Checks of `npm run upgrade`, printed one per line.
 import { performance } from 'node:perf_hooks';
 import { setTimeout as delay } from 'node:timers/promises';
 
@@ -8,24 +8,24 @@
   passed = 0;
   failed = 0;
 
-  check(what, isTrue, found) {
+  check(description, isTrue, actual) {
     if (isTrue) this.passed += 1;
     else this.failed += 1;
     console.log(
-      `${isTrue ? 'held  ' : 'FAILED'}  ${what}${isTrue ? '' : `: found ${JSON.stringify(found)}`}`,
+      `${isTrue ? 'passed' : 'FAILED'}  ${description}${isTrue ? '' : `: actual ${JSON.stringify(actual)}`}`,
     );
   }
 
-  equal(what, found, expected) {
-    this.check(what, JSON.stringify(found) === JSON.stringify(expected), found);
+  equal(description, actual, expected) {
+    this.check(description, JSON.stringify(actual) === JSON.stringify(expected), actual);
   }
 }
 
-/** Polls until the condition holds or the time is over; returns whether it held. */
-export async function until(isTrue, timeoutMs) {
+/** Polls until the condition holds or the timeout expires. Returns whether it held. */
+export async function until(condition, timeoutMs) {
   const endMs = performance.now() + timeoutMs;
   while (performance.now() < endMs) {
-    if (await isTrue()) return true;
+    if (await condition()) return true;
     await delay(POLL_MS);
   }
   return false;
--- a/utils/upgradeDaemons.mjs
+++ b/utils/upgradeDaemons.mjs
@@ -1,5 +1,5 @@
-// Entry daemons of two builds with the product's own stand-ins: rules and keys that the other build stored, steps and customers
-// while hosts are replaced one by one, and the command line of each build at hosts of the other.
+// Entry daemons of two builds in one deployment: rules and keys that the other build stored, steps and customer
+// requests during a rolling upgrade and rollback, and the command line of each build against hosts of the other.
 import fs from 'node:fs';
 import os from 'node:os';
 import path from 'node:path';
@@ -14,8 +14,8 @@
 const STEPS = 6;
 const CLIENTS = 4;
 const RESTART_AFTER_MS = 1500;
-const SETTLED_MS = 2500;
-const IN_FORCE_MS = '11000';
+const SETTLE_MS = 2500;
+const RULES_TIMEOUT_MS = '11000';
 const PLAN = {
   name: 'upgrade',
   domains: ['tekapo', 'twizel'],
@@ -27,8 +27,8 @@
   lookupPath: '/listings',
 };
 
-/** Starts each entry host from the build that is chosen for it, and ends hosts with SIGTERM. */
-class TwoBuilds extends Supervisor {
+/** Starts each entry host from the build selected for it in `builds`, and stops hosts with SIGTERM. */
+class TwoBuildSupervisor extends Supervisor {
   builds = new Map();
 
   constructor(other, own) {
@@ -55,7 +55,7 @@
   }
 }
 
-class Roll {
+class RollingUpgrade {
   trainerUrls = [];
 
   constructor(deployment, supervisor, checks, folder) {
@@ -65,22 +65,22 @@
     this._checks = checks;
   }
 
-  /** A restarted host listens at another port: trainers share this list. */
+  /** Updates the list that the trainers share: a restarted host listens on another port. */
   updateTrainerUrls() {
     this.trainerUrls.splice(0, this.trainerUrls.length, ...this._deployment.urls('trainers'));
   }
 
-  async to(build, indexes) {
+  async restartWith(build, indexes) {
     for (const index of indexes) {
       this._supervisor.builds.set(this._deployment.hosts[index].id, build);
       await this._deployment.crashHost(index, RESTART_AFTER_MS);
       this.updateTrainerUrls();
-      await delay(SETTLED_MS);
+      await delay(SETTLE_MS);
     }
   }
 
-  /** Both builds' command lines at every host. */
-  async checkCommands(what) {
+  /** Runs the commands of both builds against every host. */
+  async checkCommands(stage) {
     for (const build of ['other', 'this']) {
       for (const host of this._deployment.hosts) {
         const url = `http://${host.started.addresses.operators}`;
@@ -95,22 +95,22 @@
           ['rules', 'explain'],
         ]) {
           const { exitCode, output } = await this._supervisor.ctlOf(build, [...command, ...flags]);
-          const at = `${build} build's ${command.join(' ')} at ${host.id} of the ${this._supervisor.builds.get(host.id) ?? 'other'} build`;
+          const at = `${build} build's ${command.join(' ')} against ${host.id} of the ${this._supervisor.builds.get(host.id) ?? 'other'} build`;
           const isDone = exitCode === 0 && isJson(output);
           if (isDone) this._checks.passed += 1;
-          else this._checks.check(`${what}: ${at}`, false, output.slice(0, 300));
+          else this._checks.check(`${stage}: ${at}`, false, output.slice(0, 300));
         }
       }
     }
-    this._checks.check(`${what}: commands of both builds at every host`, true);
+    this._checks.check(`${stage}: commands of both builds against every host`, true);
   }
 
-  async checkRules(what, build) {
+  async checkRules(stage, build) {
     const { hosts } = this._deployment;
     const urls = hosts.map(host => `http://${host.started.addresses.operators}`).join(',');
     const flags = ['--hosts', urls, '--operator-token', 'demo-operator-token-0123456789'];
     const rule = path.join(this._folder, 'rule.yaml');
-    const id = `rule-${what.replaceAll(' ', '-')}`;
+    const id = `rule-${stage.replaceAll(' ', '-')}`;
     fs.writeFileSync(
       rule,
       `rules:\n  - id: ${id}\n    team: storefront\n    when: { kind: [service] }\n    then: { retries: 2 }\n`,
@@ -124,17 +124,17 @@
       'storefront',
       ...flags,
     ]);
-    this._checks.check(`${what}: ${build} build's edit is accepted`, added.exitCode === 0, added);
+    this._checks.check(`${stage}: ${build} build's edit is accepted`, added.exitCode === 0, added);
     const status = await this._supervisor.ctlOf(build, [
       'rules',
       'status',
       '--wait-ms',
-      IN_FORCE_MS,
+      RULES_TIMEOUT_MS,
       ...flags,
     ]);
-    this._checks.check(`${what}: it is in force on every host`, status.exitCode === 0, status);
+    this._checks.check(`${stage}: edit is applied on every host`, status.exitCode === 0, status);
     const listed = await this._supervisor.ctlOf(build, ['rules', 'get', ...flags]);
-    this._checks.check(`${what}: it is listed`, listed.output.includes(id), listed.output);
+    this._checks.check(`${stage}: edit is listed`, listed.output.includes(id), listed.output);
   }
 }
 
@@ -147,9 +147,9 @@
   }
 }
 
-/** Sends one hold with its key at each host: it must have run once in all. */
+/** Sends a hold with the same key to each host and checks that it was executed once. */
 async function checkKey(deployment, checks, key) {
-  const found = [];
+  const outcomes = [];
   for (const url of deployment.urls('callers')) {
     const response = await request(`${url}/svc/${PLAN.services.name}/holds`, {
       method: 'POST',
@@ -161,18 +161,18 @@
       body: JSON.stringify({ seat: key }),
     });
     await response.body.dump();
-    found.push(
+    outcomes.push(
       `${response.headers['fuchsiahitch-outcome']} ${response.headers['fuchsiahitch-reason'] ?? ''}`.trim(),
     );
   }
   const runs = (await deployment.holdRuns()).get(key);
-  const areKnown = found.every(
+  const areOutcomesKnown = outcomes.every(
     outcome => outcome === 'completed' || outcome.includes('answer-not-kept') || outcome.includes('key-'),
   );
   checks.check(
-    `the key ${key} ran once at ${found.length} hosts (${[...new Set(found)].join(', ')})`,
-    runs === 1 && areKnown,
-    [runs, found],
+    `hold ${key}, sent to ${outcomes.length} hosts, was executed once (${[...new Set(outcomes)].join(', ')})`,
+    runs === 1 && areOutcomesKnown,
+    [runs, outcomes],
   );
 }
 
@@ -180,7 +180,7 @@
   const reports = training.flatMap(result => result.reports);
   const expected = PLAN.trainers.length * STEPS;
   const complete = reports.filter(report => report.isOver && report.failedGroups === 0).length;
-  checks.equal('steps that are complete', complete, expected);
+  checks.equal('steps complete', complete, expected);
   const slots = reports.flatMap(report => {
     const counts = new Map();
     for (const { slot } of report.samples) counts.set(slot, (counts.get(slot) ?? 0) + 1);
@@ -194,8 +194,8 @@
   checks.equal('samples delivered twice', slots.filter(count => count > 1).length, 0);
 }
 
-/** Programs of a checkout, as files of the names that the supervisor starts. */
-function programsOf(checkout, folder) {
+/** Writes launchers for the programs of a checkout, named as the supervisor expects, and returns their folder. */
+function writeLaunchers(checkout, folder) {
   fs.mkdirSync(folder);
   const programs = {
     'fuchsiahitch-entry': 'entry',
@@ -211,48 +211,48 @@
 
 export async function checkDaemons(checkout, checks) {
   const folder = fs.mkdtempSync(path.join(os.tmpdir(), 'fuchsiahitch-upgrade-'));
-  const supervisor = new TwoBuilds(
-    programsOf(checkout, path.join(folder, 'other')),
-    programsOf('.', path.join(folder, 'this')),
+  const supervisor = new TwoBuildSupervisor(
+    writeLaunchers(checkout, path.join(folder, 'other')),
+    writeLaunchers('.', path.join(folder, 'this')),
   );
   const deployment = new RunningDeployment(PLAN, supervisor);
   try {
     await deployment.start();
-    const roll = new Roll(deployment, supervisor, checks, folder);
-    await roll.checkRules('other build alone', 'other');
+    const upgrade = new RollingUpgrade(deployment, supervisor, checks, folder);
+    await upgrade.checkRules('other build alone', 'other');
     await checkKey(deployment, checks, 'upgrade-key-1');
     const customers = new Customers(deployment);
     customers.start(CLIENTS);
     const version = new WeightVersion();
-    roll.updateTrainerUrls();
-    const trainers = { plan: PLAN, urls: () => roll.trainerUrls };
+    upgrade.updateTrainerUrls();
+    const trainers = { plan: PLAN, urls: () => upgrade.trainerUrls };
     const trainings = PLAN.trainers.map((name, i) => train(trainers, name, STEPS, version, i === 0));
-    await roll.to('this', [0, 2]);
-    await roll.checkCommands('half and half');
-    await roll.checkRules('half and half by this build', 'this');
-    await roll.checkRules('half and half by the other build', 'other');
+    await upgrade.restartWith('this', [0, 2]);
+    await upgrade.checkCommands('half and half');
+    await upgrade.checkRules('half and half by this build', 'this');
+    await upgrade.checkRules('half and half by the other build', 'other');
     await checkKey(deployment, checks, 'upgrade-key-1');
     await checkKey(deployment, checks, 'upgrade-key-2');
-    await roll.to('this', [1, 3]);
-    await roll.checkRules('this build alone', 'this');
+    await upgrade.restartWith('this', [1, 3]);
+    await upgrade.checkRules('this build alone', 'this');
     await checkKey(deployment, checks, 'upgrade-key-2');
-    await roll.to('other', [0, 2]);
-    await roll.checkRules('back to half and half', 'other');
+    await upgrade.restartWith('other', [0, 2]);
+    await upgrade.checkRules('back to half and half', 'other');
     await checkKey(deployment, checks, 'upgrade-key-3');
     const training = await Promise.all(trainings);
     await customers.stop();
     checkTraining(checks, training);
     const { completions, lookups, holds, lost, broken, notRunKeys } = customers.counts;
     checks.check(
-      `customers are served (${completions + lookups + holds}, ${broken} broken and resent)`,
+      `customer requests completed (${completions + lookups + holds}, ${broken} connections broken)`,
       completions + lookups + holds > 0,
       customers.counts,
     );
     checks.equal('customer requests lost', lost, 0);
     const runs = await deployment.holdRuns();
-    checks.equal('holds run twice', [...runs.values()].filter(count => count > 1).length, 0);
+    checks.equal('holds executed twice', [...runs.values()].filter(count => count > 1).length, 0);
     checks.equal(
-      'holds reported as not run that ran',
+      'holds reported not executed that were',
       [...notRunKeys].filter(key => (runs.get(key) ?? 0) > 0),
       [],
     );
