--- a/packages/demo/src/customers.ts
+++ b/packages/demo/src/customers.ts
@@ -1,6 +1,6 @@
 /**
- * Customer load of the demo: lookups, completions and seat holds, sent to the entry hosts in round-robin order as by a
- * load balancer. Requests are retried at the next host; a hold keeps its idempotency key.
+ * Customer load of the demo: lookups, completions and seat holds, sent to the entry hosts in round-robin order.
+ * Requests are retried at the next host; a retried hold keeps its idempotency key.
  */
 import hdr, { type Histogram } from 'hdr-histogram-js';
 import { request } from 'undici';
@@ -17,13 +17,13 @@
   completions: number;
   lookups: number;
   holds: number;
-  /** Calls whose connection broke, such as at a killed host. */
+  /** Calls that failed with a connection error. */
   broken: number;
-  /** Requests without a complete answer after all retries. */
+  /** Lookups and completions that did not complete after all retries. */
   lost: number;
-  /** Holds whose outcome was reported as unknown. */
+  /** Holds whose last reported outcome was `unknown`. */
   unknownHolds: number;
-  /** Keys of holds that were reported as not executed. */
+  /** Idempotency keys of holds that were reported as not executed. */
   readonly notRunKeys: Set<string>;
 }
 
@@ -90,7 +90,7 @@
     else this.counts.lost += 1;
   }
 
-  /** Retries a hold with its key until the outcome is certain. Resends the key of every fifth one. */
+  /** Retries a hold with its key until it is known to have been executed. Resends about every fifth hold. */
   private async _hold(name: string): Promise<void> {
     const { plan } = this._deployment;
     const path = `/svc/${plan.services.name}/holds`;
--- a/packages/demo/src/main.ts
+++ b/packages/demo/src/main.ts
@@ -38,7 +38,9 @@
 
 interface TableRow {
   readonly label: string;
+  /** One value per deployment. */
   readonly values: readonly string[];
+  /** For each deployment, whether its value satisfies the guarantee. */
   readonly holds: readonly boolean[];
 }
 
@@ -112,7 +114,7 @@
       const twice = [...o.scoreRuns.values()].filter(runs => runs > 1).length;
       return [String(twice), twice === 0];
     }),
-    row('versions behind, maximum', o => {
+    row('versions behind trainer, maximum', o => {
       const most = Math.max(0, ...reports(o).flatMap(report => report.versionsBehind));
       return [`${most} (bound ${STALENESS_VERSIONS})`, most <= STALENESS_VERSIONS];
     }),
@@ -129,11 +131,11 @@
     row('customer requests lost', o => [String(o.customers.counts.lost), o.customers.counts.lost === 0]),
     row('connections broken, retried', o => [String(o.customers.counts.broken), true]),
     row('holds reported unknown', o => [String(o.customers.counts.unknownHolds), true]),
-    row('holds run twice', o => {
+    row('holds executed twice', o => {
       const twice = [...o.holdRuns.values()].filter(runs => runs > 1).length;
       return [String(twice), twice === 0];
     }),
-    row('holds reported not run that ran', o => {
+    row('holds reported not executed that were', o => {
       const wrong = [...o.customers.counts.notRunKeys].filter(key => (o.holdRuns.get(key) ?? 0) > 0).length;
       return [String(wrong), wrong === 0];
     }),
@@ -162,7 +164,7 @@
   process.stdout.write(`\n${''.padEnd(width + 2)}${head}\n`);
   for (const { label: what, values, holds } of rows) {
     const cells = values
-      .map((value, i) => `${value}${holds[i] === true ? '' : '  BROKEN'}`.padEnd(columns))
+      .map((value, i) => `${value}${holds[i] === true ? '' : '  VIOLATED'}`.padEnd(columns))
       .join('');
     process.stdout.write(`${what.padEnd(width + 2)}${cells.trimEnd()}\n`);
   }
@@ -178,9 +180,9 @@
 const rows = tableRows(outcomes);
 print(rows, outcomes);
 const hasPassed = rows.every(row => row.holds.every(Boolean));
-process.stdout.write(`\n${hasPassed ? 'every promise held' : 'a promise was BROKEN'}`);
+process.stdout.write(`\n${hasPassed ? 'all guarantees held' : 'a guarantee was VIOLATED'}`);
 process.stdout.write(
-  `, ${Math.round((performance.now() - startMs) / 1000)} s, ${supervisor.processCount()} processes\n`,
+  `, ${Math.round((performance.now() - startMs) / 1000)} s, ${supervisor.count()} processes\n`,
 );
 await supervisor.stopAll();
 process.exit(hasPassed ? 0 : 1);
--- a/packages/demo/src/runningDeployment.ts
+++ b/packages/demo/src/runningDeployment.ts
@@ -76,7 +76,7 @@
     return host.id;
   }
 
-  /** Kills an engine permanently and removes it from the membership list, which lags. */
+  /** Kills an engine permanently and removes it from the membership list. */
   async crashEngine(index: number): Promise<string> {
     const engine = this.endpoints.filter(endpoint => endpoint.pool.kind === 'engine')[index];
     if (!engine) return 'none';
@@ -85,7 +85,7 @@
     return engine.id;
   }
 
-  /** Drains an engine and marks it as leaving in the membership list, which lags. */
+  /** Drains an engine and marks it as leaving in the membership list. */
   async drainEngine(index: number): Promise<string> {
     const engine = this.endpoints.filter(endpoint => endpoint.pool.kind === 'engine')[index];
     if (!engine) return 'none';
@@ -94,13 +94,13 @@
     return engine.id;
   }
 
-  /** Executions of each idempotency key, summed over all services. */
+  /** Returns the number of executions per idempotency key, summed over all services. */
   async holdRuns(): Promise<ReadonlyMap<string, number>> {
     const services = this.endpoints.filter(endpoint => endpoint.pool.kind === 'service');
     return this._fetchRuns(services.map(service => `http://${service.started.addresses}/runs`));
   }
 
-  /** Number of times each sample was scored. */
+  /** Returns how often each sample was scored. */
   async scoreRuns(): Promise<ReadonlyMap<string, number>> {
     return this._fetchRuns([`${this._scorerUrl}/runs`]);
   }
@@ -179,7 +179,7 @@
       if (exitCode === 0 && isSettled(JSON.parse(output) as HostStatusLine[], this.hosts.length)) return;
       await delay(POLL_MS);
     }
-    throw new Error(`${this.plan.name}: hosts were not ready in time`);
+    throw new Error(`${this.plan.name}: hosts did not become ready before the start timeout`);
   }
 }
 
--- a/packages/demo/src/supervisor.ts
+++ b/packages/demo/src/supervisor.ts
@@ -40,7 +40,8 @@
     process.on('exit', () => this.killAll());
   }
 
-  processCount(): number {
+  /** Number of running processes. */
+  count(): number {
     return this._children.size;
   }
 
@@ -62,7 +63,7 @@
     return { child, addresses };
   }
 
-  /** Runs `fuchsiahitchctl` and returns its output and exit code. */
+  /** Runs `fuchsiahitchctl` and returns its combined output and its exit code. */
   async ctl(args: readonly string[]): Promise<{ readonly output: string; readonly exitCode: number }> {
     const child = spawn(process.execPath, [`${this._binFolder}/fuchsiahitchctl.mjs`, ...args], {
       stdio: 'pipe',
@@ -109,7 +110,7 @@
   if (!stdout) throw new Error('broken invariant: a started process has no stdout pipe');
   return new Promise((resolve, reject) => {
     const timer = setTimeout(
-      () => reject(new Error('process did not report its address in time')),
+      () => reject(new Error('process did not print its addresses before the start timeout')),
       START_TIMEOUT_MS,
     );
     child.once('exit', code => reject(new Error(`process exited with ${code ?? 'a signal'} during startup`)));
--- a/packages/demo/src/training.ts
+++ b/packages/demo/src/training.ts
@@ -15,11 +15,12 @@
 /** Result of one trainer. */
 export interface TrainingResult {
   readonly reports: readonly StepReport[];
+  /** Time spent waiting for samples. */
   readonly idleMs: number;
   readonly trainingMs: number;
 }
 
-/** Current weight version of a deployment's trainers. */
+/** The weight version that a deployment's trainers share. */
 export class WeightVersion {
   private _version = 1;
 
@@ -33,6 +34,7 @@
   }
 }
 
+/** Runs `steps` steps as one trainer. With `announcesWeights`, it announces a new version after each but the last. */
 export async function train(
   deployment: RunningDeployment,
   name: string,
--- a/packages/measure/src/figure.ts
+++ b/packages/measure/src/figure.ts
@@ -18,7 +18,7 @@
 
 const SIGNIFICANT_DIGITS = 4;
 
-/** Prints a figure as a JSON line, rounded to four significant digits. */
+/** Prints a figure as a JSON line, rounded to `SIGNIFICANT_DIGITS`. */
 export function printFigure(figure: Figure): void {
   const value = Number(figure.value.toPrecision(SIGNIFICANT_DIGITS));
   process.stdout.write(`${JSON.stringify({ ...figure, value })}\n`);
--- a/packages/standins/src/engineStandIn.ts
+++ b/packages/standins/src/engineStandIn.ts
@@ -1,5 +1,5 @@
 /**
- * A model engine that streams tokens with their weight versions, reports its load with a lag, and accepts weight orders.
+ * A model engine that streams tokens with their weight versions, reports its load with a delay, and loads weights.
  */
 import type { FastifyReply, FastifyRequest } from 'fastify';
 import { hash32 } from '@fuchsiahitch/base';
@@ -20,12 +20,16 @@
   readonly id: string;
   /** Number of concurrent generations. Others are queued, high priority first. */
   readonly slots: number;
+  /** Milliseconds per token. */
   readonly tokenMs: number;
   readonly meanTokens: number;
+  /** Duration of a weight load. */
   readonly swapMs: number;
+  /** Minimum age of the reported load. */
   readonly reportLagMs: number;
+  /** Whether orders with a stale fencing token are refused. */
   readonly checksFencing: boolean;
-  /** Weight store that must permit each load; empty for none. */
+  /** URL of the weight store that must permit each load; empty for none. */
   readonly weightStoreUrl: string;
 }
 
@@ -51,18 +55,18 @@
 }
 
 const VOCABULARY = ['sky', 'star', 'night', 'moon', 'quest', 'forge', 'tale', 'wind', 'river', 'stone'];
-const TAIL_EVERY = 10;
-const TAIL_FACTOR = 5;
+const LONG_ANSWER_INTERVAL = 10;
+const LONG_ANSWER_FACTOR = 5;
 
-/** Number of tokens of the answer to a prompt. Deterministic; one prompt in ten has an answer five times as long. */
+/** Returns the number of tokens of an answer. Deterministic; one prompt in ten has an answer five times as long. */
 export function answerLength(prompt: string, meanTokens: number, maxTokens: number): number {
   const hash = hash32(prompt);
-  const isTail = hash % TAIL_EVERY === 0;
+  const isLong = hash % LONG_ANSWER_INTERVAL === 0;
   const length = 1 + (hash32(`${prompt}/length`) % (2 * meanTokens));
-  return Math.min(maxTokens, isTail ? TAIL_FACTOR * length : length);
+  return Math.min(maxTokens, isLong ? LONG_ANSWER_FACTOR * length : length);
 }
 
-/** Token `index` of the answer to a prompt. Deterministic, so that tests detect duplicated and missing tokens. */
+/** Returns token `index` of an answer. Deterministic, so that tests can detect duplicated and missing tokens. */
 export function answerToken(prompt: string, index: number): string {
   return `${VOCABULARY[hash32(`${prompt}/${index}`) % VOCABULARY.length] ?? ''}${index} `;
 }
@@ -72,7 +76,7 @@
   private readonly _options: EngineOptions;
   private readonly _queue: QueuedGeneration[] = [];
   private readonly _loadSamples: LoadSample[] = [];
-  private _running = 0;
+  private _runningCount = 0;
   private _version = 1;
   private _highestFencingToken = 0;
   private _isLeaving = false;
@@ -101,7 +105,7 @@
     return this._completions;
   }
 
-  /** Starts to drain: running completions continue, new ones are refused. */
+  /** Drains the engine: running completions continue, new ones are refused. */
   leave(): void {
     this._isLeaving = true;
   }
@@ -117,7 +121,7 @@
       await reply
         .status(503)
         .headers({ 'x-not-run': '1', ...leaving })
-        .send({ error: 'not taken' });
+        .send({ error: 'request refused before execution' });
       return;
     }
     let isClosed = false;
@@ -164,8 +168,8 @@
   }
 
   private async _acquireSlot(isHighPriority: boolean): Promise<void> {
-    if (this._running < this._options.slots) {
-      this._running += 1;
+    if (this._runningCount < this._options.slots) {
+      this._runningCount += 1;
       return;
     }
     await new Promise<void>(resolve => this._queue.push({ isHighPriority, start: resolve }));
@@ -175,11 +179,11 @@
     const highPriority = this._queue.findIndex(waiting => waiting.isHighPriority);
     const [next] = this._queue.splice(Math.max(0, highPriority), 1);
     if (next) next.start();
-    else this._running -= 1;
+    else this._runningCount -= 1;
   }
 
   private _sampleLoad(): void {
-    this._loadSamples.push({ in_flight: this._running, queued: this._queue.length });
+    this._loadSamples.push({ in_flight: this._runningCount, queued: this._queue.length });
     if (this._loadSamples.length > 2) this._loadSamples.shift();
   }
 
@@ -191,12 +195,12 @@
   private async _order(request: FastifyRequest, reply: FastifyReply): Promise<void> {
     const { version, token } = orderSchema.parse(request.body);
     if (this._options.checksFencing && token < this._highestFencingToken) {
-      await reply.status(409).send({ error: 'an order with a later fencing token came before' });
+      await reply.status(409).send({ error: 'stale fencing token' });
       return;
     }
     this._highestFencingToken = Math.max(this._highestFencingToken, token);
     if (this.faults.consume('failSwaps')) {
-      await reply.status(500).send({ error: 'swap failed' });
+      await reply.status(500).send({ error: 'weight load failed' });
       return;
     }
     void this._swap(version);
@@ -212,7 +216,7 @@
     this._isSwapping = false;
   }
 
-  /** Returns whether the weight store permits a load. If it does not, the swap is dropped without an error. */
+  /** Returns whether the weight store permits a load. Without permission, the load is dropped without an error. */
   private async _requestLoad(): Promise<boolean> {
     if (this._options.weightStoreUrl === '') return true;
     try {
--- a/packages/standins/src/faults.ts
+++ b/packages/standins/src/faults.ts
@@ -10,7 +10,7 @@
     isDown: z.boolean().default(false),
     /** Delays every call. */
     delayMs: z.number().int().min(0).default(0),
-    /** Number of calls that take effect but lose their answers. */
+    /** Number of calls that take effect but get no response. */
     loseAnswers: z.number().int().min(0).default(0),
     /** Keeps watches open without sending events. */
     areWatchesSilent: z.boolean().default(false),
@@ -39,7 +39,7 @@
     this._faults = faultsSchema.parse(faults);
   }
 
-  /** Consumes one occurrence of a counted fault. Returns false if none is left. */
+  /** Consumes one occurrence of a counted fault. Returns false if none remains. */
   consume(kind: 'loseAnswers' | 'failSwaps' | 'refuse'): boolean {
     if (this._faults[kind] === 0) return false;
     this._faults = { ...this._faults, [kind]: this._faults[kind] - 1 };
@@ -58,7 +58,7 @@
       if (request.url === '/faults') return;
       if (this._faults.isDown) request.raw.socket.destroy();
       else if (this._faults.failStatus > 0)
-        await reply.status(this._faults.failStatus).send({ error: 'fault' });
+        await reply.status(this._faults.failStatus).send({ error: 'injected fault' });
       else if (this._faults.delayMs > 0) await pause(this._faults.delayMs);
     });
   }
--- a/packages/standins/src/keyValueStandIn.ts
+++ b/packages/standins/src/keyValueStandIn.ts
@@ -46,7 +46,7 @@
   untilMs: number;
 }
 
-/** Numbers of calls, counted as the platform counts them. */
+/** Numbers of calls by kind. */
 export interface CallCounts {
   reads: number;
   writes: number;
@@ -60,7 +60,8 @@
   private readonly _leases = new Map<string, Lease>();
   private _revision = 1;
   private _nextLease = 1;
-  private _saved: { readonly entries: ReadonlyMap<string, Entry>; readonly revision: number } | undefined;
+  private _savedContent:
+    { readonly entries: ReadonlyMap<string, Entry>; readonly revision: number } | undefined;
 
   constructor() {
     super();
@@ -75,14 +76,14 @@
 
   /** Saves the current content for `restore`. */
   save(): void {
-    this._saved = { entries: new Map(this._entries), revision: this._revision };
+    this._savedContent = { entries: new Map(this._entries), revision: this._revision };
   }
 
   /** Restores the saved content and closes all watches, as a restore from a backup does. */
   restore(): void {
-    if (!this._saved) return;
+    if (!this._savedContent) return;
     this._entries.clear();
-    for (const [key, entry] of this._saved.entries) this._entries.set(key, entry);
+    for (const [key, entry] of this._savedContent.entries) this._entries.set(key, entry);
     for (const watch of this._watches) watch.response.destroy();
   }
 
--- a/packages/standins/src/main.ts
+++ b/packages/standins/src/main.ts
@@ -24,9 +24,9 @@
 const settingsTable = {
   kind: { schema: z.enum(kinds), help: `one of ${kinds.join(', ')}` },
   address: { schema: addressSchema, help: 'IP:port to listen on', fallback: '127.0.0.1:0' },
-  id: { schema: nameSchema, help: 'the name of an engine or service', fallback: 'standin' },
-  slots: { schema: integerSchema(1, 1000), help: 'generations that an engine runs at a time', fallback: '8' },
-  'token-ms': { schema: integerSchema(0, 10_000), help: 'milliseconds a token', fallback: '5' },
+  id: { schema: nameSchema, help: 'name of the engine or service', fallback: 'standin' },
+  slots: { schema: integerSchema(1, 1000), help: 'concurrent generations of an engine', fallback: '8' },
+  'token-ms': { schema: integerSchema(0, 10_000), help: 'milliseconds per token', fallback: '5' },
   'mean-tokens': {
     schema: integerSchema(1, 10_000),
     help: 'mean length of an answer in tokens',
@@ -35,7 +35,7 @@
   'swap-ms': { schema: integerSchema(0, 60_000), help: 'milliseconds to load weights', fallback: '300' },
   'checks-fencing': {
     schema: z.enum(['yes', 'no']),
-    help: 'yes or no: an engine refuses old fencing tokens',
+    help: 'yes or no: whether an engine refuses stale fencing tokens',
     fallback: 'yes',
   },
   'weight-store-url': {
@@ -45,10 +45,14 @@
   },
   'loads-per-second': {
     schema: integerSchema(1, 10_000),
-    help: 'loads that the weight store allows',
+    help: 'loads per second that the weight store permits',
     fallback: '20',
   },
-  'lag-ms': { schema: integerSchema(0, 60_000), help: 'lag of the membership list', fallback: '500' },
+  'lag-ms': {
+    schema: integerSchema(0, 60_000),
+    help: 'milliseconds until a membership change becomes visible',
+    fallback: '500',
+  },
 };
 
 const settings = readSettings(PROGRAM, settingsTable, process.argv.slice(2), process.env);
--- a/packages/standins/src/memberStandIn.ts
+++ b/packages/standins/src/memberStandIn.ts
@@ -1,5 +1,5 @@
 /**
- * The platform's membership list. Changes become visible after a lag.
+ * The platform's membership list. Changes become visible after a delay.
  */
 import * as z from 'zod';
 import { StandIn } from './standIn.js';
@@ -52,7 +52,7 @@
     });
   }
 
-  /** Applies a change after the lag. */
+  /** Applies a change after `lagMs`. */
   change(change: z.infer<typeof changeSchema>): void {
     if (this._lagMs === 0) this._apply(change);
     else setTimeout(() => this._apply(change), this._lagMs).unref();
--- a/packages/standins/src/serviceStandIn.ts
+++ b/packages/standins/src/serviceStandIn.ts
@@ -1,17 +1,18 @@
 /**
- * A plain service for seat holds. It counts executions per idempotency key, so that tests can verify at-most-once execution.
+ * A plain service for seat holds. Counts executions per idempotency key, so that tests can detect repeated ones.
  */
 import type { FastifyReply, FastifyRequest } from 'fastify';
 import { pause } from './faults.js';
 import { StandIn } from './standIn.js';
 
 export interface ServiceOptions {
+  /** Duration of a seat hold request. */
   readonly executionMs: number;
   readonly id: string;
 }
 
 export class ServiceStandIn extends StandIn {
-  /** Headers of each lookup as received. */
+  /** Request headers of each lookup. */
   readonly lookups: Readonly<Record<string, unknown>>[] = [];
   private readonly _executionCounts = new Map<string, number>();
   private readonly _options: ServiceOptions;
@@ -43,7 +44,7 @@
       await reply
         .status(503)
         .headers({ 'x-not-run': '1', ...leaving })
-        .send({ error: 'not taken' });
+        .send({ error: 'request refused before execution' });
       return;
     }
     const key = String(request.headers['idempotency-key'] ?? 'none');
--- a/packages/standins/src/standIn.ts
+++ b/packages/standins/src/standIn.ts
@@ -18,7 +18,7 @@
     this.faults.install(this.server);
   }
 
-  /** Listens on `IP:port`. Port 0 selects a free port. */
+  /** Listens on `IP:port` and returns the bound address. Port 0 selects a free port. */
   async listen(address: string): Promise<string> {
     const { ip, port } = splitAddress(address);
     await this.server.listen({ host: ip, port });
--- a/packages/standins/src/trainer.ts
+++ b/packages/standins/src/trainer.ts
@@ -16,11 +16,11 @@
 const TIMEOUT_MS = 10_000;
 
 export interface TrainerOptions {
-  /** Trainer listeners of the entry hosts. Calls go to them in round-robin order, as from a load balancer. */
+  /** Trainer listeners of the entry hosts, called in round-robin order. */
   readonly urls: readonly string[];
   readonly trainerVersion: () => number;
   readonly maxSamples: number;
-  /** Whether the trainer sends the slots that it holds. */
+  /** Whether the trainer reports the slots whose samples it has received. */
   readonly reportsHeldSlots: boolean;
   readonly stepTimeoutMs: number;
 }
@@ -33,7 +33,7 @@
   readonly durationMs: number;
   readonly calls: number;
   readonly failedCalls: number;
-  /** Per sample, the trainer's version at delivery minus the sample's oldest version. */
+  /** For each sample, the trainer's version at delivery minus the oldest version of the sample's tokens. */
   readonly versionsBehind: readonly number[];
 }
 
@@ -84,7 +84,7 @@
     };
   }
 
-  /** Announces new weights. */
+  /** Announces new weights. Returns whether the host accepted the call. */
   async announce(pool: string, version: number): Promise<boolean> {
     return (await this._post('/v1/weights', { pool, version })) !== undefined;
   }
@@ -107,20 +107,20 @@
       readonly samples: readonly Sample[];
     },
   ): Promise<TakeReply | undefined> {
-    const held = position.samples.map(sample => ({ from: sample.slot, to: sample.slot + 1 }));
+    const heldSlots = position.samples.map(sample => ({ from: sample.slot, to: sample.slot + 1 }));
     const body = {
       key: `${spec.trainer}/${spec.step}`,
       cursor: position.cursor,
       generation: position.generation,
       trainerVersion: position.version,
       maxSamples: this._options.maxSamples,
-      ...(this._options.reportsHeldSlots ? { held } : {}),
+      ...(this._options.reportsHeldSlots ? { held: heldSlots } : {}),
     };
     const parsed = takeReplySchema.safeParse(await this._post('/v1/steps/take', body));
     return parsed.success ? parsed.data : undefined;
   }
 
-  /** Calls the next host. Returns undefined if the connection failed or the status was not 200. */
+  /** Calls the next host in round-robin order. Returns undefined if the connection failed or the status was not 200. */
   private async _post(path: string, body: unknown): Promise<unknown> {
     const { urls } = this._options;
     const url = urls[this._nextUrl++ % urls.length] ?? '';
--- a/packages/testkit/src/simBackends.ts
+++ b/packages/testkit/src/simBackends.ts
@@ -1,5 +1,5 @@
 /**
- * Fakes of a deployment's back ends on a virtual clock. Each supports fault injection and records what it executed.
+ * Simulated back ends of a deployment on a virtual clock, with fault injection and records of executed calls.
  */
 import { err, ok, type Deadline, type Result } from '@fuchsiahitch/base';
 import type { MemberDocument } from '@fuchsiahitch/membership';
@@ -31,7 +31,7 @@
 const CALL_TIMEOUT_MS = 2000;
 const MS_PER_SECOND = 1000;
 
-/** Called when work reaches a stage, so that a test can inject a fault there. */
+/** Called when a request or sample reaches a stage, so that a test can inject a fault there. */
 export type StageListener = (stage: string) => void;
 
 interface Entry {
@@ -47,6 +47,7 @@
 
 export class SimStore {
   isDown = false;
+  /** Number of transactions that take effect but get no reply. */
   loseAnswers = 0;
   areWatchesSilent = false;
   calls = 0;
@@ -98,7 +99,7 @@
     return lease !== undefined;
   }
 
-  /** Expires all leases at once, as if their holders had been paused. */
+  /** Expires all leases at once, as if their holders had not renewed them. */
   expireLeases(): void {
     for (const lease of this._leases.values()) lease.untilMs = -1;
     this._expire();
@@ -224,7 +225,7 @@
   }
 }
 
-/** An engine. Samples are checked against its record of tokens and versions. */
+/** An engine that records the weight version of each generated token. */
 export class SimEngine {
   readonly process: SimProcess;
   version = 1;
@@ -234,7 +235,7 @@
   /** Milliseconds per token. */
   tokenMs = 20;
   inFlight = 0;
-  /** Weight version that generated each token, by sample ID. */
+  /** Weight version of each generated token, by sample ID. */
   readonly made = new Map<string, number[]>();
   /** Time of the first token, by sample ID. */
   readonly firstTokenMs = new Map<string, number>();
@@ -261,7 +262,7 @@
     });
   }
 
-  /** Accepts an order and loads the version later. An injected swap failure drops the load without an error. */
+  /** Accepts an order and loads the version later. With `failSwaps`, the order is accepted but the load is dropped. */
   order(version: number, token: number): OrderAnswer {
     this.orders.push({ version, token });
     if (this.failSwaps > 0) {
@@ -280,10 +281,10 @@
   }
 }
 
-/** A process supervisor restarts a crashed engine after this time. */
+/** Delay after which a crashed engine is restarted. */
 const ENGINE_RESTART_MS = 2000;
 
-/** Number of tokens generated for a prompt; deterministic. */
+/** Returns the number of tokens generated for a prompt. Deterministic; a prompt that ends in `tail` gets 60 more. */
 export function completionLength(prompt: string): number {
   return 4 + (prompt.length % 3) + (prompt.endsWith('tail') ? 60 : 0);
 }
@@ -376,7 +377,7 @@
   }
 }
 
-/** A plain service, called without network faults, that counts the executions of each idempotency key. */
+/** A plain service that counts executions per idempotency key. Calls do not go through the simulated network. */
 export class SimService implements ServiceClient {
   readonly executionCounts = new Map<string, number>();
   refuse = 0;
@@ -412,7 +413,7 @@
   }
 }
 
-/** Counts how often each sample was scored. */
+/** A scoring service that counts how often each sample was scored. */
 export class SimScorer {
   readonly process: SimProcess;
   readonly scoreCounts = new Map<string, number>();
--- a/packages/testkit/src/simFleet.ts
+++ b/packages/testkit/src/simFleet.ts
@@ -49,12 +49,13 @@
 
 type Handler = (body: unknown, context: CallContext) => unknown;
 
-/** A host. `services` is set once the host has joined the fleet. */
+/** A host that runs the daemon's services. */
 export class SimHost implements CallRegistry, PeerCaller {
   readonly id: string;
   readonly domain: string;
   readonly process: SimProcess;
   readonly handlers = new Map<string, Handler>();
+  /** Undefined until the services have started. */
   services: EntryServices | undefined;
   private readonly _fleet: SimFleet;
 
@@ -65,11 +66,12 @@
     this.process = new SimProcess(id, fleet.clock);
   }
 
-  /** Bytes of the peer protocol sent and received, without the host's calls to itself. */
+  /** Bytes sent and received on the peer protocol, without the host's calls to itself. */
   peerBytes = 0;
 
+  /** The services of a started host. Throws if the host has not started. */
   get ready(): EntryServices {
-    if (!this.services) throw new Error(`host ${this.id} has not started`);
+    if (!this.services) throw new Error(`services of host ${this.id} have not started`);
     return this.services;
   }
 
@@ -113,7 +115,7 @@
 }
 
 export interface SimFleetOptions {
-  /** Counts the encoded bytes of the peer protocol. */
+  /** Whether to count the encoded bytes of the peer protocol. */
   readonly countsBytes?: boolean;
   readonly seed: number;
   readonly domains: readonly string[];
@@ -135,7 +137,7 @@
   readonly options: SimFleetOptions;
   /** Called when a step, sample or write reaches a stage; tests inject faults here. */
   onStage: (stage: string) => void = () => undefined;
-  /** Number of load report requests. */
+  /** Number of requests for an engine's load report. */
   loadReportCalls = 0;
   private readonly _stop = new AbortController();
 
@@ -187,7 +189,7 @@
     return fleet;
   }
 
-  /** Starts a host, or replaces its process by a new one. */
+  /** Starts a host, or replaces its process if it is already running. */
   async startHost(domain: string, id: string): Promise<void> {
     this.hosts.get(id)?.process.kill();
     const host = new SimHost(this, domain, id);
@@ -199,7 +201,7 @@
 
   host(id: string): SimHost {
     const host = this.hosts.get(id);
-    if (!host) throw new Error(`no host ${id}`);
+    if (!host) throw new Error(`unknown host ${id}`);
     return host;
   }
 
@@ -211,10 +213,11 @@
 
   engine(url: string): SimEngine {
     const engine = this.engines.get(url);
-    if (!engine) throw new Error(`no engine ${url}`);
+    if (!engine) throw new Error(`unknown engine ${url}`);
     return engine;
   }
 
+  /** Whether every live host owns key slots and has settled all of them. */
   isSettled(): boolean {
     return this.liveHosts().every(host => {
       const { keys } = host.ready;
--- a/packages/testkit/src/simTrainer.ts
+++ b/packages/testkit/src/simTrainer.ts
@@ -1,5 +1,5 @@
 /**
- * A trainer on the virtual clock, and checks of the delivery guarantees against the samples that it received.
+ * A trainer on the virtual clock, and checks of the delivery guarantees on the samples that it received.
  */
 import { SimProcess, type SimNet } from './simulation.js';
 import type { SimFleet, SimHost } from './simFleet.js';
@@ -18,8 +18,11 @@
 export class SimTrainer {
   readonly process: SimProcess;
   readonly deliveries: Delivery[] = [];
+  /** The trainer's current weight version. */
   version = 1;
+  /** Number of calls whose replies are lost. */
   loseReplies = 0;
+  /** The reply that ended the step. */
   end: TakeReply | undefined;
   private readonly _fleet: SimFleet;
   private readonly _net: SimNet;
@@ -77,18 +80,18 @@
   }
 
   private _request(): TakeRequest {
-    const held = this.deliveries.map(({ sample }) => ({ from: sample.slot, to: sample.slot + 1 }));
+    const heldSlots = this.deliveries.map(({ sample }) => ({ from: sample.slot, to: sample.slot + 1 }));
     return {
       key: `${this._spec.trainer}/${this._spec.step}`,
       cursor: this._cursor,
       generation: this._generation,
       trainerVersion: this.version,
       maxSamples: 4,
-      ...(this._reportsHeldSlots ? { held } : {}),
+      ...(this._reportsHeldSlots ? { held: heldSlots } : {}),
     };
   }
 
-  /** Calls the next host in round-robin order, as a load balancer does. */
+  /** Calls the next host in round-robin order, as a load balancer does. Returns undefined if the reply is lost. */
   private async _call<T>(act: (host: SimHost) => Promise<T>): Promise<T | undefined> {
     const hosts = [...this._fleet.hosts.values()];
     const host = hosts[this._nextHost++ % hosts.length];
@@ -111,7 +114,8 @@
   const counts = new Map<number, number>();
   for (const { sample } of trainer.deliveries) counts.set(sample.slot, (counts.get(sample.slot) ?? 0) + 1);
   for (let slot = 0; slot < slotCount; slot++) {
-    if (counts.get(slot) !== 1) violations.push(`slot ${slot} delivered ${counts.get(slot) ?? 0} times`);
+    if (counts.get(slot) !== 1)
+      violations.push(`slot ${slot} delivered ${counts.get(slot) ?? 0} times, expected once`);
   }
   for (const delivery of trainer.deliveries) violations.push(...deliveryViolations(fleet, spec, delivery));
   return violations;
@@ -129,15 +133,15 @@
     violations.push(`slot ${sample.slot}: provenance differs from the versions that generated the tokens`);
   const text = versions.map((_, i) => `${i} `).join('');
   if (sample.text !== text)
-    violations.push(`slot ${sample.slot}: a token is duplicated or missing: ${sample.text}`);
+    violations.push(`slot ${sample.slot}: a token is duplicated or missing in '${sample.text}'`);
   if (trainerVersion - Math.min(...versions) > spec.stalenessVersions)
-    violations.push(`slot ${sample.slot}: too many versions old`);
+    violations.push(`slot ${sample.slot}: oldest token exceeds the version staleness bound`);
   const firstTokenMs = Math.min(
     ...engines.map(engine => engine.firstTokenMs.get(sample.sampleId) ?? Infinity),
   );
   if (deliveredMs - firstTokenMs > spec.stalenessMs)
-    violations.push(`slot ${sample.slot}: ${deliveredMs - firstTokenMs} ms old`);
+    violations.push(`slot ${sample.slot}: age of ${deliveredMs - firstTokenMs} ms exceeds the bound`);
   const scoreRuns = fleet.scorer.scoreCounts.get(sample.sampleId) ?? 0;
-  if (scoreRuns !== 1) violations.push(`slot ${sample.slot}: scored ${scoreRuns} times`);
+  if (scoreRuns !== 1) violations.push(`slot ${sample.slot}: scored ${scoreRuns} times, expected once`);
   return violations;
 }
--- a/packages/testkit/src/simulation.ts
+++ b/packages/testkit/src/simulation.ts
@@ -3,7 +3,7 @@
  */
 import { SeededRandom, VirtualClock, type CancelTimer, type Clock } from '@fuchsiahitch/base';
 
-/** A process. While paused, it defers timers and messages until it resumes. Once killed, it drops them. */
+/** A process. While paused, it defers timers and messages until it resumes; once killed, it drops them. */
 export class SimProcess implements Clock {
   readonly name: string;
   private readonly _clock: VirtualClock;
@@ -42,7 +42,7 @@
     };
   }
 
-  /** Runs `step` now, or on resume if the process is paused. */
+  /** Runs `step` now, or after `resume` if the process is paused. */
   run(step: () => void): void {
     if (this._isKilled) return;
     if (this._isPaused) this._deferred.push(step);
@@ -65,13 +65,13 @@
 
 export interface SimNetOptions {
   readonly maxDelayMs: number;
-  /** Share of messages lost in each direction. */
+  /** Share of messages lost in each direction, from 0 to 1. */
   readonly lossRate: number;
 }
 
 const LOSS_RESOLUTION = 1000;
 
-/** Delivers calls between processes with random delay and loss, and across cut connections not at all. */
+/** Delivers calls between processes with random delay and loss. Drops all messages of cut connections. */
 export class SimNet {
   lossRate: number;
   private readonly _clock: VirtualClock;
@@ -86,6 +86,7 @@
     this.lossRate = options.lossRate;
   }
 
+  /** Cuts the connection between two processes in both directions. */
   cut(a: string, b: string): void {
     this._cuts.add(`${a}|${b}`);
     this._cuts.add(`${b}|${a}`);
@@ -95,11 +96,12 @@
     return this._cuts.has(`${a.name}|${b.name}`);
   }
 
+  /** Restores all cut connections. */
   heal(): void {
     this._cuts.clear();
   }
 
-  /** Runs `handler` at the callee. Returns undefined if no reply arrived in time, whether or not `handler` ran. */
+  /** Runs `handler` at `to`. Returns undefined if no reply arrived in time; `handler` may have run nonetheless. */
   async call<T>(
     from: SimProcess,
     to: SimProcess,
--- a/packages/testkit/src/testFleet.ts
+++ b/packages/testkit/src/testFleet.ts
@@ -1,5 +1,5 @@
 /**
- * A deployment in one process: stand-ins and entry hosts that communicate over real sockets on free ports.
+ * A deployment in one process: stand-ins and entry hosts that communicate over real sockets.
  */
 import { SystemClock, SystemRandom, readSettings } from '@fuchsiahitch/base';
 import { EntryHost, entrySettings } from '@fuchsiahitch/entry';
@@ -24,7 +24,7 @@
   readonly enginesPerDomain: number;
   readonly servicesPerDomain: number;
   readonly engine?: Partial<EngineOptions>;
-  /** File of client accounts. Without it, callers need no keys. */
+  /** Path of the client accounts. If omitted, callers need no keys. */
   readonly accountsFile?: string;
 }
 
@@ -53,10 +53,10 @@
       [fleet.store, fleet.members, fleet.scorer].map(standIn => standIn.listen('127.0.0.1:0')),
     );
     for (const domain of options.domains) await fleet._startEndpoints(domain);
-    const names = options.domains.flatMap(domain =>
+    const hostNames = options.domains.flatMap(domain =>
       Array.from({ length: options.hostsPerDomain }, (_, i) => ({ domain, id: `${domain}-${i}` })),
     );
-    await Promise.all(names.map(({ domain, id }) => fleet.startHost(domain, id)));
+    await Promise.all(hostNames.map(({ domain, id }) => fleet.startHost(domain, id)));
     await eventually('all hosts ready', () => [...fleet.hosts.values()].every(host => host.isReady()));
     return fleet;
   }
@@ -90,7 +90,7 @@
 
   host(id: string): EntryHost {
     const host = this.hosts.get(id);
-    if (!host) throw new Error(`no host ${id}`);
+    if (!host) throw new Error(`unknown host ${id}`);
     return host;
   }
 
@@ -174,7 +174,7 @@
   }
 }
 
-/** Polls until the condition holds. Throws after a timeout. */
+/** Polls until the condition holds. Throws after `TIMEOUT_MS`. */
 export async function eventually(
   description: string,
   condition: () => boolean | Promise<boolean>,
--- a/tests/fakeStore.ts
+++ b/tests/fakeStore.ts
@@ -1,6 +1,6 @@
 /**
- * An in-memory store that injects the faults of the platform's store: unavailability, missing responses, lost
- * responses, delayed writes, compaction and revoked keys.
+ * An in-memory store with the faults of the platform's store: refused calls, missing and lost responses, delayed writes
+ * and compaction.
  */
 import { err, ok, sleep, type Clock, type Deadline, type Result } from '@fuchsiahitch/base';
 import type {
@@ -36,9 +36,9 @@
   private _events: WatchEvent[] = [];
   private _revision = 1;
   private _nextLease = 1;
-  /** The number of transactions that take effect while their responses are lost. */
+  /** Number of transactions that take effect but get no response. */
   loseAnswers = 0;
-  /** The next transaction gets no response and is executed after this delay. */
+  /** If set, the next transaction gets no response and is executed after this delay. */
   delayNextWriteMs: number | undefined;
 
   constructor(clock: Clock) {
@@ -77,7 +77,7 @@
   }
   private _compactedAt = 0;
 
-  /** A client with its own fault settings. */
+  /** Returns a client with its own fault settings. */
   client(): FakeStoreClient {
     return new FakeStoreClient(this, this._clock);
   }
@@ -104,10 +104,10 @@
 
   transact(compares: readonly Compare[], writes: readonly Write[]): TransactionResult {
     this._expire();
-    const conditionsHold = compares.every(
+    const areComparesMet = compares.every(
       ({ key, version }) => (this._entries.get(key)?.version ?? 0) === version,
     );
-    if (!conditionsHold) return { succeeded: false, version: 0 };
+    if (!areComparesMet) return { succeeded: false, version: 0 };
     this._revision += 1;
     const version = this._revision;
     for (const write of writes) this._write(write, version);
@@ -144,7 +144,7 @@
     }
   }
 
-  /** Resolves after the next change, lease expiry, or `waitMs`, with the delay of a watch. */
+  /** Resolves after the next change, the next lease expiry or `waitMs`, with the delay of a watch. */
   async nextChange(waitMs: number): Promise<void> {
     const nowMs = this._clock.nowMs();
     let untilMs = nowMs + waitMs;
@@ -177,7 +177,7 @@
   private _mode: StoreMode = 'available';
   /** Delay of each call before it is executed. */
   callDelayMs = 0;
-  /** Delay of each response after the call was executed. */
+  /** Delay of each response after the call is executed. */
   answerDelayMs = 0;
   calls = 0;
   private readonly _store: FakeStore;
@@ -192,7 +192,7 @@
     return this._mode;
   }
 
-  /** Also applies to pending watches. */
+  /** Sets the mode, also for pending watches. */
   set mode(mode: StoreMode) {
     this._mode = mode;
     this._store.wakeWatches();
@@ -219,7 +219,7 @@
     const endMs = this._clock.nowMs() + waitMs;
     this._count('changes');
     for (;;) {
-      const failure = await this._reachError(deadline);
+      const failure = await this._applyMode(deadline);
       if (failure) return err(failure);
       const changes = this._store.eventsAfter(prefix, afterRevision);
       if (changes === 'compacted') return err('compacted');
@@ -234,7 +234,7 @@
     deadline: Deadline,
   ): Promise<Result<TransactionResult, StoreError>> {
     this._count('transact');
-    const failure = await this._reachError(deadline);
+    const failure = await this._applyMode(deadline);
     if (failure) return err(failure);
     const { delayNextWriteMs } = this._store;
     if (delayNextWriteMs !== undefined) {
@@ -274,7 +274,7 @@
     execute: () => Result<T, StoreError>,
   ): Promise<Result<T, StoreError>> {
     this._count(call);
-    const failure = await this._reachError(deadline);
+    const failure = await this._applyMode(deadline);
     if (!failure && this.answerDelayMs > 0) {
       const answer = execute();
       await sleep(this._clock, this.answerDelayMs);
@@ -288,8 +288,8 @@
     this._store.calls.push(call);
   }
 
-  /** The error of a call in the current mode, if any. */
-  private async _reachError(deadline: Deadline): Promise<StoreError | undefined> {
+  /** Delays a call as the current mode requires. Returns the error of the call, or undefined to execute it. */
+  private async _applyMode(deadline: Deadline): Promise<StoreError | undefined> {
     if (this.callDelayMs > 0) await sleep(this._clock, this.callDelayMs);
     if (this.mode === 'refusing') return 'not-done';
     if (this.mode !== 'silent') return undefined;
--- a/tests/gatewayFleet.ts
+++ b/tests/gatewayFleet.ts
@@ -1,4 +1,6 @@
-/** A fleet of complete gateways on a virtual clock that share one store, with counters of the work they do. */
+/**
+ * A fleet of complete gateways on a virtual clock that share one store, with counters of their work.
+ */
 import { err, ok, sleep, type Result, VirtualClock } from '@fuchsiahitch/base';
 import type { CapacityPolicy } from '@fuchsiahitch/capacity';
 import { Gateway, type CallRegistry, type GatewayOptions, type PeerCaller } from '@fuchsiahitch/gateway';
@@ -23,11 +25,11 @@
   readonly hosts: number;
   readonly domains: number;
   readonly endpoints: number;
-  /** Endpoints write their records once, without heartbeats. */
+  /** Whether endpoints write their records only once. */
   readonly isHeartbeatDisabled?: boolean;
-  /** Usage is not reported if omitted. */
+  /** If omitted, usage is not reported. */
   readonly usage?: UsageBounds;
-  /** No endpoints are ordered if omitted. */
+  /** If omitted, no endpoints are ordered. */
   readonly capacity?: CapacityPolicy;
 }
 
@@ -91,7 +93,7 @@
     this.context.stop.abort();
   }
 
-  /** A view of the clock that counts this host's timers and applies its clock skew. */
+  /** Returns a clock that counts this host's timers and applies its clock skew. */
   private _countingClock(clock: VirtualClock): VirtualClock {
     const own = Object.create(clock) as VirtualClock;
     own.after = (delayMs, run) => {
@@ -154,7 +156,7 @@
   readonly domains: readonly string[];
   readonly hosts: FleetHost[] = [];
   readonly duties = new DutyStandIn(this.clock, HANDOVER_MS);
-  /** Hosts that can't exchange calls with the other hosts. */
+  /** Hosts partitioned from all others. Calls between two isolated hosts still succeed. */
   readonly isolatedHosts = new Set<string>();
   private readonly _size: FleetSize;
   private _heartbeatCount = 0;
@@ -167,7 +169,7 @@
     for (let i = 0; i < size.endpoints; i++) this._writeHeartbeat(i);
   }
 
-  /** Starts all hosts, spread over 0.3 s. */
+  /** Starts all hosts, spread over 300 ms. */
   async start(incarnation = '1'): Promise<void> {
     this.hosts.splice(0);
     const { hosts, domains } = this._size;
@@ -194,7 +196,7 @@
     return this.isolatedHosts.has(hostId) !== this.isolatedHosts.has(address);
   }
 
-  /** Kills a host's process and starts a new one on the same host. */
+  /** Kills a host's process and starts a new one. */
   restart(host: FleetHost, incarnation: string): FleetHost {
     host.kill();
     const { hostId, domain } = host.context;
--- a/tests/gatewayHosts.ts
+++ b/tests/gatewayHosts.ts
@@ -28,7 +28,7 @@
 import type { TestContext } from './gatewayFixtures.js';
 
 const STEP_MS = 10;
-/** Items of a batch may be sent for this long after its end was confirmed. */
+/** Time for which a batch's items may still be sent after its end was confirmed. */
 const BATCH_END_MS = 3000;
 
 type CallHandler = (request: never) => unknown;
@@ -110,7 +110,7 @@
   }
 
   onKeyChange(): void {
-    // No host of these orders weights.
+    // Not used: these hosts do not order weights.
   }
 
   lastOrders(): undefined {
@@ -152,11 +152,11 @@
   readonly store = new FakeStore(this.clock);
   readonly client = new ScriptedClient(this.clock);
   readonly hosts = new Map<string, GatewayHost>();
-  /** The processes that hold a lease. */
+  /** Processes whose leases are valid. */
   leases: Owner[] = [];
-  /** Pairs `from-to` of hosts whose calls time out. */
+  /** Links `from-to` whose calls time out. */
   readonly blockedLinks = new Set<string>();
-  /** Stopped hosts that reset no connections: calls to them take their full timeout. */
+  /** Unreachable hosts that do not reset connections, so that calls take their full timeout. */
   readonly unresponsive = new Set<string>();
 
   constructor() {
@@ -188,7 +188,7 @@
       for (const run of this._leaseEndListeners.get(incarnation) ?? []) run();
   }
 
-  /** Runs the listener when the lease ends, or at once if it has ended. */
+  /** Runs the listener when the lease ends, or immediately if it has already ended. */
   onLeaseEnd(owner: Owner, run: () => void): CancelTimer {
     const waiting = this._leaseEndListeners.get(owner.incarnation) ?? new Set();
     this._leaseEndListeners.set(owner.incarnation, waiting.add(run));
--- a/tests/golden.spec.ts
+++ b/tests/golden.spec.ts
@@ -36,7 +36,9 @@
       const spans = sample.spans.map(span => `${span.tokens} of version ${span.version}`).join(', ');
       this.lines.push(`slot ${sample.slot}: ${spans}; trainer at ${trainerVersion}`);
     }
-    this.lines.push(`broken promises: ${JSON.stringify(guaranteeViolations(this.fleet, spec, trainer))}`);
+    this.lines.push(
+      `guarantee violations: ${JSON.stringify(guaranteeViolations(this.fleet, spec, trainer))}`,
+    );
   }
 }
 
@@ -76,7 +78,7 @@
   t.equal(text, fs.readFileSync(file, 'utf8'));
 }
 
-await tap.test('should reproduce a step with a swap in the middle', async t => {
+await tap.test('should reproduce a step with a weight swap in the middle', async t => {
   const session = await sessionOf(101);
   const { fleet } = session;
   const spec = specOf(6, 'long tail');
@@ -152,9 +154,9 @@
     await fleet.until('all answered', () => answered === 120);
     session.note(`outcomes: ${JSON.stringify([...outcomes])}`);
     session.note(
-      `holds run more than once: ${[...fleet.services.executionCounts.values()].filter(runs => runs > 1).length}`,
+      `holds executed more than once: ${[...fleet.services.executionCounts.values()].filter(count => count > 1).length}`,
     );
   });
-  compare(t, 'cloud-night', session);
+  compare(t, 'rebooking-surge', session);
   await fleet.stop();
 });
--- a/tests/knownRed.spec.ts
+++ b/tests/knownRed.spec.ts
@@ -1,5 +1,5 @@
 /**
- * The verdict of a test run: failures on the known-red list are tolerated and printed, all others fail the run.
+ * The verdict of a test run: failures listed in KNOWN-RED.txt are tolerated and printed, all others fail the run.
  */
 import { execFileSync } from 'node:child_process';
 import fs from 'node:fs';
@@ -40,7 +40,7 @@
   t.end();
 });
 
-await tap.test('should fail for a file that ends without a failed test', t => {
+await tap.test('should fail for a failed file without a failed test', t => {
   const output = `${tapOf('orders.spec.js', 'not ok 1 - should wait')}# Subtest: dist/tests/rules.spec.js\nnot ok 2 - rules\n`;
   t.match(verdict(t, output, LISTED), /^0 passed, 1 failed$/m);
   t.end();
@@ -58,7 +58,7 @@
   t.end();
 });
 
-await tap.test('should refuse a list of four entries, and an entry without an issue', t => {
+await tap.test('should reject a list of four entries, and an entry without an issue', t => {
   t.throws(() => verdict(t, '', LISTED, LISTED, LISTED, LISTED));
   t.throws(() => verdict(t, '', 'orders.spec.ts: should wait | npm test | it does not wait'));
   t.end();
