--- a/packages/demo/src/runningDeployment.ts
+++ b/packages/demo/src/runningDeployment.ts
@@ -49,10 +49,10 @@
     this._scorerUrl = `http://${scorer?.addresses ?? ''}`;
     this._weightStoreUrl = `http://${weights?.addresses ?? ''}`;
     await Promise.all([this._startPool(this.plan.engines), this._startPool(this.plan.services)]);
-    const wanted = this.plan.domains.flatMap((domain, i) =>
+    const hosts = this.plan.domains.flatMap((domain, i) =>
       Array.from({ length: this.plan.hostsPerDomain[i] ?? 0 }, (_, n) => ({ domain, id: `${domain}-${n}` })),
     );
-    await Promise.all(wanted.map(({ domain, id }) => this._startHost(domain, id)));
+    await Promise.all(hosts.map(({ domain, id }) => this._startHost(domain, id)));
     await this._waitUntilReady();
   }
 
@@ -116,13 +116,13 @@
   }
 
   private async _startPool(pool: PoolPlan): Promise<void> {
-    const wanted = this.plan.domains.flatMap((domain, i) =>
+    const endpoints = this.plan.domains.flatMap((domain, i) =>
       Array.from({ length: pool.perDomain[i] ?? 0 }, (_, n) => ({
         domain,
         id: `${domain}-${pool.name}-${n}`,
       })),
     );
-    await Promise.all(wanted.map(({ domain, id }) => this._startEndpoint(pool, domain, id)));
+    await Promise.all(endpoints.map(({ domain, id }) => this._startEndpoint(pool, domain, id)));
   }
 
   private async _startEndpoint(pool: PoolPlan, domain: string, id: string): Promise<void> {
--- a/packages/measure/src/controlSockets.ts
+++ b/packages/measure/src/controlSockets.ts
@@ -34,21 +34,21 @@
       const seconds = MEASURE_MS / MS_PER_SECOND;
       const coreShare = (cpuUsed.user + cpuUsed.system) / MICROSECONDS_PER_SECOND / seconds / hosts;
       print({
-        figure: `control CPU per host, ${hosts} hosts on sockets`,
+        figure: `control CPU per host, ${hosts} hosts over real sockets`,
         value: coreShare * 100,
         unit: '% of a core',
         bound: '<= 3.8',
       });
       const bytes = ((await peerBytes(fleet)) - bytesBefore) / seconds / hosts;
       print({
-        figure: `peer protocol bytes per host and second, ${hosts} hosts on sockets`,
+        figure: `peer protocol bytes per host and second, ${hosts} hosts over real sockets`,
         value: bytes,
         unit: 'bytes/s',
       });
       globalThis.gc?.();
       const heap = (process.memoryUsage().heapUsed - heapBefore) / hosts / 1024 / 1024;
       print({
-        figure: `heap per host with its listeners, ${hosts} hosts on sockets`,
+        figure: `heap per host with its listeners, ${hosts} hosts over real sockets`,
         value: heap,
         unit: 'MB',
       });
--- a/packages/measure/src/hop.ts
+++ b/packages/measure/src/hop.ts
@@ -247,6 +247,6 @@
 }
 
 function urlOf(server: http.Server): string {
-  const bound = server.address();
-  return `http://127.0.0.1:${typeof bound === 'object' && bound ? bound.port : 0}`;
+  const boundAddress = server.address();
+  return `http://127.0.0.1:${typeof boundAddress === 'object' && boundAddress ? boundAddress.port : 0}`;
 }
--- a/packages/measure/src/placement.ts
+++ b/packages/measure/src/placement.ts
@@ -129,14 +129,14 @@
 function runSteps(work: Workload, strategy: Strategy, seed: number): readonly number[] {
   const random = new SeededRandom(seed);
   const steps = Array.from({ length: STEPS }, (_, i) => newStep(work, random, i * work.intervalMs));
-  const used = work.pacesMs.map(() => 0);
+  const usedSlots = work.pacesMs.map(() => 0);
   for (let nowMs = 0; steps.some(step => step.completedMs === undefined); nowMs += TICK_MS) {
     const open = steps.filter(step => step.startMs <= nowMs && step.completedMs === undefined);
     for (const step of open) {
-      advanceItems(step, work, used, nowMs);
-      placeWaitingItems(step, work, strategy, used, nowMs);
-      if (nowMs % MOVE_CHECK_INTERVAL_MS === 0) moveSlowItems(step, work, strategy, used, nowMs);
-      if (countCompleteGroups(step, work) >= work.requiredGroups) finishStep(step, used, nowMs);
+      advanceItems(step, work, usedSlots, nowMs);
+      placeWaitingItems(step, work, strategy, usedSlots, nowMs);
+      if (nowMs % MOVE_CHECK_INTERVAL_MS === 0) moveSlowItems(step, work, strategy, usedSlots, nowMs);
+      if (countCompleteGroups(step, work) >= work.requiredGroups) finishStep(step, usedSlots, nowMs);
     }
   }
   return steps.map(step => (step.completedMs ?? 0) - step.startMs);
@@ -186,13 +186,13 @@
   return item.done < item.events;
 }
 
-function advanceItems(step: ModelStep, work: Workload, used: number[], nowMs: number): void {
+function advanceItems(step: ModelStep, work: Workload, usedSlots: number[], nowMs: number): void {
   for (const item of step.items) {
     if (item.endpoint === undefined || !isOpen(item) || nowMs <= item.runningSinceMs) continue;
     const events = TICK_MS / (work.pacesMs[item.endpoint] ?? FAST_PACE_MS);
     item.done += events;
     step.observedEvents.set(item.endpoint, (step.observedEvents.get(item.endpoint) ?? 0) + events);
-    if (!isOpen(item)) releaseItem(item, used);
+    if (!isOpen(item)) releaseItem(item, usedSlots);
   }
 }
 
@@ -200,7 +200,7 @@
   step: ModelStep,
   work: Workload,
   strategy: Strategy,
-  used: number[],
+  usedSlots: number[],
   nowMs: number,
 ): void {
   const waiting = step.items
@@ -213,10 +213,10 @@
       ownDomain: '',
       avoid: new Set<string>(),
     };
-    const found = placeItem(placementEndpoints(step, work, strategy, used), request, strategy.policy);
+    const found = placeItem(placementEndpoints(step, work, strategy, usedSlots), request, strategy.policy);
     if (!found) return;
     step.groupEndpoints.set(item.group, found.id);
-    startItem(item, Number(found.id), used, nowMs);
+    startItem(item, Number(found.id), usedSlots, nowMs);
   }
 }
 
@@ -224,12 +224,12 @@
   step: ModelStep,
   work: Workload,
   strategy: Strategy,
-  used: readonly number[],
+  usedSlots: readonly number[],
 ): readonly PlacementEndpoint[] {
   return work.pacesMs.map((paceMs, i) => ({
     id: String(i),
     domain: '',
-    freeSlots: work.slotsPerEndpoint - (used[i] ?? 0),
+    freeSlots: work.slotsPerEndpoint - (usedSlots[i] ?? 0),
     paceMs: isPaceKnown(step, strategy, i) ? paceMs : undefined,
   }));
 }
@@ -242,7 +242,7 @@
   step: ModelStep,
   work: Workload,
   strategy: Strategy,
-  used: number[],
+  usedSlots: number[],
   nowMs: number,
 ): void {
   for (const item of step.items) {
@@ -252,24 +252,24 @@
     const runMs = nowMs - item.runningSinceMs;
     const other = work.pacesMs.findIndex(
       (otherMs, i) =>
-        (used[i] ?? 0) < work.slotsPerEndpoint &&
+        (usedSlots[i] ?? 0) < work.slotsPerEndpoint &&
         isPaceKnown(step, strategy, i) &&
         shouldMove(runMs, paceMs, otherMs),
     );
     if (other < 0) continue;
-    releaseItem(item, used);
-    startItem(item, other, used, nowMs);
+    releaseItem(item, usedSlots);
+    startItem(item, other, usedSlots, nowMs);
   }
 }
 
-function startItem(item: ModelItem, endpoint: number, used: number[], nowMs: number): void {
-  used[endpoint] = (used[endpoint] ?? 0) + 1;
+function startItem(item: ModelItem, endpoint: number, usedSlots: number[], nowMs: number): void {
+  usedSlots[endpoint] = (usedSlots[endpoint] ?? 0) + 1;
   item.endpoint = endpoint;
   item.runningSinceMs = nowMs;
 }
 
-function releaseItem(item: ModelItem, used: number[]): void {
-  if (item.endpoint !== undefined) used[item.endpoint] = (used[item.endpoint] ?? 1) - 1;
+function releaseItem(item: ModelItem, usedSlots: number[]): void {
+  if (item.endpoint !== undefined) usedSlots[item.endpoint] = (usedSlots[item.endpoint] ?? 1) - 1;
   item.endpoint = undefined;
 }
 
@@ -279,7 +279,7 @@
 }
 
 /** Ends a step and releases its running items. */
-function finishStep(step: ModelStep, used: number[], nowMs: number): void {
+function finishStep(step: ModelStep, usedSlots: number[], nowMs: number): void {
   step.completedMs = nowMs;
-  for (const item of step.items) releaseItem(item, used);
+  for (const item of step.items) releaseItem(item, usedSlots);
 }
--- a/packages/measure/src/ruleDecisions.ts
+++ b/packages/measure/src/ruleDecisions.ts
@@ -46,8 +46,8 @@
   let decided = 0;
   const decide = (n: number): void => {
     for (let i = 0; i < n; i++) {
-      const one = facts[i % facts.length];
-      if (one && evaluator.decide(one).ruleId !== undefined) decided += 1;
+      const request = facts[i % facts.length];
+      if (request && evaluator.decide(request).ruleId !== undefined) decided += 1;
     }
   };
   decide(WARM_UP);
--- a/packages/measure/src/steps.ts
+++ b/packages/measure/src/steps.ts
@@ -102,8 +102,8 @@
   const stored = { head, headVersion: 1, spec, chunks: [] };
   const owner = new StepOwner(stored, { key: 'big/1', clock, random, store, hedgeShare: 0.05 });
   for (let i = 0; owner.ledger.counts().open > 0; i++) {
-    for (const one of owner.assign(`w${i % WORKERS}`, ASSIGNMENT_SIZE).assignments)
-      owner.sampleDone(sampleOf(one));
+    for (const assignment of owner.assign(`w${i % WORKERS}`, ASSIGNMENT_SIZE).assignments)
+      owner.sampleDone(sampleOf(assignment));
   }
   const fillTimeMs = performance.now() - startMs;
   globalThis.gc?.();
@@ -143,10 +143,10 @@
   print({ figure: 'store bytes of a step of 8,192 samples', value: store.bytes / 1000, unit: 'kB' });
 }
 
-function sampleOf(one: Assignment): Sample {
+function sampleOf(assignment: Assignment): Sample {
   return {
-    sampleId: one.sampleId,
-    slot: one.slot,
+    sampleId: assignment.sampleId,
+    slot: assignment.slot,
     text: SAMPLE_TEXT,
     spans: [{ version: 1, tokens: 500 }],
     score: 1,
@@ -242,12 +242,12 @@
   const isDone = (): boolean =>
     running.length === 0 && [...remainingSteps.values()].every(count => count === 0);
   while (!isDone() && clock.nowMs() < TIME_LIMIT_MS) await clock.advance(1000);
-  const all = [...durations.values()].flat();
-  const idleMs = all.reduce((sum, ms) => sum + ms, 0);
+  const stepTimesMs = [...durations.values()].flat();
+  const idleMs = stepTimesMs.reduce((sum, ms) => sum + ms, 0);
   const stepMs = Object.fromEntries(
     [...durations].map(([house, list]) => [house, list.reduce((a, b) => a + b, 0) / list.length]),
   );
-  return { idleShare: idleMs / (idleMs + all.length * TRAINING_MS), stepMs };
+  return { idleShare: idleMs / (idleMs + stepTimesMs.length * TRAINING_MS), stepMs };
 }
 
 interface SlotContext {
@@ -292,7 +292,7 @@
   if (step.ledger.isOver()) finish(step);
 }
 
-/** Draws 50 to 2,000 tokens; one sample in twenty is ten times as long. */
+/** Draws 50 to 199 tokens, or ten times as many for one sample in twenty. */
 function drawTokenCount(random: Random): number {
   const base = 50 + random.below(150);
   return random.below(20) === 0 ? base * 10 : base;
--- a/packages/standins/src/standIn.ts
+++ b/packages/standins/src/standIn.ts
@@ -22,8 +22,8 @@
   async listen(address: string): Promise<string> {
     const { ip, port } = splitAddress(address);
     await this.server.listen({ host: ip, port });
-    const bound = this.server.server.address();
-    this._address = typeof bound === 'object' && bound ? `${ip}:${bound.port}` : address;
+    const boundAddress = this.server.server.address();
+    this._address = typeof boundAddress === 'object' && boundAddress ? `${ip}:${boundAddress.port}` : address;
     return this._address;
   }
 
--- a/packages/standins/src/trainer.ts
+++ b/packages/standins/src/trainer.ts
@@ -107,14 +107,14 @@
       readonly samples: readonly Sample[];
     },
   ): Promise<TakeReply | undefined> {
-    const heldSlots = position.samples.map(sample => ({ from: sample.slot, to: sample.slot + 1 }));
+    const held = position.samples.map(sample => ({ from: sample.slot, to: sample.slot + 1 }));
     const body = {
       key: `${spec.trainer}/${spec.step}`,
       cursor: position.cursor,
       generation: position.generation,
       trainerVersion: position.version,
       maxSamples: this._options.maxSamples,
-      ...(this._options.reportsHeldSlots ? { held: heldSlots } : {}),
+      ...(this._options.reportsHeldSlots ? { held } : {}),
     };
     const parsed = takeReplySchema.safeParse(await this._post('/v1/steps/take', body));
     return parsed.success ? parsed.data : undefined;
--- a/packages/testkit/src/simBackends.ts
+++ b/packages/testkit/src/simBackends.ts
@@ -205,7 +205,11 @@
     });
   }
 
-  private async _call<T>(deadline: Deadline, act: () => T, isWrite = false): Promise<Result<T, StoreError>> {
+  private async _call<T>(
+    deadline: Deadline,
+    execute: () => T,
+    isWrite = false,
+  ): Promise<Result<T, StoreError>> {
     const reply = await this._net.call(
       this._host,
       this._store.process,
@@ -213,7 +217,7 @@
       () => {
         this._store.calls += 1;
         if (this._store.isDown) return new Promise<{ readonly value: T }>(() => undefined);
-        const value = act();
+        const value = execute();
         if (isWrite && this._store.loseAnswers > 0) {
           this._store.loseAnswers -= 1;
           return new Promise<{ readonly value: T }>(() => undefined);
@@ -453,9 +457,9 @@
     );
   }
 
-  private async _callScorer(deadline: Deadline, act: () => ScoreResult): Promise<ScoreResult> {
+  private async _callScorer(deadline: Deadline, execute: () => ScoreResult): Promise<ScoreResult> {
     const reply = await this._net.call(this._host, this._scorer.process, deadline.remainingMs(), () => {
-      const result = act();
+      const result = execute();
       if (this._scorer.loseAnswers === 0) return result;
       this._scorer.loseAnswers -= 1;
       return new Promise<ScoreResult>(() => undefined);
--- a/packages/testkit/src/simFleet.ts
+++ b/packages/testkit/src/simFleet.ts
@@ -195,7 +195,11 @@
     const host = new SimHost(this, domain, id);
     this.hosts.set(id, host);
     const entry = { id, domain, peerAddress: id, state: 'live' as const };
-    this.list.change(domain, d => ({ ...d, hosts: [...d.hosts.filter(other => other.id !== id), entry] }), 0);
+    this.list.change(
+      domain,
+      document => ({ ...document, hosts: [...document.hosts.filter(other => other.id !== id), entry] }),
+      0,
+    );
     host.services = await startServices(this._contextOf(host), this._portsOf(host), id);
   }
 
@@ -267,7 +271,11 @@
       checksFencing: false,
       state: 'live' as const,
     };
-    this.list.change(domain, (d: MemberDocument) => ({ ...d, endpoints: [...d.endpoints, entry] }), 0);
+    this.list.change(
+      domain,
+      (document: MemberDocument) => ({ ...document, endpoints: [...document.endpoints, entry] }),
+      0,
+    );
   }
 
   private _contextOf(host: SimHost): Parameters<typeof startServices>[0] {
--- a/packages/testkit/src/simTrainer.ts
+++ b/packages/testkit/src/simTrainer.ts
@@ -80,23 +80,23 @@
   }
 
   private _request(): TakeRequest {
-    const heldSlots = this.deliveries.map(({ sample }) => ({ from: sample.slot, to: sample.slot + 1 }));
+    const held = this.deliveries.map(({ sample }) => ({ from: sample.slot, to: sample.slot + 1 }));
     return {
       key: `${this._spec.trainer}/${this._spec.step}`,
       cursor: this._cursor,
       generation: this._generation,
       trainerVersion: this.version,
       maxSamples: 4,
-      ...(this._reportsHeldSlots ? { held: heldSlots } : {}),
+      ...(this._reportsHeldSlots ? { held } : {}),
     };
   }
 
   /** Calls the next host in round-robin order, as a load balancer does. Returns undefined if the reply is lost. */
-  private async _call<T>(act: (host: SimHost) => Promise<T>): Promise<T | undefined> {
+  private async _call<T>(handler: (host: SimHost) => Promise<T>): Promise<T | undefined> {
     const hosts = [...this._fleet.hosts.values()];
     const host = hosts[this._nextHost++ % hosts.length];
     if (!host?.services) return undefined;
-    const reply = await this._net.call(this.process, host.process, CALL_TIMEOUT_MS, () => act(host));
+    const reply = await this._net.call(this.process, host.process, CALL_TIMEOUT_MS, () => handler(host));
     if (this.loseReplies === 0) return reply;
     this.loseReplies -= 1;
     return undefined;
--- a/tests/gatewayHosts.ts
+++ b/tests/gatewayHosts.ts
@@ -110,7 +110,7 @@
   }
 
   onKeyChange(): void {
-    // Not used: these hosts do not order weights.
+    // No host of these orders weights.
   }
 
   lastOrders(): undefined {
--- a/utils/runTests.mjs
+++ b/utils/runTests.mjs
@@ -11,7 +11,7 @@
   .filter(name => named.length === 0 || named.some(part => name.includes(part)))
   .map(name => `${folder}/${name}`);
 if (files.length === 0) {
-  console.error(`no test file in ${folder} matches: ${named.join(' ')}`);
+  console.error('no test file matches the given names');
   process.exit(2);
 }
 const args = ['tap', 'run', '--disable-coverage', '--allow-empty-coverage', '--reporter=tap', '--jobs=6'];
--- a/utils/upgradeDaemons.mjs
+++ b/utils/upgradeDaemons.mjs
@@ -70,7 +70,8 @@
     this.trainerUrls.splice(0, this.trainerUrls.length, ...this._deployment.urls('trainers'));
   }
 
-  async restartWith(build, indexes) {
+  /** Restarts hosts, one after the other, from another build. */
+  async to(build, indexes) {
     for (const index of indexes) {
       this._supervisor.builds.set(this._deployment.hosts[index].id, build);
       await this._deployment.crashHost(index, RESTART_AFTER_MS);
@@ -227,16 +228,16 @@
     upgrade.updateTrainerUrls();
     const trainers = { plan: PLAN, urls: () => upgrade.trainerUrls };
     const trainings = PLAN.trainers.map((name, i) => train(trainers, name, STEPS, version, i === 0));
-    await upgrade.restartWith('this', [0, 2]);
+    await upgrade.to('this', [0, 2]);
     await upgrade.checkCommands('half and half');
     await upgrade.checkRules('half and half by this build', 'this');
     await upgrade.checkRules('half and half by the other build', 'other');
     await checkKey(deployment, checks, 'upgrade-key-1');
     await checkKey(deployment, checks, 'upgrade-key-2');
-    await upgrade.restartWith('this', [1, 3]);
+    await upgrade.to('this', [1, 3]);
     await upgrade.checkRules('this build alone', 'this');
     await checkKey(deployment, checks, 'upgrade-key-2');
-    await upgrade.restartWith('other', [0, 2]);
+    await upgrade.to('other', [0, 2]);
     await upgrade.checkRules('back to half and half', 'other');
     await checkKey(deployment, checks, 'upgrade-key-3');
     const training = await Promise.all(trainings);
