--- a/packages/batches/src/itemPlacement.ts
+++ b/packages/batches/src/itemPlacement.ts
@@ -10,7 +10,7 @@
   readonly id: string;
   readonly domain: string;
   /** By this host's count and the endpoint's last report. */
-  readonly freePlaces: number;
+  readonly freeSlots: number;
   /** The time between two events; undefined while not measured. */
   readonly paceMs: number | undefined;
 }
@@ -97,7 +97,7 @@
   policy: PlacementPolicy = DEFAULT_PLACEMENT,
 ): PlacementEndpoint | undefined {
   const medianMs = medianPaceMs(endpoints);
-  const available = endpoints.filter(endpoint => endpoint.freePlaces > 0 && !request.avoid.has(endpoint.id));
+  const available = endpoints.filter(endpoint => endpoint.freeSlots > 0 && !request.avoid.has(endpoint.id));
   const candidates = available.filter(endpoint => !isSlow(endpoint, medianMs));
   const groupEndpoint = candidates.find(endpoint => endpoint.id === request.groupEndpointId);
   return (
@@ -125,7 +125,7 @@
 function isFaster(a: PlacementEndpoint, b: PlacementEndpoint): boolean {
   if (isClearlyFaster(a, b)) return true;
   if (isClearlyFaster(b, a)) return false;
-  return a.freePlaces > b.freePlaces;
+  return a.freeSlots > b.freeSlots;
 }
 
 /** Ignores differences within the tolerance of the measurement. */
@@ -143,6 +143,6 @@
 }
 
 function isFreer(a: PlacementEndpoint, b: PlacementEndpoint, ownDomain: string): boolean {
-  if (a.freePlaces !== b.freePlaces) return a.freePlaces > b.freePlaces;
+  if (a.freeSlots !== b.freeSlots) return a.freeSlots > b.freeSlots;
   return a.domain === ownDomain && b.domain !== ownDomain;
 }
--- a/packages/batches/src/listingPolicy.ts
+++ b/packages/batches/src/listingPolicy.ts
@@ -13,7 +13,7 @@
 /** Frequent enough to confirm the claim, which each write does. */
 const LONG_INTERVAL_MS = 500;
 
-export class PromptListing implements ListingPolicy {
+export class FixedIntervalListing implements ListingPolicy {
   intervalMs(ledger: BatchLedger): number {
     return ledger.isFinished() ? 0 : SHORT_INTERVAL_MS;
   }
--- a/packages/batches/src/pace.ts
+++ b/packages/batches/src/pace.ts
@@ -8,7 +8,7 @@
 const MIN_INTERVALS = 16;
 const NEWEST_INTERVAL_WEIGHT = 0.03;
 
-export class Pace {
+export class PaceEstimator {
   private _intervals = 0;
   private _meanMs = 0;
 
--- a/packages/batches/src/records.ts
+++ b/packages/batches/src/records.ts
@@ -44,20 +44,20 @@
   readonly key: string;
 }
 
-export function readClaim(key: string, text: string): Result<Claim, RecordError> {
-  return parse(key, text, claimSchema);
+export function parseClaim(key: string, text: string): Result<Claim, RecordError> {
+  return parseRecord(key, text, claimSchema);
 }
 
-export function readResults(key: string, text: string): Result<readonly ItemResult[], RecordError> {
-  return parse(key, text, resultListSchema);
+export function parseResults(key: string, text: string): Result<readonly ItemResult[], RecordError> {
+  return parseRecord(key, text, resultListSchema);
 }
 
-export function readStep(key: string, text: string): Result<StepRecord, RecordError> {
-  return parse(key, text, stepRecordSchema);
+export function parseStep(key: string, text: string): Result<StepRecord, RecordError> {
+  return parseRecord(key, text, stepRecordSchema);
 }
 
-export function readProgress(key: string, text: string): Result<readonly ItemEvents[], RecordError> {
-  return parse(key, text, progressListSchema);
+export function parseProgress(key: string, text: string): Result<readonly ItemEvents[], RecordError> {
+  return parseRecord(key, text, progressListSchema);
 }
 
 /** Serializes the batch into parts that each fit one record. */
@@ -70,7 +70,7 @@
 }
 
 export function joinBatch(key: string, parts: readonly string[]): Result<Batch, RecordError> {
-  return parse(key, parts.join(''), batchSchema);
+  return parseRecord(key, parts.join(''), batchSchema);
 }
 
 /** The number of results that fit one record, at least one. */
@@ -86,7 +86,7 @@
   return count;
 }
 
-function parse<T>(key: string, text: string, schema: z.ZodType<T>): Result<T, RecordError> {
+function parseRecord<T>(key: string, text: string, schema: z.ZodType<T>): Result<T, RecordError> {
   try {
     const parsed = schema.safeParse(JSON.parse(text));
     return parsed.success ? ok(parsed.data) : err({ kind: 'bad-record', key });
--- a/packages/gateway/src/batchStore.ts
+++ b/packages/gateway/src/batchStore.ts
@@ -15,10 +15,10 @@
   resultPositionOf,
   progressKey,
   progressPrefix,
-  readClaim,
-  readProgress,
-  readResults,
-  readStep,
+  parseClaim,
+  parseProgress,
+  parseResults,
+  parseStep,
   resultKey,
   resultPrefix,
   splitBatch,
@@ -126,7 +126,7 @@
     const stored = await this._store.get(key, deadline);
     if (!stored.ok) return err({ kind: 'out-of-reach', error: stored.error });
     if (!stored.value) return ok(undefined);
-    const claim = readClaim(key, stored.value.value);
+    const claim = parseClaim(key, stored.value.value);
     if (!claim.ok) return err({ kind: 'damaged', key });
     return ok({ claim: claim.value, revision: stored.value.version, requestedAtMs });
   }
@@ -136,7 +136,7 @@
     if (!claims.ok) return err({ kind: 'out-of-reach', error: claims.error });
     const open: OpenClaim[] = [];
     for (const { key, value } of claims.value) {
-      const claim = readClaim(key, value);
+      const claim = parseClaim(key, value);
       if (claim.ok && !claim.value.isEnded)
         open.push({ batchId: key.slice(CLAIM_PREFIX.length), claim: claim.value });
     }
@@ -197,7 +197,7 @@
     if (!lists.ok) return err({ kind: 'out-of-reach', error: lists.error });
     const events: ItemEvents[] = [];
     for (const { key, value } of lists.value) {
-      const parsed = readProgress(key, value);
+      const parsed = parseProgress(key, value);
       if (!parsed.ok) return err({ kind: 'damaged', key });
       events.push(...parsed.value);
     }
@@ -216,7 +216,7 @@
     const stored = await this._store.get(key, deadline);
     if (!stored.ok) return err({ kind: 'out-of-reach', error: stored.error });
     if (!stored.value) return ok(undefined);
-    const record = readStep(key, stored.value.value);
+    const record = parseStep(key, stored.value.value);
     if (!record.ok) return err({ kind: 'damaged', key });
     return ok(record.value.step === step ? record.value.batchId : undefined);
   }
@@ -246,7 +246,7 @@
     if (!lists.ok) return err({ kind: 'out-of-reach', error: lists.error });
     const results: ItemResult[] = [];
     for (const { key, value } of lists.value) {
-      const parsed = readResults(key, value);
+      const parsed = parseResults(key, value);
       if (!parsed.ok || resultPositionOf(key) !== results.length) return err({ kind: 'damaged', key });
       results.push(...parsed.value);
     }
@@ -332,7 +332,7 @@
     const stored = await this._store.get(key, deadline);
     if (!stored.ok) return { kind: 'out-of-reach', error: stored.error };
     if (stored.value?.value !== value) return { kind: 'lost' };
-    const claim = readClaim(key, value);
+    const claim = parseClaim(key, value);
     if (!claim.ok) return { kind: 'lost' };
     return {
       kind: 'done',
--- a/packages/gateway/src/batchSweeper.ts
+++ b/packages/gateway/src/batchSweeper.ts
@@ -3,7 +3,7 @@
  * record twice is harmless.
  */
 import { Deadline, sleep } from '@fuchsiahitch/base';
-import { CLAIM_PREFIX, readClaim } from '@fuchsiahitch/batches';
+import { CLAIM_PREFIX, parseClaim } from '@fuchsiahitch/batches';
 import type { RevisionedStore } from '@fuchsiahitch/clients';
 import type { BatchStore } from './batchStore.js';
 import type { GatewayContext } from './gatewayContext.js';
@@ -62,7 +62,7 @@
   }
 
   private _isExpired(key: string, value: string): boolean {
-    const claim = readClaim(key, value);
+    const claim = parseClaim(key, value);
     if (!claim.ok) {
       this._context.log.warn('invalid claim record', { key });
       return false;
--- a/packages/gateway/src/endpoint.ts
+++ b/packages/gateway/src/endpoint.ts
@@ -3,7 +3,7 @@
  */
 import { setMaxListeners } from 'node:events';
 import type { Clock } from '@fuchsiahitch/base';
-import { Pace } from '@fuchsiahitch/batches';
+import { PaceEstimator } from '@fuchsiahitch/batches';
 import { ConcurrencyLimit, EndpointStats } from '@fuchsiahitch/requests';
 import type { EndpointInfo, EndpointLoad } from './ports.js';
 
@@ -57,7 +57,7 @@
   private _isMarkedLeaving = false;
   private _itemsSuspendedUntilMs = -Infinity;
   private _unreachableUntilMs = -Infinity;
-  private readonly _pace = new Pace();
+  private readonly _pace = new PaceEstimator();
   private _lastEventMs = -Infinity;
   private _reportedPace: ReportedPace | undefined;
   private _pendingLoad: PendingLoad | undefined;
--- a/packages/gateway/src/endpointTier.ts
+++ b/packages/gateway/src/endpointTier.ts
@@ -16,7 +16,7 @@
   constructor(endpoints: readonly Endpoint[]) {
     this._endpoints = new Map(endpoints.map(endpoint => [endpoint.id, endpoint]));
     this._candidates = endpoints.map(toPlacement);
-    this._freeSlots = this._candidates.reduce((sum, candidate) => sum + candidate.freePlaces, 0);
+    this._freeSlots = this._candidates.reduce((sum, candidate) => sum + candidate.freeSlots, 0);
   }
 
   get size(): number {
@@ -30,7 +30,7 @@
     if (!found) return undefined;
     this._freeSlots -= 1;
     this._candidates = this._candidates.map(candidate =>
-      candidate === found ? { ...candidate, freePlaces: candidate.freePlaces - 1 } : candidate,
+      candidate === found ? { ...candidate, freeSlots: candidate.freeSlots - 1 } : candidate,
     );
     return this._endpoints.get(found.id);
   }
@@ -40,7 +40,7 @@
   return {
     id: endpoint.id,
     domain: endpoint.domain,
-    freePlaces: endpoint.freeSlots(),
+    freeSlots: endpoint.freeSlots(),
     paceMs: endpoint.paceMs(),
   };
 }
--- a/packages/measure/src/placement.ts
+++ b/packages/measure/src/placement.ts
@@ -229,7 +229,7 @@
   return work.pacesMs.map((paceMs, i) => ({
     id: String(i),
     domain: '',
-    freePlaces: work.places - (used[i] ?? 0),
+    freeSlots: work.places - (used[i] ?? 0),
     paceMs: isPaceKnown(step, strategy, i) ? paceMs : undefined,
   }));
 }
--- a/tests/batches.spec.ts
+++ b/tests/batches.spec.ts
@@ -14,8 +14,8 @@
   placeItem,
   shouldMove,
   resultPositionOf,
-  readClaim,
-  readResults,
+  parseClaim,
+  parseResults,
   resultKey,
   assignEndpoints,
   splitBatch,
@@ -37,11 +37,11 @@
 
 function placementEndpoint(
   id: string,
-  freePlaces: number,
+  freeSlots: number,
   paceMs?: number,
   domain = 'tekapo',
 ): PlacementEndpoint {
-  return { id, domain, freePlaces, paceMs };
+  return { id, domain, freeSlots, paceMs };
 }
 
 const REQUEST = { groupEndpointId: undefined, isLong: false, ownDomain: 'tekapo', avoid: new Set<string>() };
@@ -433,8 +433,8 @@
 });
 
 await tap.test('should reject damaged records', t => {
-  t.notOk(readClaim('k', '{"owner":').ok);
-  t.notOk(readResults('k', '[{"id":1}]').ok);
+  t.notOk(parseClaim('k', '{"owner":').ok);
+  t.notOk(parseResults('k', '[{"id":1}]').ok);
   t.notOk(joinBatch('k', ['{}']).ok);
   t.end();
 });
--- a/tests/listing.spec.ts
+++ b/tests/listing.spec.ts
@@ -3,7 +3,12 @@
  */
 import tap from 'tap';
 import { Deadline, SeededRandom, VirtualClock } from '@fuchsiahitch/base';
-import { BatchLedger, PromptListing, CompleteGroupListing, type ListingPolicy } from '@fuchsiahitch/batches';
+import {
+  BatchLedger,
+  FixedIntervalListing,
+  CompleteGroupListing,
+  type ListingPolicy,
+} from '@fuchsiahitch/batches';
 import { BatchStore, ClaimLease, ResultLister } from '@fuchsiahitch/gateway';
 import { FakeStore } from './fakeStore.js';
 import { batch, item, testContext } from './gatewayFixtures.js';
@@ -78,7 +83,7 @@
 await tap.test('should list complete groups without delay and with fewer writes', async t => {
   // Trainers can't use single results of incomplete groups, so each needs no write of its own.
   for (let seed = 1; seed <= 10; seed++) {
-    const soon = await listBatch(new PromptListing(), seed);
+    const soon = await listBatch(new FixedIntervalListing(), seed);
     const byGroup = await listBatch(new CompleteGroupListing(), seed);
     for (const listed of [soon, byGroup]) {
       t.ok(listed.isAllListed);
--- a/tests/pace.spec.ts
+++ b/tests/pace.spec.ts
@@ -3,7 +3,7 @@
  */
 import tap from 'tap';
 import { SeededRandom } from '@fuchsiahitch/base';
-import { Pace, shouldMove } from '@fuchsiahitch/batches';
+import { PaceEstimator, shouldMove } from '@fuchsiahitch/batches';
 
 /** The intervals of a stream with an event every 45 ms, read in bursts of one to four. */
 function* bursts(seed: number): Generator<number> {
@@ -15,15 +15,15 @@
   }
 }
 
-function paceAfter(intervals: number, seed: number): Pace {
-  const pace = new Pace();
+function paceAfter(intervals: number, seed: number): PaceEstimator {
+  const pace = new PaceEstimator();
   const source = bursts(seed);
   for (let i = 0; i < intervals; i++) pace.addInterval(Number(source.next().value));
   return pace;
 }
 
 await tap.test('should return no pace after a few events', t => {
-  const pace = new Pace();
+  const pace = new PaceEstimator();
   for (let i = 0; i < 15; i++) pace.addInterval(45);
   t.equal(pace.estimateMs(), undefined);
   pace.addInterval(45);
