--- a/packages/batches/src/batchKeys.ts
+++ b/packages/batches/src/batchKeys.ts
@@ -12,7 +12,7 @@
 export const CLAIM_PREFIX = `${KEY_ROOT}own/`;
 
 const POSITION_DIGITS = 7;
-/** Step keys of one model, reused in turn. */
+/** A model's steps reuse this many keys in turn. */
 const STEP_KEYS_PER_MODEL = 4;
 /** Digits of the largest safe integer. */
 const REVISION_DIGITS = 16;
@@ -60,7 +60,7 @@
   return `${progressPrefix(batchId)}${owner}/${padded(record)}`;
 }
 
-/** The position of the first result in the list. */
+/** Parses the position of a record's first result from its key. */
 export function resultPositionOf(key: string): number {
   return Number(key.slice(-POSITION_DIGITS));
 }
--- a/packages/batches/src/batchLedger.ts
+++ b/packages/batches/src/batchLedger.ts
@@ -2,10 +2,8 @@
  * The owner's state of one batch: the state of each item and the order in which results are listed.
  *
  * An item is generated, then scored if the trainer requested a score, then listed. A score belongs to one text: it is
- * requested when the text is complete, and again if the text is generated again.
- *
- * A finished result becomes visible to readers only when the store has confirmed its position; otherwise the next
- * owner could assign the position to another result.
+ * requested when the text is complete, and again if the text is generated again. Readers see a result only after the
+ * store has confirmed its position; otherwise the next owner could assign the position to another result.
  */
 import { invariant } from '@fuchsiahitch/base';
 import { ItemProgress, type EventEffect, type GeneratedEvent } from './itemProgress.js';
@@ -13,9 +11,9 @@
 import type { CarryOver } from './carryOver.js';
 import type { Batch, BatchItem, ItemResult } from './model.js';
 
-/** Rules of the route. */
+/** Settings of the batch's route. */
 export interface ItemRules {
-  /** Failed runs after which an item is terminated. */
+  /** The number of failed attempts after which an item is terminated. */
   readonly maxAttempts: number;
   readonly isSingleVersion: boolean;
 }
@@ -50,7 +48,7 @@
   readonly isTextDropped: boolean;
 }
 
-/** After these an item discards its text, or a text that no endpoint can continue would be retried forever. */
+/** An item then discards its text; otherwise a text that no endpoint can continue would be retried forever. */
 const MAX_FRUITLESS_ATTEMPTS = 3;
 
 export class BatchLedger {
@@ -95,7 +93,7 @@
     return this._unconfirmed;
   }
 
-  /** The store confirmed the first `count` unconfirmed results. */
+  /** Makes the first `count` unconfirmed results visible, after the store has confirmed their positions. */
   confirm(count: number): void {
     this._confirmed.push(...this._unconfirmed.slice(0, count));
     this._unconfirmed = this._unconfirmed.slice(count);
@@ -141,7 +139,7 @@
       .map(toItemEvents);
   }
 
-  /** Repeated groups get priority. */
+  /** Uses texts of earlier steps. Groups that were submitted before get priority. */
   applyCarryOver(carryOver: CarryOver): void {
     for (const result of carryOver.results) {
       const entry = this._entries.get(result.id);
@@ -155,8 +153,8 @@
   }
 
   /**
-   * Applies a former owner's events of waiting items. Events that do not fit are skipped; a list that starts with
-   * event 1 replaces the text. A complete text is not resumed.
+   * Applies events of waiting items that were generated before this owner started. Events that are out of sequence are
+   * skipped; a list that starts with event 1 replaces the text. A complete text is not resumed.
    */
   resume(unfinished: readonly ItemEvents[]): void {
     const completeCounts = new Map<string, number>();
@@ -173,7 +171,7 @@
     }
   }
 
-  /** Sorted by priority groups, then started items, then expected length: long items determine the step's duration. */
+  /** Sorted by group priority, then started items, then expected length: long items determine the step's duration. */
   waiting(): readonly BatchItem[] {
     const entries = [...this._entries.values()].filter(entry => entry.state === 'waiting');
     entries.sort(
@@ -237,13 +235,13 @@
     if (entry.state === 'scoring') this._finish(entry, 'completed', score);
   }
 
-  /** No score was returned through no fault of the item: it is requested again. */
+  /** The request ended without a score through no fault of the item. The score is requested again. */
   scoringInterrupted(itemId: string): void {
     const entry = this._entry(itemId);
     if (entry.state === 'scoring') entry.state = 'unscored';
   }
 
-  /** After `maxFailures` the item is terminated, or it would block its group forever. */
+  /** Terminates the item after `maxFailures` failures; otherwise it would block its group forever. */
   scoringFailed(itemId: string, failures: number, maxFailures: number): void {
     const entry = this._entry(itemId);
     if (entry.state !== 'scoring') return;
@@ -252,7 +250,7 @@
     else entry.state = 'unscored';
   }
 
-  /** The endpoint failed to run the item, which is terminated after the maximum number of failures. */
+  /** The endpoint failed to run the item. After `maxAttempts` failures the item is terminated. */
   failed(itemId: string): void {
     const entry = this._entry(itemId);
     if (entry.state !== 'running') return;
@@ -272,7 +270,7 @@
       if (entry.state !== 'finished') this._finish(entry, 'terminated');
   }
 
-  /** The trainer waits for repeated groups regardless of other complete groups. */
+  /** Groups submitted again come first: the trainer waits for them even if enough other groups are complete. */
   private _groupPriority(entry: Entry): number {
     return this._priorityGroups.has(entry.item.group) ? 1 : 0;
   }
@@ -315,8 +313,8 @@
   return result.state === 'completed';
 }
 
-function textOf({ carriedText: listedBefore, progress }: Entry): CompleteText {
-  return listedBefore ?? { text: progress.text(), versions: progress.versions() };
+function textOf({ carriedText, progress }: Entry): CompleteText {
+  return carriedText ?? { text: progress.text(), versions: progress.versions() };
 }
 
 function isTextComplete(state: ItemState): boolean {
@@ -330,7 +328,7 @@
     : { itemId: item.id, events };
 }
 
-/** Adds the events that fit the partial text. A list that starts with event 1 replaces the text. */
+/** Adds the events that continue the partial text. A list that starts with event 1 replaces the text. */
 function addEvents(progress: ItemProgress, { events }: ItemEvents): void {
   if (events[0]?.number === 1) progress.clear();
   for (const event of events) {
--- a/packages/batches/src/batchMessages.ts
+++ b/packages/batches/src/batchMessages.ts
@@ -43,12 +43,12 @@
   .readonly();
 export type ItemEvents = z.infer<typeof itemEventsSchema>;
 
-/** Requests another host to adopt a batch: its owner hands over on shutdown or appears terminated. */
+/** Asks another host to adopt a batch whose owner is shutting down or appears to have terminated. */
 export const batchAdoptSchema = z
   .strictObject({
     batchId: z.string(),
     from: ownerSchema,
-    /** True if sent by the owner. Otherwise the owner may be alive and is queried first. */
+    /** True if sent by the owner. Otherwise the owner may be alive and is probed first. */
     isGivenUp: z.boolean(),
     unfinished: z.array(itemEventsSchema).readonly(),
   })
@@ -61,7 +61,7 @@
 export const endpointVersionSchema = z
   .strictObject({
     endpointId: z.string(),
-    /** The start of the endpoint to which this applies. */
+    /** Start time of the endpoint's process; the version does not apply to its other processes. */
     startWallMs: z.number(),
     model: z.string(),
     version: count,
@@ -84,7 +84,7 @@
   .readonly();
 export type PacesSeen = z.infer<typeof pacesSeenSchema>;
 
-/** Checks whether the owner of a batch is alive and runs it. */
+/** Asks the owner of a batch whether it still runs it. */
 export const batchRunsSchema = z.strictObject({ batchId: z.string() }).readonly();
 
 /** `isRun`: the host runs the batch, confirmed by the store within the claim's lease. */
--- a/packages/batches/src/carryOver.ts
+++ b/packages/batches/src/carryOver.ts
@@ -1,9 +1,8 @@
 /**
- * Texts that a batch takes over from earlier steps.
+ * Texts that a batch reuses from earlier steps.
  *
  * Groups that were incomplete when a step ended are submitted again in one of the next steps. Their texts are resumed
- * where the weight versions allow it, since an item that was too long for one step would be too long for the next as
- * well. A score is reused if its request is the same.
+ * if the weight versions allow it: an item that was too long for one step would otherwise be too long for the next.
  */
 import type { ItemEvents } from './batchMessages.js';
 import type { Batch, BatchItem, ItemResult } from './model.js';
@@ -20,7 +19,7 @@
   readonly groups: ReadonlySet<string>;
   /** Complete texts that the batch can use unchanged. */
   readonly results: readonly ItemResult[];
-  /** Partial texts. The ledger skips events that do not fit. */
+  /** Events of partial texts. The ledger skips those that are out of sequence or of an unsuitable version. */
   readonly unfinished: readonly ItemEvents[];
 }
 
@@ -36,7 +35,7 @@
   const repeated = batch.items.filter(item => isSameItem(item, earlierItems.get(item.id)));
   const items = new Map(repeated.map(item => [item.id, item]));
   const ids = new Set(items.keys());
-  const fits = (result: ItemResult): boolean => {
+  const isReusable = (result: ItemResult): boolean => {
     if (!ids.has(result.id) || result.state !== 'completed' || result.versions.length === 0) return false;
     if (isSingleVersion && result.versions.length > 1) return false;
     return result.versions.every(version => version >= batch.minVersion);
@@ -44,7 +43,7 @@
   return {
     groups: new Set(repeated.map(item => item.group)),
     results: earlier.results
-      .filter(fits)
+      .filter(isReusable)
       .map(result => withMatchingScore(result, items.get(result.id), earlierItems.get(result.id))),
     unfinished: earlier.progress.filter(({ itemId }) => ids.has(itemId)),
   };
--- a/packages/batches/src/endpointShares.ts
+++ b/packages/batches/src/endpointShares.ts
@@ -1,8 +1,8 @@
 /**
  * Assigns the endpoints of a pool to the models of its trainers.
  *
- * A weight load stops an endpoint for about a second and discards its prefix cache. Therefore each endpoint loads the
- * weights of one model only. It keeps its model unless the shares differ by two or more.
+ * Loading weights stops an endpoint for about a second and discards its prefix cache, so each endpoint loads only one
+ * model. It keeps that model unless the shares differ by two or more endpoints.
  */
 
 /** An endpoint with its weight version of each model. */
@@ -21,17 +21,17 @@
 ): ReadonlyMap<string, readonly string[]> {
   const shares = new Map<string, string[]>([...targets.keys()].map(model => [model, []]));
   const unassigned: string[] = [];
-  for (const endpoint of sorted(endpoints)) {
+  for (const endpoint of sortedById(endpoints)) {
     const closest = closestModel(endpoint, targets);
     const share = closest === undefined ? undefined : shares.get(closest);
     (share ?? unassigned).push(endpoint.id);
   }
-  for (const id of unassigned) smallest(shares)?.push(id);
+  for (const id of unassigned) smallestShare(shares)?.push(id);
   balance(shares);
   return shares;
 }
 
-function sorted(endpoints: readonly SharedEndpoint[]): readonly SharedEndpoint[] {
+function sortedById(endpoints: readonly SharedEndpoint[]): readonly SharedEndpoint[] {
   return [...endpoints].sort((a, b) => (a.id < b.id ? -1 : 1));
 }
 
@@ -52,21 +52,21 @@
 
 function balance(shares: ReadonlyMap<string, string[]>): void {
   for (;;) {
-    const least = smallest(shares);
-    const most = largest(shares);
+    const least = smallestShare(shares);
+    const most = largestShare(shares);
     if (!least || !most || most.length - least.length < 2) return;
     const moved = most.pop();
     if (moved !== undefined) least.push(moved);
   }
 }
 
-function smallest(shares: ReadonlyMap<string, string[]>): string[] | undefined {
+function smallestShare(shares: ReadonlyMap<string, string[]>): string[] | undefined {
   let found: string[] | undefined;
   for (const share of shares.values()) if (!found || share.length < found.length) found = share;
   return found;
 }
 
-function largest(shares: ReadonlyMap<string, string[]>): string[] | undefined {
+function largestShare(shares: ReadonlyMap<string, string[]>): string[] | undefined {
   let found: string[] | undefined;
   for (const share of shares.values()) if (!found || share.length > found.length) found = share;
   return found;
--- a/packages/batches/src/idleTimeouts.ts
+++ b/packages/batches/src/idleTimeouts.ts
@@ -1,23 +1,23 @@
 /**
  * Idle timeouts of an item's stream, after which the item is resumed at another endpoint.
  *
- * A mistaken move costs only the prefill of the prompt if another endpoint has a free place, and gains nothing
- * otherwise. Hence two timeouts: after the first the item moves if a place is free, after the second in any case.
+ * A needless move costs little if another endpoint has a free slot: the prompt's prefill. After the first timeout the
+ * item therefore moves only if a slot is free, after the second in any case.
  */
 
 export interface IdleTimeouts {
-  /** The item moves if another endpoint has a free place. */
+  /** The item moves if another endpoint has a free slot. */
   readonly suspectMs: number;
   /** The attempt is abandoned in any case. */
   readonly abandonMs: number;
 }
 
-/** The first event may have to wait for the prefill of other prompts. */
+/** The first event may be delayed by the prefill of other prompts. */
 const FIRST_EVENT_TIMEOUTS: IdleTimeouts = { suspectMs: 700, abandonMs: 2500 };
 const ABANDON_MS = 1200;
 /** The number of missed events after which the endpoint is suspect. */
 const SUSPECT_MISSED_EVENTS = 8;
-/** Longer than usual interruptions, such as garbage collection or a burst of prompts. */
+/** Longer than ordinary pauses, such as garbage collection or a burst of prompts. */
 const MIN_SUSPECT_MS = 350;
 
 /** `paceMs`: the time between two events at the endpoint; undefined while not measured. */
--- a/packages/batches/src/index.ts
+++ b/packages/batches/src/index.ts
@@ -1,4 +1,4 @@
-/** Decisions about batches: storage, ownership, placement and results. */
+/** Logic of batches without I/O: storage format, ownership, placement and results. */
 export * from './batchKeys.js';
 export * from './batchLedger.js';
 export * from './batchMessages.js';
--- a/packages/batches/src/itemPlacement.ts
+++ b/packages/batches/src/itemPlacement.ts
@@ -1,15 +1,15 @@
 /**
  * Selects the endpoint that runs an item.
  *
- * Engines run requests in batches at nearly the same cost at any fill level, so all free places are used. A slow
- * endpoint delays the complete group and with it the step. Items of a group share their prompt and are placed together
- * while the endpoint has room.
+ * An engine batches its requests and runs a full batch almost as fast as a small one, so all free slots are used. Items
+ * of a group share their prompt and are placed together while the endpoint has free slots. Slow endpoints are avoided,
+ * since one slow item delays its group and with it the step.
  */
 
 export interface PlacementEndpoint {
   readonly id: string;
   readonly domain: string;
-  /** By this host's count and the endpoint's last report. */
+  /** Estimated from this host's requests and the endpoint's last report. */
   readonly freeSlots: number;
   /** The time between two events; undefined while not measured. */
   readonly paceMs: number | undefined;
@@ -20,16 +20,16 @@
 const PACE_TOLERANCE = 1.1;
 /** The minimum ratio of paces for a move, well above the variation of measured paces. */
 const MOVE_FACTOR = 2;
-/** Older runs determine the duration of their step and move for a smaller gain. */
-const OLD_RUN_MS = 1500;
-const OLD_RUN_MOVE_FACTOR = 1.2;
-/** Younger runs do not move: they usually end before a move would pay off. */
-const YOUNG_RUN_MS = 800;
-
-/** Decides whether a run of age `ranMs` moves to an endpoint with `otherPaceMs`. */
-export function shouldMove(ranMs: number, paceMs: number, otherPaceMs: number): boolean {
-  if (ranMs <= YOUNG_RUN_MS) return false;
-  const factor = ranMs > OLD_RUN_MS ? OLD_RUN_MOVE_FACTOR : MOVE_FACTOR;
+/** Items that run for longer than this determine the duration of their step and move for a smaller gain. */
+const LONG_RUN_MS = 1500;
+const LONG_RUN_MOVE_FACTOR = 1.2;
+/** Items do not move before they have run for this long: most of them end before a move would pay off. */
+const MIN_RUN_MS = 800;
+
+/** Decides whether an item that has run for `elapsedMs` moves to an endpoint with pace `otherPaceMs`. */
+export function shouldMove(elapsedMs: number, paceMs: number, otherPaceMs: number): boolean {
+  if (elapsedMs <= MIN_RUN_MS) return false;
+  const factor = elapsedMs > LONG_RUN_MS ? LONG_RUN_MOVE_FACTOR : MOVE_FACTOR;
   return otherPaceMs * factor < paceMs;
 }
 
@@ -57,7 +57,7 @@
 
 /** Selects among the endpoints that are not slow. */
 export interface PlacementPolicy {
-  /** `candidates`: endpoints with a free place; `groupEndpoint`: the one of them that runs other items of the group. */
+  /** `candidates`: endpoints with a free slot; `groupEndpoint`: the one of them that runs other items of the group. */
   choose(
     candidates: readonly PlacementEndpoint[],
     groupEndpoint: PlacementEndpoint | undefined,
@@ -65,7 +65,7 @@
   ): PlacementEndpoint | undefined;
 }
 
-/** Long items go to the fastest endpoint, others to their group or else where most places are free. */
+/** Places long items at the fastest endpoint, others with their group or else where most slots are free. */
 export class MostFreePlacement implements PlacementPolicy {
   choose(
     candidates: readonly PlacementEndpoint[],
@@ -77,7 +77,7 @@
   }
 }
 
-/** All items go to the fastest endpoint, so that those that turn out longer than estimated need not move. */
+/** Places all items at the fastest endpoint, so that those that are longer than estimated need not move. */
 export class FastestPlacement implements PlacementPolicy {
   choose(
     candidates: readonly PlacementEndpoint[],
@@ -90,7 +90,7 @@
   }
 }
 
-/** Returns undefined if the item should wait for a free place. */
+/** Returns undefined if the item should wait for a free slot. */
 export function placeItem(
   endpoints: readonly PlacementEndpoint[],
   request: PlacementRequest,
@@ -108,12 +108,12 @@
 
 const DEFAULT_PLACEMENT: PlacementPolicy = new MostFreePlacement();
 
-/** Waiting for a fast endpoint is better than running at a slow one. */
+/** True if the item should rather wait for a fast endpoint than run at a slow one. */
 function hasFastEndpoint(endpoints: readonly PlacementEndpoint[], medianMs: number | undefined): boolean {
   return endpoints.some(endpoint => !isSlow(endpoint, medianMs));
 }
 
-/** Among equals, or without known paces, the endpoint with the most free places. */
+/** Among endpoints of equal or unknown pace, the one with the most free slots. */
 function fastest(endpoints: readonly PlacementEndpoint[]): PlacementEndpoint | undefined {
   let found: PlacementEndpoint | undefined;
   for (const endpoint of endpoints) {
@@ -133,7 +133,7 @@
   return (a.paceMs ?? 0) * PACE_TOLERANCE < (b.paceMs ?? 0);
 }
 
-/** Among equals, an endpoint of the own failure domain. */
+/** Among equals, an endpoint in `ownDomain`. */
 function mostFree(endpoints: readonly PlacementEndpoint[], ownDomain: string): PlacementEndpoint | undefined {
   let found: PlacementEndpoint | undefined;
   for (const endpoint of endpoints) {
--- a/packages/batches/src/itemProgress.ts
+++ b/packages/batches/src/itemProgress.ts
@@ -1,8 +1,8 @@
 /**
  * The events generated for one item, across all attempts.
  *
- * Only complete events count, in the order of their numbers, so that none is duplicated or lost when a stream is
- * resumed at another endpoint. Versions are taken from the streams, never from weight orders.
+ * Events are accepted only in the order of their numbers, so that none is duplicated or lost when a stream is resumed
+ * at another endpoint. Versions are taken from the streams, never from weight orders.
  */
 
 import * as z from 'zod';
@@ -18,7 +18,10 @@
   .readonly();
 export type GeneratedEvent = z.infer<typeof generatedEventSchema>;
 
-/** `restart`: the text was discarded; the attempt must end and the item starts over. */
+/**
+ * `repeated`: the event was added before. `gap`: an event is missing. `restart`: the text was discarded because of the
+ * event's version; the attempt must end and the item starts over.
+ */
 export type EventEffect = 'added' | 'repeated' | 'gap' | 'restart';
 
 export interface VersionRequirement {
@@ -31,8 +34,8 @@
   private _events: GeneratedEvent[] = [];
   private _textNumber = 0;
 
-  constructor(demand: VersionRequirement) {
-    this._requirement = demand;
+  constructor(requirement: VersionRequirement) {
+    this._requirement = requirement;
   }
 
   /** The number of the last complete event; 0 for none. */
--- a/packages/batches/src/listingPolicy.ts
+++ b/packages/batches/src/listingPolicy.ts
@@ -1,16 +1,16 @@
 /**
- * Decides when finished results are written to the store, which makes them visible. Collecting them saves store calls.
+ * Decides when finished results are written to the store, which makes them visible. Larger writes save store calls.
  */
 import type { BatchLedger } from './batchLedger.js';
 
 export interface ListingPolicy {
-  /** The time from the first unlisted result to the write. */
+  /** The time that a write may wait for more results. */
   intervalMs(ledger: BatchLedger): number;
 }
 
-/** Less than the trainers' polling interval. */
+/** Below the trainers' polling interval. */
 const SHORT_INTERVAL_MS = 150;
-/** Frequent enough to confirm the claim, which each write does. */
+/** Each write also renews the claim lease; a longer interval would require separate renewals. */
 const LONG_INTERVAL_MS = 500;
 
 export class FixedIntervalListing implements ListingPolicy {
--- a/packages/batches/src/model.ts
+++ b/packages/batches/src/model.ts
@@ -1,5 +1,5 @@
 /**
- * A batch: generations that a trainer submits together, stored until they are done, with results read by position.
+ * A batch: items to generate that a trainer submits together, stored until they are done. Results are read by position.
  */
 import * as z from 'zod';
 
@@ -49,7 +49,7 @@
     host: z.string(),
     /** The trainer's step; undefined for a batch without a step. */
     step: z.number().optional(),
-    /** Empty for whichever model the endpoint has loaded. */
+    /** Empty if any model that the endpoint has loaded will do. */
     model: z.string(),
     /** The oldest weight version allowed for any token of this batch. */
     minVersion: z.number(),
@@ -60,7 +60,7 @@
   .readonly();
 export type Batch = z.infer<typeof batchSchema>;
 
-/** `terminated`: abandoned, with the partial text. */
+/** `terminated`: the item was given up; the text may be partial. */
 export const itemResultSchema = z
   .strictObject({
     id: z.string(),
--- a/packages/batches/src/pace.ts
+++ b/packages/batches/src/pace.ts
@@ -1,7 +1,7 @@
 /**
- * Estimates the time between two events of the streams of one endpoint, as a moving average.
+ * Estimates the pace of an endpoint, which is the time between two events of a stream, as a moving average.
  *
- * Events arrive in bursts, so that single intervals vary widely. The average is smooth enough not to move items between
+ * Events arrive in bursts, so single intervals vary widely. Without strong smoothing, items would move between
  * endpoints of equal speed.
  */
 
@@ -18,7 +18,7 @@
     this._meanMs += weight * (intervalMs - this._meanMs);
   }
 
-  /** Undefined until there are enough intervals. */
+  /** Undefined until `MIN_INTERVALS` intervals were added. */
   estimateMs(): number | undefined {
     return this._intervals >= MIN_INTERVALS ? this._meanMs : undefined;
   }
--- a/packages/batches/src/records.ts
+++ b/packages/batches/src/records.ts
@@ -14,14 +14,14 @@
     items: z.number().int().min(0),
     /** The number of records of the submitted batch. */
     parts: z.number().int().min(1),
-    /** Determines when the records may be removed. */
+    /** Wall time of the acceptance. Records are removed some time after it. */
     acceptedWallMs: z.number(),
     takeovers: z.number().int().min(0),
   })
   .readonly();
 export type Claim = z.infer<typeof claimSchema>;
 
-/** Reports an owner's claim to the other hosts. `revision` is that of the record. */
+/** Announces an owner's claim to the other hosts. `revision` is the claim record's. */
 export const claimUpdateSchema = z
   .strictObject({ batchId: z.string(), claim: claimSchema, revision: z.number().int().min(0) })
   .readonly();
@@ -73,7 +73,7 @@
   return parseRecord(key, parts.join(''), batchSchema);
 }
 
-/** The number of results that fit one record, at least one. */
+/** Returns how many of the first results fit one record; at least one if there are any. */
 export function countFitting(results: readonly ItemResult[]): number {
   let units = 0;
   let count = 0;
--- a/packages/batches/src/resultList.ts
+++ b/packages/batches/src/resultList.ts
@@ -3,7 +3,7 @@
  */
 import type { ItemResult } from './model.js';
 
-/** `next`: the position of the following page. */
+/** `next`: the position at which the following page starts. */
 export interface ResultPage {
   readonly total: number;
   readonly results: readonly ItemResult[];
@@ -13,7 +13,7 @@
 /** In UTF-16 units: the callers' interface allows a megabyte, and JSON may double a text. */
 const MAX_PAGE_UNITS = 400_000;
 
-/** Returns at least one result if there is one. */
+/** Returns the results from position `after` on, at least one if there is any. */
 export function pageFrom(results: readonly ItemResult[], total: number, after: number): ResultPage {
   const page: ItemResult[] = [];
   let units = 0;
--- a/packages/batches/src/retryDelay.ts
+++ b/packages/batches/src/retryDelay.ts
@@ -1,5 +1,5 @@
 /**
- * Retry delays for work that failed through no fault of its own.
+ * Retry delays for items that failed through no fault of their own.
  *
  * The first retries are immediate, since another endpoint usually accepts the item; then the delay doubles.
  */
@@ -8,7 +8,7 @@
 const FIRST_DELAY_MS = 50;
 /** Below the interval at which endpoints report their state. */
 const MAX_DELAY_MS = 800;
-/** The number of consecutive failures of the first log entry; the next entries follow at each doubling. */
+/** The number of consecutive failures that is logged first; later, each doubling is logged. */
 const FIRST_LOGGED_COUNT = 5;
 
 export function retryDelayMs(failures: number): number {
--- a/packages/batches/src/storedEvents.ts
+++ b/packages/batches/src/storedEvents.ts
@@ -1,15 +1,16 @@
 /**
- * Tracks which generated events of a batch are stored outside the owner's memory.
+ * Tracks which generated events of a batch are in the store, from which the next owner resumes the items.
  *
- * The next owner resumes items from them after a takeover. Each event is written once. Short items are skipped, since
- * generating them again is cheaper. The completeness of a text is stored as well, so that it is not resumed.
+ * Each event is written once. Short texts are skipped, since generating them again is cheaper. The completeness of a
+ * text is stored as well, so that a complete text is not resumed.
  */
 import type { BatchLedger } from './batchLedger.js';
 import type { ItemEvents } from './batchMessages.js';
 import type { GeneratedEvent } from './itemProgress.js';
 import { MAX_RECORD_UNITS } from './records.js';
 
-const MIN_EVENTS = 20;
+/** Shorter incomplete texts are not stored. */
+const MIN_STORED_EVENTS = 20;
 /** JSON escapes quotes and line feeds, which at most doubles a typical text. */
 const UNITS_PER_CHARACTER = 2;
 const UNITS_PER_EVENT = 60;
@@ -35,7 +36,7 @@
    * Returns events that are not stored yet, as many as fit one record. `minEvents`: items with fewer events are skipped
    * unless their text is complete.
    */
-  missing(minEvents = MIN_EVENTS): readonly ItemEvents[] {
+  missing(minEvents = MIN_STORED_EVENTS): readonly ItemEvents[] {
     const missing: ItemEvents[] = [];
     let unitsLeft = MAX_RECORD_UNITS;
     for (const unfinished of this._ledger.unfinished()) {
@@ -55,7 +56,7 @@
     return missing;
   }
 
-  /** Marks events as stored. `textNumbers`: of each item when the write started. */
+  /** Marks events as stored. `textNumbers`: the text number of each item when the write started. */
   keep(items: readonly ItemEvents[], textNumbers: ReadonlyMap<string, number>): void {
     for (const { itemId, events, wholeEvents } of items) {
       const textNumber = textNumbers.get(itemId) ?? 0;
