--- a/packages/gateway/src/attemptReason.ts
+++ b/packages/gateway/src/attemptReason.ts
@@ -1,8 +1,8 @@
 /**
- * Extracts the reason of a failed attempt for the log.
+ * Extracts the reason for a failed attempt, for the log.
  */
 
-/** A refusal has a `reason` from a fixed set, a broken connection the `text` of its error. */
+/** `reason`: of a refusal, from a fixed set. `text`: the error of a broken connection. */
 interface AttemptFailure {
   readonly kind: string;
   readonly reason?: string;
--- a/packages/gateway/src/batchOutcomes.ts
+++ b/packages/gateway/src/batchOutcomes.ts
@@ -5,10 +5,12 @@
 
 export type SubmitOutcome =
   | { readonly kind: 'accepted' }
-  /** No item of the batch runs, now or later. */
+  /** The batch was not accepted: none of its items will run. */
   | { readonly kind: 'not-run'; readonly reason: string; readonly retryAfterMs: number }
+  /** The store did not answer: the batch may have been accepted. */
   | { readonly kind: 'unknown' };
 
+/** `unsure`: neither the owner nor the store could confirm an answer. */
 export type ReadOutcome =
   | { readonly kind: 'page'; readonly page: ResultPage }
   | { readonly kind: 'no-batch' }
--- a/packages/gateway/src/batchOwner.ts
+++ b/packages/gateway/src/batchOwner.ts
@@ -47,9 +47,9 @@
 const STORE_TIMEOUT_MS = 1000;
 /** Retry interval for items that no endpoint had a free slot for. */
 const PLACE_INTERVAL_MS = 25;
-/** Attempts started in one turn of the event loop. Bounds event loop lag on hosts with a fraction of a core. */
+/** Attempts started in one turn of the event loop. Bounds the event loop lag. */
 const MAX_STARTS_PER_TURN = 16;
-/** An endpoint that refused an item receives none for this long: it is full or loading weights. */
+/** An endpoint that refused an item, because it is full or loading weights, receives no items for this long. */
 const REFUSAL_PAUSE_MS = 250;
 /** Bound for the difference between the wall clocks of two hosts. */
 const MAX_CLOCK_SKEW_MS = 5000;
@@ -118,7 +118,7 @@
     return this.ledger.isSingleVersion();
   }
 
-  /** Starts to run the items that have no listed result. */
+  /** Starts running the items that have no listed result. */
   start(): void {
     if (this.isEnded() || this._isStopped) return;
     this._armExpiry();
@@ -155,8 +155,8 @@
   }
 
   /**
-   * Reads results from the store while an append is unanswered. The append may have taken effect, and hosts that can't
-   * reach this one then show its results, so a confirmed claim is not enough to return an empty page.
+   * Reads results from the store while an append is unanswered. The append may have taken effect: hosts that can't
+   * reach this one then return its results, so this host must not return an empty page, even with a confirmed claim.
    */
   private async _readStored(after: number): Promise<BatchReadReply> {
     const results = await this._ports.store.results(this.batchId, this._storeDeadline());
@@ -171,8 +171,8 @@
   }
 
   /**
-   * Ends the batch for good. Nothing new is sent from this call on, even if the store can't be reached: the trainer then
-   * repeats the request.
+   * Ends the batch for good. From this call on, no request is sent for it, even if the store can't be reached. The
+   * trainer then repeats the call.
    */
   async end(): Promise<'ended' | 'lost' | 'out-of-reach'> {
     if (this.isEnded()) return 'ended';
@@ -186,8 +186,8 @@
       return 'lost';
     }
     this._lease.changed(done.value);
-    // An unanswered append may have taken effect, and other hosts then read its results from the store. This host then
-    // drops its ownership, so that its readers are served from the store too and never see fewer results.
+    // If an append is unanswered, it may have taken effect, and other hosts may have read its results from the store.
+    // This host then gives up its ownership, so that its readers are served from the store as well.
     this._isClaimLost = !this._resultLister.isSettled();
     this.stop('ended by the trainer');
     if (this._isClaimLost) this._onClaimLost();
@@ -197,7 +197,7 @@
 
   /** Stops the batch because another host holds the claim. */
   claimLost(): void {
-    // Ending the batch here also changes the revision of the claim.
+    // The end of the batch at this host also changes the claim's revision, which is no loss.
     if (this._isStopped) return;
     this._isClaimLost = true;
     this.stop('another host owns the batch');
@@ -235,8 +235,8 @@
   }
 
   /**
-   * Cancels attempts that no endpoint has answered, since their requests may not be written yet: connecting takes up to a
-   * second, and a stalled process writes even later. Answered attempts continue.
+   * Cancels attempts that no endpoint has answered, since their requests may not be written yet. Answered attempts
+   * continue.
    */
   private _cancelUnanswered(): false {
     this._scoring.interrupt();
@@ -246,7 +246,7 @@
 
   /**
    * Sends waiting items to endpoints with a free slot and requests missing scores. Returns true if more items may start
-   * as soon as pending I/O was read.
+   * in the next turn of the event loop.
    */
   private _sendWaiting(): boolean {
     this._scoring.run();
@@ -269,11 +269,11 @@
 
   private _tryStart(item: BatchItem, tiers: EndpointTiers): boolean {
     const endpoint = this._placer.choose(item, tiers, this._poisonFilter.isSuspectItem(item));
-    if (endpoint) void this._run(item, endpoint);
+    if (endpoint) void this._runItem(item, endpoint);
     return endpoint !== undefined;
   }
 
-  private async _run(item: BatchItem, endpoint: Endpoint): Promise<void> {
+  private async _runItem(item: BatchItem, endpoint: Endpoint): Promise<void> {
     const number = this.ledger.beginAttempt(item.id);
     // A suspected poison item runs apart from its group, so that it can't break the attempts of the others.
     if (!this._poisonFilter.isSuspectItem(item)) this._placer.recordStart(item, endpoint);
@@ -291,11 +291,11 @@
     this._attempts.delete(item.id);
     this._logAttempt(item, endpoint, { number, tookMs, claimRevision, claimAgeMs }, end);
     if (this._isStopped) return;
-    this._settle(item, endpoint, end);
+    this._applyEnd(item, endpoint, end);
     this._placeItems();
   }
 
-  private _settle(item: BatchItem, endpoint: Endpoint, end: AttemptEnd): void {
+  private _applyEnd(item: BatchItem, endpoint: Endpoint, end: AttemptEnd): void {
     switch (end.kind) {
       case 'done':
         this.ledger.completed(item.id);
@@ -328,7 +328,7 @@
     this._resultLister.list();
   }
 
-  /** Handles an answer with unsuitable weights: the item tries other endpoints and finally restarts from scratch. */
+  /** Handles an answer with an unsuitable weight version: the item tries other endpoints and finally starts over. */
   private _versionMismatched(item: BatchItem): void {
     const { fruitless, isTextDropped } = this.ledger.interruptedByEndpoint(item.id);
     this._backoff.versionMismatched(item.id, fruitless, isTextDropped);
--- a/packages/gateway/src/batchService.ts
+++ b/packages/gateway/src/batchService.ts
@@ -1,8 +1,8 @@
 /**
- * Serves calls about batches: submission, reading of results and item bodies, and ends.
+ * Serves calls about batches: submitting, reading results and item bodies, and ending.
  *
- * Any host takes any call. The claim in the store names the owner of a batch, and calls are forwarded to it. If the
- * owner's process has terminated, the host that received the call takes the batch over, so reads drive takeovers.
+ * Any host accepts any call and forwards it to the owner of the batch, which the claim in the store names. If the
+ * owner's process has terminated, the host that received the call takes the batch over.
  */
 import { Deadline, err, type Result } from '@fuchsiahitch/base';
 import type {
@@ -25,7 +25,7 @@
 import { PaceUpdates } from './paceUpdates.js';
 import { StoredBatchReader } from './storedBatchReader.js';
 
-/** Where a batch is served, as far as this host can determine. */
+/** Where calls about a batch are served: by this host, by a peer, or from the store. */
 type BatchLocation =
   | { readonly kind: 'here'; readonly owner: BatchOwner }
   | { readonly kind: 'peer'; readonly held: HeldClaim }
@@ -34,14 +34,14 @@
   | { readonly kind: 'unsure' };
 
 const STORE_TIMEOUT_MS = 1000;
-/** Time for a peer's answer, in addition to the time that the call itself waits. */
+/** Timeout of calls to peers, in addition to the time that the call waits for results. */
 const PEER_TIMEOUT_MS = 700;
 /** A lease may also lapse while its process is alive, so the owner is probed before its batch is taken over. */
 const OWNER_PROBE_TIMEOUT_MS = 300;
 /** A takeover costs two calls to the store and one read of the batch. */
 const ADOPT_TIMEOUT_MS = 1500;
 const MAX_SUCCESSORS = 3;
-/** By then the owner of a new batch has measured the pace of its endpoints. */
+/** The owner of a new batch needs this long to measure the pace of its endpoints. */
 const PACE_UPDATE_DELAY_MS = 2000;
 const RETRY_AFTER_MS = 1000;
 /** Older ended batches are read from the store. */
@@ -56,7 +56,7 @@
   private readonly _owned = new Map<string, BatchOwner>();
   private readonly _submits = new Map<string, Promise<SubmitOutcome>>();
   private readonly _takeovers = new Map<string, Promise<BatchLocation>>();
-  /** Claims as last read. A stale entry is harmless: a previous owner answers `not-owner`. */
+  /** Cache of claims. A stale entry is harmless: a previous owner answers `not-owner`. */
   private readonly _claims = new Map<string, HeldClaim>();
   private readonly _storedBatches: StoredBatchReader;
   private readonly _paceUpdates: PaceUpdates;
@@ -131,7 +131,7 @@
     const request = { batchId, itemId };
     const reply = await this._atOwner<BatchItemReply>(
       batchId,
-      owner => itemOf(owner.ledger.batch, itemId),
+      owner => itemReply(owner.ledger.batch, itemId),
       address => this._hosts.call(address, calls.batchItem, request, PEER_TIMEOUT_MS),
     );
     switch (reply.kind) {
@@ -160,7 +160,7 @@
     return held.value.claim.isEnded ? 'ended' : this._endStored(batchId, held.value);
   }
 
-  /** Ends a batch at a location. Returns `unsure` also if the host there is no longer its owner. */
+  /** Ends a batch at a location. Returns `unsure` if the host there is no longer its owner. */
   private async _endAt(batchId: string, location: BatchLocation): Promise<EndOutcome> {
     switch (location.kind) {
       case 'here':
@@ -185,17 +185,17 @@
   }
 
   /**
-   * Hands every open batch over to another host. Without it a batch would make no progress until its trainer reads it
-   * elsewhere, and the output of running items would be generated again.
+   * Hands every open batch over to another host, with the events of its unfinished items. Otherwise a batch would make
+   * no progress until its trainer reads it at another host.
    */
   async handOver(): Promise<void> {
     this._isShuttingDown = true;
     const owners = [...this._owned.values()];
     this._owned.clear();
-    await Promise.all(owners.map(owner => this._handOver(owner)));
+    await Promise.all(owners.map(owner => this._handOverBatch(owner)));
   }
 
-  private async _handOver(owner: BatchOwner): Promise<void> {
+  private async _handOverBatch(owner: BatchOwner): Promise<void> {
     owner.stop('host is shutting down');
     const { batchId } = owner;
     this._claims.delete(batchId);
@@ -211,7 +211,7 @@
     }
   }
 
-  /** A few peers drawn at random, so that the batches of a host are spread over the fleet. */
+  /** Returns a few random peers, so that the batches of a host are spread over the fleet. */
   private _successors(): readonly Owner[] {
     const peers = [...this._hosts.peers()];
     const successors: Owner[] = [];
@@ -233,8 +233,8 @@
   }
 
   /**
-   * True if an owner whose host lease has expired answers that it runs the batch. An owner that is short of processor time
-   * may renew its lease too late; taking its batches over would overload the next host in the same way.
+   * True if an owner whose host lease has expired answers that it runs the batch. An overloaded owner may renew its
+   * lease too late; taking its batches over would overload the next host as well.
    */
   private async _isRunByOwner(batchId: string, owner: Owner): Promise<boolean> {
     const reply = await this._hosts.call(owner.address, calls.batchRuns, { batchId }, OWNER_PROBE_TIMEOUT_MS);
@@ -276,13 +276,13 @@
     }
   }
 
-  /** Starts an open batch that this process accepted but does not run, because the store's answer was lost. */
+  /** Starts an open batch that this process accepted but does not run, since the store's answer was lost. */
   private _resume(batchId: string, { claim }: HeldClaim): void {
     const isOwn = this._isSelf(claim.owner) && !claim.isEnded;
     if (isOwn && !this._owned.has(batchId)) void this._replaceOwner(batchId, claim.owner, true);
   }
 
-  /** Runs a batch at this host, after reading the output that previous owners and steps have generated for it. */
+  /** Runs a batch at this host, after loading the output that previous owners and steps have generated for it. */
   private async _startBatch(
     held: HeldClaim,
     stored: StoredBatch,
@@ -308,13 +308,13 @@
     this._announceClaim(id, held);
     this._context.clock.after(PACE_UPDATE_DELAY_MS, () => this._paceUpdates.send());
     // A takeover may complete while this host shuts down: hand the batch over at once.
-    if (this._isShuttingDown && this._owned.delete(id)) void this._handOver(owner);
+    if (this._isShuttingDown && this._owned.delete(id)) void this._handOverBatch(owner);
     return owner;
   }
 
   /**
-   * Announces the owner of a batch to all hosts, so that they need not read the claim from the store when a reader
-   * connects. The announcement is only a hint: hosts that miss it read the claim.
+   * Announces the owner of a batch to all hosts, which saves them reading the claim from the store. Hosts that miss the
+   * announcement read the claim.
    */
   private _announceClaim(batchId: string, { claim, revision }: HeldClaim): void {
     for (const { address } of this._hosts.peers())
@@ -332,8 +332,8 @@
   private _createOwner(held: HeldClaim, stored: StoredBatch): BatchOwner {
     const { id } = stored.batch;
     this._evictEnded();
-    // A previous owner object in this process has lost the claim, though it may not have noticed. If it continued, it would
-    // run each item a second time.
+    // An earlier owner object of this batch in this process has lost the claim, perhaps without noticing. It would
+    // otherwise continue and run each item a second time.
     this._owned.get(id)?.claimLost();
     const owner = new BatchOwner(this._context, this._ports, held, stored, () => this._release(owner));
     this._owned.set(id, owner);
@@ -355,7 +355,7 @@
       this._owned.delete(id);
   }
 
-  /** Runs an operation at the owner of a batch, locally or at a peer. Takes the batch over if its owner has terminated. */
+  /** Calls a batch's owner, locally or at a peer. Takes the batch over if its owner has terminated. */
   private async _atOwner<A extends { readonly kind: string }>(
     batchId: string,
     local: (owner: BatchOwner) => Promise<A> | A,
@@ -412,7 +412,7 @@
   }
 
   /**
-   * Takes over a batch whose owner has terminated. `isDenied`: the owner itself answered that it does not run the batch.
+   * Takes over a batch whose owner has terminated. `isDenied`: the owner answered that it does not run the batch.
    * An owner that is only unreachable from this host and has a valid lease keeps the batch.
    */
   private async _replaceOwner(
@@ -499,7 +499,7 @@
     readonly itemId: string;
   }): Promise<BatchItemReply> {
     const owner = await this._localOwner(request.batchId);
-    return owner ? itemOf(owner.ledger.batch, request.itemId) : { kind: 'not-owner' };
+    return owner ? itemReply(owner.ledger.batch, request.itemId) : { kind: 'not-owner' };
   }
 
   private async _endLocally(batchId: string): Promise<BatchEndReply> {
@@ -508,8 +508,8 @@
   }
 
   /**
-   * Returns the owner if this host runs the batch. Waits for a takeover or submission that is under way: a host that
-   * answered `not-owner` while it still reads the batch from a slow store would lose it to the next host, and so on.
+   * Returns the owner if this host runs the batch. Waits for a pending takeover or submission: a host that answered
+   * `not-owner` while it still loads the batch from a slow store would lose it to the next host.
    */
   private async _localOwner(batchId: string): Promise<BatchOwner | undefined> {
     await (this._takeovers.get(batchId) ?? this._submits.get(batchId));
@@ -537,7 +537,7 @@
   return held.claim.isEnded ? { kind: 'stored', held } : { kind: 'peer', held };
 }
 
-function itemOf(batch: Batch, itemId: string): BatchItemReply {
+function itemReply(batch: Batch, itemId: string): BatchItemReply {
   const item = batch.items.find(candidate => candidate.id === itemId);
   return item ? { kind: 'body', bodyBase64: item.bodyBase64 } : { kind: 'no-item' };
 }
