--- a/packages/gateway/src/batchStore.ts
+++ b/packages/gateway/src/batchStore.ts
@@ -1,8 +1,9 @@
 /**
  * Reads and writes the records of batches in the store.
  *
- * Every write to an accepted batch is conditional on the revision of its claim, so an unanswered write that takes effect
- * late is harmless: it fails once the batch has another owner. Outcomes of unanswered writes are read back before use.
+ * Every write to an accepted batch is conditional on the revision of its claim, so an unanswered write that is executed
+ * late is harmless: it fails once the batch has another owner. If a retried write is rejected, the record is read back,
+ * since an earlier attempt may have been executed.
  */
 import { err, ok, sleep, type Deadline, type Result } from '@fuchsiahitch/base';
 import {
@@ -33,11 +34,11 @@
 import type { RevisionedStore, StoreError, Write } from '@fuchsiahitch/clients';
 import type { GatewayContext } from './gatewayContext.js';
 
-/** A claim and the revision that writes to the batch are conditional on. */
+/** A claim as last read or written. Writes to the batch are conditional on its revision. */
 export interface HeldClaim {
   readonly claim: Claim;
   readonly revision: number;
-  /** When the store was asked for the claim. It may have changed at any time after that. */
+  /** When the request to the store was sent. The claim may have changed at any time after that. */
   readonly requestedAtMs: number;
 }
 
@@ -52,7 +53,7 @@
   readonly results: readonly ItemResult[];
 }
 
-/** `damaged`: a record is malformed or out of sequence, which is a defect. */
+/** `damaged`: a record is malformed or out of sequence, which indicates a defect. */
 export type BatchStoreError =
   | { readonly kind: 'out-of-reach'; readonly error: StoreError }
   | { readonly kind: 'damaged'; readonly key: string }
@@ -86,7 +87,7 @@
     this._store = store;
   }
 
-  /** Writes a batch unless a host has already accepted it. Retries until the deadline while the store is unavailable. */
+  /** Writes a batch unless a host has accepted it before. Retries until the deadline while the store is unavailable. */
   async accept(batch: Batch, owner: Owner, deadline: Deadline): Promise<AcceptOutcome> {
     const parts = splitBatch(batch);
     if (parts.length > MAX_PARTS) return { kind: 'too-large' };
@@ -165,7 +166,7 @@
     }
   }
 
-  /** Adds results at a position. Tries once; repeating an unanswered call is safe. */
+  /** Adds results at a position. Does not retry; the caller may repeat an unanswered call unchanged. */
   async append(
     batchId: string,
     held: HeldClaim,
@@ -176,7 +177,7 @@
     return this._createOnce(batchId, held, resultKey(batchId, position), JSON.stringify(results), deadline);
   }
 
-  /** Adds the progress record with this number of the current owner. Tries once, like `append`. */
+  /** Adds a progress record. `record`: its number among the records of this owner. Does not retry, like `append`. */
   async appendProgress(
     batchId: string,
     held: HeldClaim,
@@ -269,8 +270,8 @@
   }
 
   /**
-   * Creates a key if the claim is unchanged. If the key already has this value, an earlier try has written it; the claim is
-   * then checked separately, since it may have changed after that write.
+   * Creates a key if the claim is unchanged. If the key already has this value, an earlier attempt has written it; the
+   * claim is then checked separately, since it may have changed after that write.
    */
   private async _createOnce(
     batchId: string,
@@ -294,7 +295,7 @@
     return stored.value?.value === value ? { kind: 'done', value: undefined } : { kind: 'lost' };
   }
 
-  /** Removes the record of the batch's step, unless it names another batch by now. */
+  /** Removes the record of the batch's step unless the record refers to another batch. */
   private async _removeStep(batchId: string, deadline: Deadline): Promise<boolean> {
     const submitted = await this.submittedBatch(batchId, deadline);
     if (!submitted.ok) return submitted.error.kind === 'damaged';
@@ -310,8 +311,8 @@
   }
 
   /**
-   * Decides whether an existing claim was written by an earlier try of the same call: it is then unchanged. Any other claim
-   * is `known`, even if this process owns it, since the batch may have ended or have results.
+   * Returns `accepted` if the existing claim equals the one that an earlier attempt of this call may have written. Any
+   * other claim is `known`, even if this process owns it, since the batch may have ended or have results.
    */
   private async _resolveExistingClaim(
     batchId: string,
@@ -323,6 +324,7 @@
     return { kind: isUnchanged(held.value.claim, written) ? 'accepted' : 'known', held: held.value };
   }
 
+  /** Returns `done` if the claim has the value that an earlier attempt of this call may have written. */
   private async _resolveClaimChange(
     key: string,
     value: string,
--- a/packages/gateway/src/claimLease.ts
+++ b/packages/gateway/src/claimLease.ts
@@ -1,33 +1,32 @@
 /**
- * Lease on the claim of a batch. Each answer of the store that confirms the claim renews it.
+ * Lease on the claim of a batch, renewed by each answer of the store that confirms the claim.
  *
- * An owner that can't reach the store does not learn that another host has taken its batch over or ended it. It sends
- * nothing new once the store has not confirmed the claim within the lease, counted from when the store was asked. This
- * bounds how long items are sent after another host has confirmed the end of the batch. Attempts that an endpoint has
- * answered continue, and their results are listed once the store answers again.
+ * An owner that can't reach the store does not learn that another host has taken its batch over or ended it. Once the
+ * lease has expired, it sends no new requests, which bounds how long items are sent after another host has confirmed
+ * the end of the batch. Attempts that an endpoint has answered continue, and their results are listed later.
  */
 import { Deadline, sleep, type Clock } from '@fuchsiahitch/base';
 import type { BatchStore, HeldClaim } from './batchStore.js';
 import type { GatewayContext } from './gatewayContext.js';
 
-/** Slightly longer than the interval of progress records, which renew the lease of a running batch without extra calls. */
+/** Slightly longer than the interval of progress records, since each of their writes renews the lease as well. */
 const RENEW_AFTER_MS = 1100;
-/** A short lease is renewed after this fraction of it, which leaves time for one retry. */
+/** A short lease is renewed after this fraction of its duration, which leaves time for one retry. */
 const RENEW_FRACTION = 0.6;
 /** Time for requests that were written just before the lease expired to reach their endpoints. */
 const SEND_MARGIN_MS = 1000;
-/** Also the pause before a failed renewal is retried. */
+/** Also the retry interval of failed renewals. */
 const CHECK_INTERVAL_MS = 125;
-/** Short enough that a retry, relayed by a peer, can still be answered about when the lease expires. */
+/** Leaves time for a retry before the lease expires. */
 const RENEW_TIMEOUT_MS = 700;
 /**
- * An owner returns an empty page only if the store confirmed its claim this recently: a result that was read at one host
- * must be readable at all hosts within a second.
+ * An owner returns an empty page only if the store confirmed its claim this recently: a result that was read at one
+ * host must be readable at all hosts within a second.
  */
 export const READ_CONFIRMATION_MAX_AGE_MS = 600;
 const CONFIRM_TIMEOUT_MS = 1000;
 
-/** Computes the lease from the time that items may still reach endpoints after the end of their batch was confirmed. */
+/** `batchEndMs`: how long items may still reach endpoints after the end of their batch was confirmed. */
 export function claimLeaseMs(batchEndMs: number): number {
   return Math.max(batchEndMs - SEND_MARGIN_MS, batchEndMs / 2);
 }
@@ -69,8 +68,8 @@
   }
 
   /**
-   * Time since the store was asked for its last confirmation of the claim. The monotonic clock stops while the machine is
-   * suspended and the wall clock may be set back, so the larger of the two ages is used.
+   * Time since the request that the store last answered with a confirmation. The monotonic clock stops while the
+   * machine is suspended and the wall clock may be set back, so the larger of the two ages is used.
    */
   ageMs(): number {
     const { clock } = this._context;
@@ -92,7 +91,7 @@
     this._isStopped = true;
   }
 
-  /** Renews the lease after an answer of the store to a request that was sent at the given time. */
+  /** Renews the lease after the store confirmed the claim in answer to a request sent at `requestedAtMs`. */
   markConfirmed(requestedAtMs: number): void {
     if (requestedAtMs > this._held.requestedAtMs) {
       this._held = { ...this._held, requestedAtMs };
@@ -103,7 +102,7 @@
     this._log('claim lease regained');
   }
 
-  /** Reports that the store rejected a write conditional on the claim. */
+  /** Reports that the store rejected a write because the claim has changed. */
   reportLost(): void {
     this._onLost();
   }
--- a/packages/gateway/src/priorProgress.ts
+++ b/packages/gateway/src/priorProgress.ts
@@ -1,5 +1,5 @@
 /**
- * Loads output that previous owners or earlier steps have generated for a batch's items, so that they need not restart.
+ * Loads output that previous owners or earlier steps have generated for a batch's items, so that they are resumed.
  * Records that can't be read are logged and skipped.
  */
 import { Deadline } from '@fuchsiahitch/base';
@@ -15,7 +15,7 @@
 import type { BatchStore, HeldClaim } from './batchStore.js';
 import type { GatewayContext } from './gatewayContext.js';
 
-/** Bounds the delay of a new batch. Loading a carry-over usually takes two calls to the store. */
+/** Bounds the delay of a new batch. */
 const CARRY_OVER_TIMEOUT_MS = 300;
 const STORE_TIMEOUT_MS = 1000;
 
@@ -62,7 +62,7 @@
     if (earlierId.value === undefined) return EMPTY_CARRY_OVER;
     const earlier = await this._store.submittedBatch(earlierId.value, deadline);
     if (!earlier.ok) return this._skipStep(batch.id, earlier.error.kind);
-    // Texts are about ten times the size of the submitted batch, and most steps share no items.
+    // Avoids loading texts, which are much larger than the batch itself: most steps share no items.
     if (!hasSharedItems(batch, earlier.value)) return EMPTY_CARRY_OVER;
     const [results, progress] = await Promise.all([
       this._store.results(earlierId.value, deadline),
@@ -70,8 +70,8 @@
     ]);
     if (!results.ok) return this._skipStep(batch.id, results.error.kind);
     if (!progress.ok) return this._skipStep(batch.id, progress.error.kind);
-    const texts = { batch: earlier.value, results: results.value, progress: progress.value };
-    const carried = carryOver(batch, texts, isSingleVersion);
+    const earlierBatch = { batch: earlier.value, results: results.value, progress: progress.value };
+    const carried = carryOver(batch, earlierBatch, isSingleVersion);
     this._context.log.info('batch carried over', {
       batchId: batch.id,
       from: earlierId.value,
--- a/packages/gateway/src/progressRecorder.ts
+++ b/packages/gateway/src/progressRecorder.ts
@@ -1,5 +1,5 @@
 /**
- * Records the output that a batch's items have generated so far, so that the next owner can resume them after a crash.
+ * Records the generated events of unfinished items in the store, so that the next owner can resume them after a crash.
  */
 import { Deadline, sleep } from '@fuchsiahitch/base';
 import { StoredEvents, type BatchLedger, type ItemEvents } from '@fuchsiahitch/batches';
@@ -13,7 +13,7 @@
 
 interface PendingWrite {
   readonly events: readonly ItemEvents[];
-  readonly texts: ReadonlyMap<string, number>;
+  readonly textNumbers: ReadonlyMap<string, number>;
 }
 
 export class ProgressRecorder {
@@ -21,8 +21,8 @@
   private readonly _store: BatchStore;
   private readonly _batchId: string;
   private readonly _lease: ClaimLease;
-  private readonly _recorded: StoredEvents;
-  private _records = 0;
+  private readonly _storedEvents: StoredEvents;
+  private _recordCount = 0;
   /** An unanswered write may have taken effect, so it is retried unchanged. */
   private _pendingWrite: PendingWrite | undefined;
   private _isStopped = false;
@@ -32,7 +32,7 @@
     this._store = store;
     this._batchId = ledger.batch.id;
     this._lease = lease;
-    this._recorded = new StoredEvents(ledger);
+    this._storedEvents = new StoredEvents(ledger);
   }
 
   start(): void {
@@ -43,11 +43,14 @@
     this._isStopped = true;
   }
 
-  /** Records all remaining output for later steps. Call after the end of the batch, which changes the claim's revision. */
+  /**
+   * Records remaining events for later steps, as many as fit one record. Call after the end of the batch, which changes
+   * the claim's revision.
+   */
   async finish(): Promise<void> {
     this.stop();
     this._pendingWrite = undefined;
-    this._records = 0;
+    this._recordCount = 0;
     await this._record(1);
   }
 
@@ -66,11 +69,11 @@
     this._pendingWrite = write;
     const requestedAtMs = this._context.clock.nowMs();
     const deadline = Deadline.after(this._context.clock, STORE_TIMEOUT_MS);
-    const { events, texts } = write;
+    const { events, textNumbers } = write;
     const done = await this._store.appendProgress(
       this._batchId,
       this._lease.held,
-      this._records,
+      this._recordCount,
       events,
       deadline,
     );
@@ -81,13 +84,15 @@
       return;
     }
     this._lease.markConfirmed(requestedAtMs);
-    this._records += 1;
-    this._recorded.keep(events, texts);
+    this._recordCount += 1;
+    this._storedEvents.keep(events, textNumbers);
     this._context.log.debug('progress recorded', { batchId: this._batchId, items: events.length });
   }
 
   private _nextWrite(minEvents?: number): PendingWrite | undefined {
-    const events = this._recorded.missing(minEvents);
-    return events.length > 0 ? { events, texts: this._recorded.currentTextNumbers(events) } : undefined;
+    const events = this._storedEvents.missing(minEvents);
+    return events.length > 0
+      ? { events, textNumbers: this._storedEvents.currentTextNumbers(events) }
+      : undefined;
   }
 }
--- a/packages/gateway/src/resultLister.ts
+++ b/packages/gateway/src/resultLister.ts
@@ -1,5 +1,5 @@
 /**
- * Appends the results of one batch to its list in the store, in the order in which the items ended.
+ * Appends the results of one batch to its list in the store, in the order in which the items finished.
  */
 import { Deadline, sleep } from '@fuchsiahitch/base';
 import {
@@ -82,7 +82,7 @@
     this._isListing = false;
   }
 
-  /** Waits for more results to share the write. Each new result updates the wait that the policy allows. */
+  /** Waits for more results to write together. The policy's interval is evaluated again after each new result. */
   private async _waitForMore(sinceMs: number): Promise<void> {
     const { clock } = this._context;
     for (;;) {
--- a/packages/gateway/src/storedBatchReader.ts
+++ b/packages/gateway/src/storedBatchReader.ts
@@ -1,5 +1,5 @@
 /**
- * Reads batches from the store that have ended or whose owner is unreachable.
+ * Reads batches that have ended or whose owner is unreachable from the store.
  */
 import { Deadline, sleep } from '@fuchsiahitch/base';
 import { pageFrom, type Batch, type ItemResult } from '@fuchsiahitch/batches';
@@ -10,8 +10,8 @@
 const STORE_TIMEOUT_MS = 1000;
 /** Poll interval while a reader waits for results of an open batch. */
 const STORED_POLL_MS = 400;
-/** Cached batches, about 250 KB each. */
-const MAX_CACHED = 8;
+/** An entry takes about 250 KB. */
+const MAX_CACHED_ENTRIES = 8;
 
 export class StoredBatchReader {
   private readonly _context: GatewayContext;
@@ -49,8 +49,8 @@
   }
 
   /**
-   * Returns undefined if the store can't be read. Results are cached only if the batch had ended before the read: a read that
-   * overlaps the end may miss results.
+   * Returns undefined if the store can't be read. Results are cached only if the batch had ended before the read, since
+   * a read that overlaps the end may miss results.
    */
   private async _results(batchId: string, held: HeldClaim): Promise<readonly ItemResult[] | undefined> {
     const read = (): Promise<readonly ItemResult[] | undefined> => this._readResults(batchId);
@@ -91,6 +91,6 @@
   private _add(key: string, reading: Promise<T | undefined>): void {
     this._entries.set(key, reading);
     const [oldest] = this._entries.keys();
-    if (this._entries.size > MAX_CACHED && oldest !== undefined) this._entries.delete(oldest);
+    if (this._entries.size > MAX_CACHED_ENTRIES && oldest !== undefined) this._entries.delete(oldest);
   }
 }
