--- a/packages/gateway/src/orphanRecovery.ts
+++ b/packages/gateway/src/orphanRecovery.ts
@@ -1,10 +1,9 @@
 /**
- * Reassigns the open batches of terminated hosts without waiting for a reader to trigger a takeover.
+ * Reassigns the open batches of terminated hosts without waiting for a reader to trigger a takeover: the trainers of an
+ * isolated failure domain may be unable to reach any other host.
  *
- * When a failure domain is cut off, its trainers may reach only hosts of that domain, so no host elsewhere receives a read
- * and the steps under way would be late by the length of the outage. Only the live host with the lowest identifier lists
- * the claims, so that a lost host costs one read of the store regardless of fleet size. It spreads the batches over all
- * hosts.
+ * Only the live host with the lowest identifier lists the claims, so that the cost does not depend on the fleet size.
+ * It spreads the batches over all hosts.
  */
 import { Deadline, sleep } from '@fuchsiahitch/base';
 import type { Owner } from '@fuchsiahitch/batches';
@@ -13,13 +12,13 @@
 import type { GatewayContext } from './gatewayContext.js';
 import type { Hosts } from './hostDirectory.js';
 
-/** Hosts of a domain tend to fail together, and readers trigger most takeovers within this time. */
+/** Delay of a run. Hosts of a domain tend to fail together, and readers trigger most takeovers within this time. */
 const SETTLE_MS = 500;
 const STORE_TIMEOUT_MS = 1000;
-/** After a longer outage of the store, the mirror of live hosts triggers another run. */
+/** After a longer outage of the store, the directory of live hosts triggers another run. */
 const MAX_TRIES = 5;
 const RETRY_MS = 700;
-/** A takeover costs a call to the owner, two calls to the store and one read of the batch. */
+/** A takeover takes a call to the owner, two calls to the store and one read of the batch. */
 const ADOPT_TIMEOUT_MS = 2200;
 
 export class OrphanRecovery {
@@ -74,14 +73,14 @@
         continue;
       }
       const orphans = open.value.filter(({ claim }) => this._hosts.isTerminated(claim.owner));
-      log.info('orphaned batches', { open: open.value.length, orphaned: orphans.length });
+      log.info('searched for orphaned batches', { open: open.value.length, orphaned: orphans.length });
       await Promise.all(orphans.map(({ batchId, claim }) => this._reassign(batchId, claim.owner)));
       return;
     }
     log.warn('listing the claims of orphaned batches failed', { tries: MAX_TRIES });
   }
 
-  /** Offers the batch to a random host and adopts it locally if that host does not take it. */
+  /** Offers the batch to a random host and takes it over locally if that host does not adopt it. */
   private async _reassign(batchId: string, from: Owner): Promise<void> {
     const peers = this._hosts.peers();
     const index = this._context.random.below(peers.length + 1);
--- a/tests/orphans.spec.ts
+++ b/tests/orphans.spec.ts
@@ -49,13 +49,13 @@
 
 await tap.test('should search for orphans at one host, once for hosts that are removed together', async t => {
   const [world, c, a, b] = await startOwnedBatch();
-  const lists = (host: GatewayHost): number =>
-    host.context.log.lines.filter(line => line.text === 'orphaned batches').length;
+  const searches = (host: GatewayHost): number =>
+    host.context.log.lines.filter(line => line.text === 'searched for orphaned batches').length;
   c.kill();
   world.expireLease('c');
   reportRemoved(a, b, a, b);
   await world.clock.advance(2000);
-  t.same([lists(a), lists(b)], [1, 0]);
+  t.same([searches(a), searches(b)], [1, 0]);
   world.stop();
 });
 
