--- a/packages/gateway/src/itemAttempt.ts
+++ b/packages/gateway/src/itemAttempt.ts
@@ -7,12 +7,12 @@
 import type { GatewayContext } from './gatewayContext.js';
 import type { EndpointClient, EndpointLoad, ItemEnd, ItemProgressListener } from './ports.js';
 
-/** `stalled`: no event arrived in time. `old-version`: the weights are too old or don't match the text so far. */
+/** `stalled`: no event arrived in time. `old-version`: the version is too old or unsuitable for the text so far. */
 export type AttemptEnd = ItemEnd | { readonly kind: 'stalled' } | { readonly kind: 'old-version' };
 
-/** How often an item at an unresponsive endpoint checks for a free slot elsewhere. */
+/** Interval of checks for a free slot elsewhere while the endpoint is unresponsive. */
 const SUSPECT_RECHECK_MS = 100;
-/** Upper bound for a run, sent to the endpoint. */
+/** Maximum duration of an attempt, sent to the endpoint. */
 const MAX_RUN_MS = 30_000;
 
 export class ItemAttempt implements ItemProgressListener {
@@ -24,10 +24,11 @@
   private readonly _abort = new AbortController();
   private readonly _startedMs: number;
   private readonly _canMove: (attempt: ItemAttempt) => boolean;
-  private _decidedEnd: AttemptEnd | undefined;
+  /** Set when this host ends the attempt. Takes precedence over the end that the client reports. */
+  private _endOverride: AttemptEnd | undefined;
   private _isAnswered = false;
   private _lastEventMs: number | undefined;
-  /** Wall time of the last sign that the endpoint works on this attempt. */
+  /** Wall time of the last event, or of the start if there was none. */
   private _lastActivityWallMs: number;
   private _stallTimer: CancelTimer | undefined;
 
@@ -56,7 +57,7 @@
 
   /** Cancels the attempt. The endpoint aborts the run when its connection closes. */
   stop(): void {
-    this._decidedEnd ??= { kind: 'cancelled' };
+    this._endOverride ??= { kind: 'cancelled' };
     this._abort.abort();
   }
 
@@ -79,7 +80,7 @@
     const end = await this._client.runItem(this._call(), this, this._abort.signal);
     this.endpoint.replaced.removeEventListener('abort', onReplaced);
     this._stallTimer?.();
-    const outcome = this._decidedEnd ?? this._rejectEmpty(end);
+    const outcome = this._endOverride ?? this._treatEmptyAsBroken(end);
     const batchId = this._ledger.batch.id;
     span.end({ batchId, itemId: this._item.id, endpointId: this.endpoint.id, end: outcome.kind });
     if (outcome.kind === 'cancelled' || outcome.kind === 'old-version') stats.cancelled(true);
@@ -91,20 +92,20 @@
     const { model, minVersion } = this._ledger.batch;
     this._isAnswered = true;
     if (load) this.endpoint.recordLoad(load);
-    // An endpoint that resumes after the last event of a text generates nothing and reports no version.
+    // An endpoint that resumes a complete text generates nothing and reports no version.
     if (version === undefined) return true;
     if (model !== '') this.endpoint.recordAnsweredVersion(model, version);
     const progress = this._ledger.progress(this._item.id);
     if (version >= minVersion && progress.mayContinueWith(version)) return true;
-    // The text so far can't be continued with this version. It is kept if the version is merely too old.
+    // The text so far can't be continued with this version. It is kept if only the endpoint's version is too old.
     if (version >= minVersion) progress.clear();
-    this._decidedEnd = { kind: 'old-version' };
+    this._endOverride = { kind: 'old-version' };
     return false;
   }
 
   event(event: GeneratedEvent): boolean {
     const nowMs = this._context.clock.nowMs();
-    // Events that were read late because of event loop lag don't show the endpoint's pace.
+    // Intervals between events that were read late because of event loop lag are not measurements of the endpoint.
     if (this._lastEventMs !== undefined && this._context.eventLoop.isOnTimeSince(this._lastEventMs))
       this.endpoint.recordEventInterval(nowMs - this._lastEventMs);
     this._lastEventMs = nowMs;
@@ -112,22 +113,22 @@
     this._armStallTimer();
     const effect = this._ledger.event(this._item.id, event);
     if (effect === 'added' || effect === 'repeated') return true;
-    this._decidedEnd = { kind: 'broken', text: `event ${event.number} is out of sequence (${effect})` };
+    this._endOverride = { kind: 'broken', text: `event ${event.number} is out of sequence (${effect})` };
     return false;
   }
 
   /**
-   * Ends a run that was lost in a restart of the endpoint. After a power failure the connection is not closed, and the item
-   * would wait for the stall timeout. A run with activity after the restart belongs to the new process and continues.
+   * Ends an attempt that was lost in a restart of the endpoint, since a power failure leaves the connection open. An
+   * attempt that started or received events after the restart continues.
    */
   private _endpointRestarted(): void {
     if (this._lastActivityWallMs >= this.endpoint.successorStartWallMs()) return;
-    this._decidedEnd ??= { kind: 'broken', text: 'the endpoint has restarted' };
+    this._endOverride ??= { kind: 'broken', text: 'the endpoint has restarted' };
     this._abort.abort();
   }
 
   /** Treats a stream that completed without any event as broken. */
-  private _rejectEmpty(end: ItemEnd): AttemptEnd {
+  private _treatEmptyAsBroken(end: ItemEnd): AttemptEnd {
     const isEmpty = end.kind === 'done' && this._ledger.progress(this._item.id).lastEventNumber() === 0;
     return isEmpty ? { kind: 'broken', text: 'the stream ended without an event' } : end;
   }
@@ -140,7 +141,7 @@
     this._watchForStall(suspectMs, this._context.clock.nowMs() + abandonMs);
   }
 
-  /** Waits, lets the event loop read pending I/O, then checks for a stall. An event meanwhile cancels the check. */
+  /** Waits, lets the event loop read pending I/O, then checks for a stall. The next event cancels the check. */
   private _watchForStall(waitMs: number, abandonAtMs: number): void {
     const { clock, eventLoop } = this._context;
     const sinceMs = this._lastEventMs ?? this._startedMs;
@@ -157,7 +158,7 @@
       this._watchForStall(Math.min(leftMs, SUSPECT_RECHECK_MS), abandonAtMs);
       return;
     }
-    this._decidedEnd ??= { kind: 'stalled' };
+    this._endOverride ??= { kind: 'stalled' };
     this._abort.abort();
   }
 
--- a/packages/gateway/src/itemBackoff.ts
+++ b/packages/gateway/src/itemBackoff.ts
@@ -1,5 +1,5 @@
 /**
- * Backoff for items of a batch whose attempts make no progress. Logs such items.
+ * Delays and logs items of a batch whose attempts make no progress.
  */
 import { shouldLogFailures, retryDelayMs, type BatchItem } from '@fuchsiahitch/batches';
 import type { GatewayContext } from './gatewayContext.js';
@@ -33,7 +33,7 @@
     if (shouldLogFailures(fruitless)) this._log({ itemId, fruitless });
   }
 
-  /** Like `attemptFailed`, for items whose fruitless attempts the ledger counts. A dropped text is always logged. */
+  /** Like `attemptFailed`, with the ledger's count of fruitless attempts. A dropped text is always logged. */
   versionMismatched(itemId: string, fruitless: number, isTextDropped: boolean): void {
     this._pause(itemId, fruitless);
     if (isTextDropped || shouldLogFailures(fruitless)) this._log({ itemId, fruitless, isTextDropped });
--- a/packages/gateway/src/itemPlacer.ts
+++ b/packages/gateway/src/itemPlacer.ts
@@ -17,10 +17,10 @@
   readonly configuration: ConfigurationService;
 }
 
-/** In order of preference: a tier is used only if no earlier one has a free slot. */
+/** In order of preference: a tier is used only if no tier before it has a suitable free slot. */
 export type EndpointTiers = readonly EndpointTier[];
 
-/** About a tenth of the items are several times longer than the rest; the margin allows for estimation errors. */
+/** Share of the items that are treated as long. Larger than the expected share, since estimates are inexact. */
 const LONG_ITEM_FRACTION = 0.25;
 /** The search for faster endpoints is too expensive to run at every placement. */
 const MOVE_INTERVAL_MS = 250;
@@ -50,14 +50,14 @@
     this._longTokens = longTokens(ledger.batch);
   }
 
-  /** Returns the current endpoints for the batch's items; none if the items have no route. */
+  /** Returns the current endpoints for the batch's items; empty if the items have no route. */
   tiers(): EndpointTiers {
     const route = this._routeOfBatch();
     const tiers = route ? this._tiersOf(route) : [];
     return tiers.map(endpoints => new EndpointTier(endpoints));
   }
 
-  /** Reserves a slot for the item at an endpoint. `ignoresGroup`: does not prefer the endpoint of the item's group. */
+  /** Reserves a slot for the item. `ignoresGroup`: whether not to prefer the endpoint of the item's group. */
   choose(item: BatchItem, tiers: EndpointTiers, ignoresGroup = false): Endpoint | undefined {
     const avoid = this._avoided.get(item.id) ?? new Set<string>();
     const request = {
@@ -96,8 +96,8 @@
   }
 
   /**
-   * Returns attempts whose items should move to a sufficiently faster endpoint with a free slot. The search is throttled
-   * by `MOVE_INTERVAL_MS`; calls in between return nothing.
+   * Returns attempts whose items should move to a sufficiently faster endpoint with a free slot. Returns none if called
+   * again within `MOVE_INTERVAL_MS`.
    */
   dueMoves(attempts: readonly ItemAttempt[]): readonly ItemAttempt[] {
     const nowMs = this._context.clock.nowMs();
@@ -121,8 +121,8 @@
   }
 
   /**
-   * Reserves a slot at a faster endpoint for the attempt's item, if there is one. Without the reservation, all items of a
-   * slow endpoint would move to the same slot.
+   * Reserves a slot at a faster endpoint for the attempt's item, if there is one. Without the reservation, all items of
+   * a slow endpoint would move to the same slot.
    */
   private _reserveFasterSlot(attempt: ItemAttempt, candidates: readonly PacedEndpoint[]): boolean {
     const { endpoint, itemId } = attempt;
@@ -147,8 +147,8 @@
   }
 
   /**
-   * Returns the endpoints that load this model's versions, then all others. Without the split the owners of two trainers'
-   * batches would fill the same endpoints.
+   * Returns the endpoints assigned to the batch's model, then all others. Without the split, batches of two trainers
+   * would fill the same endpoints.
    */
   private _tiersOf(route: Route): readonly (readonly Endpoint[])[] {
     const candidates = this._candidates(route);
@@ -182,13 +182,13 @@
       .filter(other => other.freeSlots() > 0 && !avoid?.has(other.id));
   }
 
-  /** True for items that were moved or inherited from a previous owner. They are treated as long, to finish quickly. */
+  /** True for items with a partial text, which were moved or taken over. They are treated as long to finish soon. */
   private _isStarted(item: BatchItem): boolean {
     return this._ledger.progress(item.id).lastEventNumber() > 0;
   }
 }
 
-/** Returns the estimate from which items count as long; Infinity if there are no estimates. */
+/** Returns the expected tokens from which items count as long; Infinity without estimates. */
 function longTokens(batch: Batch): number {
   const estimates = batch.items.map(item => item.expectedTokens).sort((a, b) => b - a);
   const limit = estimates[Math.floor(estimates.length * LONG_ITEM_FRACTION)] ?? 0;
--- a/packages/gateway/src/itemScoring.ts
+++ b/packages/gateway/src/itemScoring.ts
@@ -1,9 +1,8 @@
 /**
  * Requests scores for the complete texts of a batch.
  *
- * Score requests follow the rules, limits and retries of caller requests, and leave some slots of each endpoint to
- * callers. They are idempotent: broken or late requests are repeated at other endpoints, and only a complete successful
- * answer counts.
+ * Score requests follow the rules, limits and retries of caller requests, but leave some slots of each endpoint to
+ * callers. They are idempotent, so broken or late requests are repeated at other endpoints.
  */
 import { setMaxListeners } from 'node:events';
 import type { BatchItem, BatchLedger, ScoreRequest } from '@fuchsiahitch/batches';
@@ -21,7 +20,7 @@
   readonly forwarder: Forwarder;
 }
 
-/** `failed`: scoring services failed on this text `failures` times. `not-scored`: no verdict about the text. */
+/** `failed`: scoring services failed on this text `failures` times. `not-scored`: no conclusion about the text. */
 export type ScoreEnd =
   | { readonly kind: 'scored'; readonly score: string }
   | { readonly kind: 'failed'; readonly failures: number; readonly status: number }
@@ -44,23 +43,23 @@
   private _isStopped = false;
   private readonly _backoff: ItemBackoff;
 
-  /** `maxItemFailures`: failures after which the items' route terminates one. `ended`: called when a result is available. */
+  /** `maxItemFailures`: the maximum of the items' route. `onResult`: called when an item has a result. */
   constructor(
     context: GatewayContext,
     ports: ScoringPorts,
     ledger: BatchLedger,
     maxItemFailures: number,
-    ended: () => void,
+    onResult: () => void,
   ) {
     this._context = context;
     this._ports = ports;
     this._ledger = ledger;
     this._maxItemFailures = maxItemFailures;
-    this._onResult = ended;
+    this._onResult = onResult;
     this._backoff = new ItemBackoff(context, ledger.batch.id, 'scoring');
   }
 
-  /** Requests all missing scores that are not paused. */
+  /** Requests the missing scores, except of items whose retry delay has not passed. */
   run(): void {
     if (this._isStopped) return;
     for (const item of this._backoff.ready(this._ledger.unscored())) {
@@ -71,7 +70,7 @@
     }
   }
 
-  /** Aborts all requests. Endpoints stop when their connections close. */
+  /** Aborts all requests for good. */
   stop(): void {
     this._isStopped = true;
     this._abort.abort();
@@ -100,7 +99,7 @@
     }
     this._log(item, request, end, this._context.clock.nowMs() - startedMs);
     const maxFailures = routed.kind === 'routed' ? routed.route.maxAttempts : 1;
-    this._settle(item.id, end, Math.max(maxFailures, this._maxItemFailures));
+    this._applyEnd(item.id, end, Math.max(maxFailures, this._maxItemFailures));
   }
 
   private async _request(request: ScoreRequest, route: Route, signal: AbortSignal): Promise<ScoreEnd> {
@@ -120,7 +119,7 @@
     return toScoreEnd(outcome);
   }
 
-  private _settle(itemId: string, end: ScoreEnd, maxFailures: number): void {
+  private _applyEnd(itemId: string, end: ScoreEnd, maxFailures: number): void {
     switch (end.kind) {
       case 'scored':
         this._ledger.scored(itemId, end.score);
@@ -156,9 +155,9 @@
 
 /** Returns a controller without a listener limit: every request in flight listens to its signal. */
 function newAbortController(): AbortController {
-  const aborter = new AbortController();
-  setMaxListeners(0, aborter.signal);
-  return aborter;
+  const controller = new AbortController();
+  setMaxListeners(0, controller.signal);
+  return controller;
 }
 
 /** Interprets the answer to a score request. Only a complete success with proof of origin is a score. */
--- a/packages/gateway/src/modelShares.ts
+++ b/packages/gateway/src/modelShares.ts
@@ -1,5 +1,5 @@
 /**
- * Divides the endpoints of a pool among its models. Every host computes this from its own view of the pool.
+ * Assigns the endpoints of a pool to its models. Every host computes this from its own view of the pool.
  */
 import { assignEndpoints, type ModelTargets, type SharedEndpoint } from '@fuchsiahitch/batches';
 import type { ConfigurationService } from './configurationService.js';
--- a/packages/gateway/src/paceUpdates.ts
+++ b/packages/gateway/src/paceUpdates.ts
@@ -1,6 +1,6 @@
 /**
- * Sends the measured pace of endpoints to other hosts. The next step may have another owner, which then can place its
- * longest items at fast endpoints from the start instead of moving them later.
+ * Sends the measured pace of endpoints to other hosts, so that the owner of the next batch can place its longest items
+ * at fast endpoints from the start.
  */
 import type { PacesSeen } from '@fuchsiahitch/batches';
 import { calls } from '@fuchsiahitch/protocol';
@@ -22,7 +22,7 @@
     server.handle(calls.pacesSeen, update => this._receive(update));
   }
 
-  /** Sends paces that this host has measured recently, but not those received from peers. */
+  /** Sends the paces that this host has measured recently, not those received from peers. */
   send(): void {
     const paces = this._endpoints.all().flatMap(endpoint => {
       const paceMs = endpoint.recentOwnPaceMs();
--- a/packages/gateway/src/poisonItemFilter.ts
+++ b/packages/gateway/src/poisonItemFilter.ts
@@ -1,8 +1,8 @@
 /**
- * Holds back items of a batch that are suspected to be poison requests, under which endpoints have terminated.
+ * Holds back items of a batch that are suspected to be poison requests, which terminate the endpoints that run them.
  *
- * A held item does not count as failed. It stays in its batch until the batch ends or the route's retention expires, and
- * the rest of the step continues without it.
+ * A held item does not count as failed. It waits until the batch ends or the route's retention period expires, while
+ * the other items continue.
  */
 import type { Batch, BatchItem, BatchLedger } from '@fuchsiahitch/batches';
 import type { PoisonVerdict, RequestIdentity } from '@fuchsiahitch/requests';
@@ -12,28 +12,28 @@
 import type { PoisonGuard } from './poisonGuard.js';
 
 /** Minimum time between two requests for a trial of the same item. */
-const CLAIM_PAUSE_MS = 1000;
+const TRIAL_REQUEST_INTERVAL_MS = 1000;
 
 export class PoisonItemFilter {
   private readonly _context: GatewayContext;
   private readonly _poison: PoisonGuard;
   private readonly _ledger: BatchLedger;
-  private readonly _onTrialClaimed: () => void;
+  private readonly _onTrialGranted: () => void;
   private readonly _identities = new Map<string, RequestIdentity>();
-  /** Numbers of the trials that this host has claimed, by item. */
+  /** Numbers of the trials granted to this host, by item. */
   private readonly _trials = new Map<string, number>();
-  private readonly _nextClaimMs = new Map<string, number>();
+  private readonly _nextTrialRequestMs = new Map<string, number>();
   private readonly _loggedVerdicts = new Map<string, PoisonVerdict['kind']>();
 
-  /** `onTrialClaimed`: called when a held item may be sent. */
-  constructor(context: GatewayContext, poison: PoisonGuard, ledger: BatchLedger, onTrialClaimed: () => void) {
+  /** `onTrialGranted`: called when a held item may be sent. */
+  constructor(context: GatewayContext, poison: PoisonGuard, ledger: BatchLedger, onTrialGranted: () => void) {
     this._context = context;
     this._poison = poison;
     this._ledger = ledger;
-    this._onTrialClaimed = onTrialClaimed;
+    this._onTrialGranted = onTrialGranted;
   }
 
-  /** Returns the items that may be sent. Requests trials for items that may only be sent as a trial. */
+  /** Returns the items that may be sent. Requests trials for held items that are due for one. */
   ready(items: readonly BatchItem[]): readonly BatchItem[] {
     if (this._poison.hasNoCases()) return items;
     return items.filter(item => this._isReady(item));
@@ -70,18 +70,18 @@
     if (this._trials.has(item.id)) return true;
     const { kind } = this._poison.verdict(this._identity(item));
     this._logVerdict(item, kind);
-    if (kind === 'trial') void this._claim(item);
+    if (kind === 'trial') void this._requestTrial(item);
     return kind === 'free';
   }
 
-  private async _claim(item: BatchItem): Promise<void> {
+  private async _requestTrial(item: BatchItem): Promise<void> {
     const nowMs = this._context.clock.nowMs();
-    if (nowMs < (this._nextClaimMs.get(item.id) ?? 0)) return;
-    this._nextClaimMs.set(item.id, nowMs + CLAIM_PAUSE_MS);
+    if (nowMs < (this._nextTrialRequestMs.get(item.id) ?? 0)) return;
+    this._nextTrialRequestMs.set(item.id, nowMs + TRIAL_REQUEST_INTERVAL_MS);
     const verdict = await this._poison.admit(this._identity(item));
     if (verdict.kind !== 'trial') return;
     this._trials.set(item.id, verdict.number);
-    this._onTrialClaimed();
+    this._onTrialGranted();
   }
 
   private _logVerdict(item: BatchItem, kind: PoisonVerdict['kind']): void {
--- a/packages/gateway/src/streamReply.ts
+++ b/packages/gateway/src/streamReply.ts
@@ -18,7 +18,7 @@
     this._response.writeHead(status, [...this._headers(headers)]);
   }
 
-  /** Waits for the response to drain, so that a slow caller does not make this host buffer its stream. */
+  /** Waits for the response to drain, so that the stream of a slow caller is not buffered at this host. */
   async write(chunk: Buffer): Promise<void> {
     if (this._response.destroyed || this._response.write(chunk)) return;
     await new Promise<void>(resolve => {
