--- a/tests/batchEnds.spec.ts
+++ b/tests/batchEnds.spec.ts
@@ -1,5 +1,5 @@
 /**
- * The end of a batch while a previous owner can't reach the store, and batches that a previous owner takes back.
+ * The end of a batch while a previous owner can't reach the store, and takeovers by a previous owner.
  */
 import tap from 'tap';
 import { Deadline } from '@fuchsiahitch/base';
@@ -60,12 +60,11 @@
 await tap.test(
   'should stop sending items soon after the end of their batch while its previous owner can’t reach the store',
   async t => {
-    // Fails if an owner's claim is not bounded in time: items are then sent after another host has ended the batch. The
-    // store answers the previous owner again at various times, quickly or slowly.
-    const found: string[] = [];
+    // Fails if an owner's claim is not limited in time: items are then sent after another host has ended the batch.
+    const violations: string[] = [];
     for (const outageMs of [600, 2400])
       for (const slowMs of [0, 950])
-        for (const backMs of [0, 500, 1000, 1500, 2000, 2500, 3000, 3500, 7500]) {
+        for (const recoveryMs of [0, 500, 1000, 1500, 2000, 2500, 3000, 3500, 7500]) {
           const [world, a, b] = await startHosts('a', 'b');
           if (!a || !b) return;
           const sentMs = breakAttempts(world);
@@ -75,18 +74,18 @@
           await world.clock.advance(outageMs);
           const endMs = await endElsewhere(world, a, b);
           t.ok(sentMs.length > 0, 'items were sent before');
-          await world.clock.advance(backMs);
+          await world.clock.advance(recoveryMs);
           a.storeClient.mode = 'well';
           a.storeClient.callDelayMs = slowMs;
-          await world.clock.advance(MAX_AFTER_END_MS + OBSERVATION_MS - backMs);
+          await world.clock.advance(MAX_AFTER_END_MS + OBSERVATION_MS - recoveryMs);
           const lateCalls = describeLate(sentMs, endMs);
-          const when = `unresponsive from ${outageMs} ms before the end to ${backMs} after, then ${slowMs} ms a call`;
-          if (lateCalls !== '') found.push(`${when}: ${lateCalls}`);
+          const when = `unresponsive ${outageMs} ms before to ${recoveryMs} ms after the end, then ${slowMs} ms a call`;
+          if (lateCalls !== '') violations.push(`${when}: ${lateCalls}`);
           if (a.batches.ownedCount() > 0)
-            found.push(`${when}: the previous owner has not learned of the end`);
+            violations.push(`${when}: the previous owner has not learned of the end`);
           world.stop();
         }
-    t.same(found, []);
+    t.same(violations, []);
   },
 );
 
@@ -115,8 +114,8 @@
   'should stop requesting scores soon after the end of a batch while its previous owner can’t reach the store',
   async t => {
     // The same bound for score requests: the texts are complete, and no score arrives.
-    const found: string[] = [];
-    for (const backMs of [0, 1500, 3000, 7500]) {
+    const violations: string[] = [];
+    for (const recoveryMs of [0, 1500, 3000, 7500]) {
       const [world, a, b] = await startHosts('a', 'b');
       if (!a || !b) return;
       world.addScorers('s1', 's2', 's3');
@@ -132,21 +131,21 @@
       a.storeClient.mode = 'silent';
       await world.clock.advance(2400);
       const endMs = await endElsewhere(world, a, b);
-      await world.clock.advance(backMs);
+      await world.clock.advance(recoveryMs);
       a.storeClient.mode = 'well';
-      await world.clock.advance(MAX_AFTER_END_MS + OBSERVATION_MS - backMs);
+      await world.clock.advance(MAX_AFTER_END_MS + OBSERVATION_MS - recoveryMs);
       const lateCalls = describeLate(sentMs, endMs);
-      if (lateCalls !== '') found.push(`unresponsive to ${backMs} ms after the end: ${lateCalls}`);
+      if (lateCalls !== '') violations.push(`unresponsive to ${recoveryMs} ms after the end: ${lateCalls}`);
       t.equal(a.batches.ownedCount(), 0, 'the previous owner has learned of the end');
       world.stop();
     }
-    t.same(found, []);
+    t.same(violations, []);
   },
 );
 
-await tap.test('should run a batch once that it took back', async t => {
-  // Fails if a process that takes its batch back before it noticed the loss still runs the previous owner object: items
-  // then run twice, and the loss detected by the old object removes the new one.
+await tap.test('should run each item once after taking a batch back', async t => {
+  // Fails if the earlier owner object of a process that takes its batch back continues: items then run twice, and the
+  // loss that the earlier object detects removes the new one.
   for (const outageMs of [0, 1500]) {
     const [world, a, b] = await startHosts('a', 'b');
     if (!a || !b) return;
@@ -188,7 +187,7 @@
 await tap.test(
   'should return the listed results when an ended batch is resubmitted to its owner',
   async t => {
-    // Fails if the owner, which has evicted the batch, takes its own claim for a new one and starts with an empty list.
+    // Fails if an owner that has evicted the batch treats its earlier claim as a new one and starts with an empty list.
     const [world, a] = await startHosts('a');
     if (!a) return;
     await submitAt(world, a, BATCH);
--- a/tests/batchService.spec.ts
+++ b/tests/batchService.spec.ts
@@ -56,7 +56,7 @@
 });
 
 await tap.test('should resume the items of a crashed owner from the progress in the store', async t => {
-  // Fails if generated events are held only in the owner's memory, so that the next owner restarts its items.
+  // Fails if generated events exist only in the owner's memory, so that the next owner restarts its items.
   const [world, a, b] = await startHosts('a', 'b');
   if (!a || !b) return;
   world.client.script = call => ({ events: 100 - call.afterEvent, end: { kind: 'done' }, eventMs: 40 });
@@ -188,7 +188,7 @@
 });
 
 await tap.test('should take a batch over once, while the store is slow', async t => {
-  // Fails if a host denies a batch that it is still loading after its takeover: the batch then moves from host to host.
+  // Fails if a host that is still loading a batch that it took over answers `not-owner`: others then take it over.
   const [world, a, b, c] = await startHosts('a', 'b', 'c');
   if (!a || !b || !c) return;
   world.client.script = call => ({ events: 200 - call.afterEvent, end: { kind: 'done' }, eventMs: 20 });
@@ -204,10 +204,10 @@
   }
   await world.clock.advance(4000);
   await Promise.all(reading);
-  const taken = [b, c].flatMap(host =>
+  const takeovers = [b, c].flatMap(host =>
     host.context.log.lines.filter(line => line.text === 'batch takeover' && line.details.outcome === 'done'),
   );
-  t.equal(taken.length, 1);
+  t.equal(takeovers.length, 1);
   world.stop();
 });
 
@@ -311,15 +311,15 @@
   t.equal(await world.until(b.batches.end('b1')), 'ended');
   t.equal(await world.until(b.batches.end('b1')), 'ended', 'repeated');
   t.equal(world.client.cancelled.length, 3);
-  const ran = world.client.items.length;
+  const sent = world.client.items.length;
   a.kill();
   world.expireLease('a');
   await read(world, b);
   await world.clock.advance(2000);
-  t.equal(world.client.items.length, ran, 'no host continues it');
+  t.equal(world.client.items.length, sent, 'no host continues it');
   t.equal(await submit(world, b), 'accepted', 'a repeated submission is recognized');
   await world.clock.advance(1000);
-  t.equal(world.client.items.length, ran);
+  t.equal(world.client.items.length, sent);
   world.stop();
 });
 
@@ -442,7 +442,7 @@
 });
 
 await tap.test('should hand its batches and their progress over when it shuts down', async t => {
-  // Fails if a host that shuts down only stops its batches: steps then stall at each planned restart.
+  // Fails if a host that shuts down only stops its batches: steps then stall at each planned restart of a host.
   const [world, a, b] = await startHosts('a', 'b');
   if (!a || !b) return;
   world.client.script = () => ({ events: 60, end: { kind: 'done' }, eventMs: 20 });
--- a/tests/batchStore.spec.ts
+++ b/tests/batchStore.spec.ts
@@ -42,7 +42,7 @@
 });
 
 await tap.test('should recognize its own acceptance when the answer was lost', async t => {
-  // Fails if a retry takes the claim that the first try wrote for that of another host.
+  // Fails if a retry treats the claim that the first attempt wrote as another host's.
   const { clock, store, batches, deadline } = world();
   store.loseAnswers = 1;
   const outcome = await within(clock, batches.accept(BATCH, A, deadline(2000)), 2000);
@@ -91,9 +91,9 @@
   const { batches, deadline } = world();
   const accepted = await batches.accept(BATCH, A, deadline());
   if (accepted.kind !== 'accepted') return t.fail('accepted');
-  const taken = await batches.changeClaim('b1', accepted.held, { owner: B, takeovers: 1 }, deadline());
-  if (taken.kind !== 'done') return t.fail('taken over');
-  t.equal((await batches.append('b1', taken.value, 0, [TWO], deadline())).kind, 'done');
+  const takenOver = await batches.changeClaim('b1', accepted.held, { owner: B, takeovers: 1 }, deadline());
+  if (takenOver.kind !== 'done') return t.fail('taken over');
+  t.equal((await batches.append('b1', takenOver.value, 0, [TWO], deadline())).kind, 'done');
   t.equal((await batches.append('b1', accepted.held, 0, [ONE], deadline())).kind, 'lost');
   t.equal((await batches.append('b1', accepted.held, 1, [ONE], deadline())).kind, 'lost');
   const results = await batches.results('b1', deadline());
--- a/tests/batches.spec.ts
+++ b/tests/batches.spec.ts
@@ -1,5 +1,5 @@
 /**
- * Decisions about batches: listing, resumption, placement of items, and weight loads.
+ * Logic of batches: listing, resumption, placement of items, and weight loads.
  */
 import tap from 'tap';
 import {
@@ -283,12 +283,12 @@
   t.end();
 });
 
-await tap.test('should move an old run for a smaller gain than a young one', t => {
+await tap.test('should move an item that has run for long for a smaller gain', t => {
   // A long item with a short estimate may run at a moderately slow endpoint and delay its step.
-  t.notOk(shouldMove(500, 200, 40), 'a young run stays');
+  t.notOk(shouldMove(500, 200, 40), 'stays before the minimum time');
   t.ok(shouldMove(1000, 90, 40), 'from a clearly slow endpoint');
   t.notOk(shouldMove(1000, 52, 40));
-  t.ok(shouldMove(2000, 52, 40), 'an old run');
+  t.ok(shouldMove(2000, 52, 40), 'after a long run');
   t.notOk(shouldMove(2000, 45, 40), 'within the variation of paces');
   t.end();
 });
--- a/tests/claimLease.spec.ts
+++ b/tests/claimLease.spec.ts
@@ -1,5 +1,5 @@
 /**
- * What an owner may send under the lease of its claim, and who retains a batch whose owner answers late.
+ * What an owner may send while its claim lease is valid, and which host keeps a batch whose owner is slow.
  */
 import tap from 'tap';
 import type { ItemCall, ItemEnd, ItemProgressListener } from '@fuchsiahitch/gateway';
@@ -19,20 +19,20 @@
 
 /** Delays connections to endpoints. Each attempt breaks after its request was written. */
 function connectSlowly(world: GatewayWorld, connectMs: number): SendTimes {
-  const begunMs: number[] = [];
+  const startedMs: number[] = [];
   const writtenMs: number[] = [];
   world.client.runItem = async (
     _call: ItemCall,
     _listener: ItemProgressListener,
     signal: AbortSignal,
   ): Promise<ItemEnd> => {
-    begunMs.push(world.clock.nowMs());
+    startedMs.push(world.clock.nowMs());
     await new Promise<void>(resolve => world.clock.after(connectMs, resolve));
     if (signal.aborted) return { kind: 'cancelled' };
     writtenMs.push(world.clock.nowMs());
     return { kind: 'broken', text: 'reset' };
   };
-  return { startedMs: begunMs, writtenMs };
+  return { startedMs, writtenMs };
 }
 
 await tap.test('should write no item after the claim lease has expired', async t => {
@@ -40,7 +40,7 @@
   for (const connectMs of [50, 700, 1600]) {
     const [world, a] = await startHosts('a');
     if (!a) return;
-    const { startedMs: begunMs, writtenMs } = connectSlowly(world, connectMs);
+    const { startedMs, writtenMs } = connectSlowly(world, connectMs);
     await submit(world, a);
     await world.clock.advance(2000);
     const outageStartMs = world.clock.nowMs();
@@ -48,7 +48,7 @@
     await world.clock.advance(8000);
     const lateMs = writtenMs.map(ms => ms - outageStartMs).filter(ms => ms > LEASE_MS);
     t.same(lateMs, [], `connections take ${connectMs} ms`);
-    t.ok(begunMs.length > 0, 'attempts were started before');
+    t.ok(startedMs.length > 0, 'attempts were started before');
     world.stop();
   }
 });
@@ -114,7 +114,7 @@
 
 await tap.test('should not take a batch over from a live owner whose store is slow', async t => {
   // Fails if an owner whose host lease lapsed must query a slow store to answer the probe, which then times out.
-  const found: string[] = [];
+  const violations: string[] = [];
   for (const slowMs of [0, 250, 400])
     for (const afterMs of [600, 800, 1000, 1200, 1400, 1600]) {
       const [world, a, b] = await startHosts('a', 'b');
@@ -130,8 +130,9 @@
       await world.until(b.batches.adoptFrom('b1', a.self()));
       world.leases = leases;
       await world.clock.advance(1000);
-      if (a.batches.ownedCount() !== 1) found.push(`store takes ${slowMs} ms, probed after ${afterMs} ms`);
+      if (a.batches.ownedCount() !== 1)
+        violations.push(`store takes ${slowMs} ms, probed after ${afterMs} ms`);
       world.stop();
     }
-  t.same(found, []);
+  t.same(violations, []);
 });
--- a/tests/claimUpdates.spec.ts
+++ b/tests/claimUpdates.spec.ts
@@ -42,8 +42,8 @@
   const world = await startOwnedBatch();
   world.hosts.get('a')?.kill();
   world.expireLease('a');
-  const taken = world.hosts.get('b')?.batches.read('b1', 0, 0);
-  t.match(taken && (await world.until(taken)), { kind: 'page' });
+  const takeoverRead = world.hosts.get('b')?.batches.read('b1', 0, 0);
+  t.match(takeoverRead && (await world.until(takeoverRead)), { kind: 'page' });
   await world.clock.advance(100);
   const before = claimReads(world);
   const read = world.hosts.get('c')?.batches.read('b1', 0, 0);
@@ -57,8 +57,8 @@
   const oldClaim = world.store.value('fuchsiahitch/own/b1') ?? '';
   world.hosts.get('a')?.kill();
   world.expireLease('a');
-  const taken = world.hosts.get('b')?.batches.read('b1', 0, 0);
-  if (taken) await world.until(taken);
+  const takeoverRead = world.hosts.get('b')?.batches.read('b1', 0, 0);
+  if (takeoverRead) await world.until(takeoverRead);
   await world.clock.advance(100);
   const claim = JSON.parse(oldClaim) as object;
   world.hosts.get('c')?.handlers.get('batchClaimed')?.({ batchId: 'b1', claim, revision: 1 } as never);
--- a/tests/endedReads.spec.ts
+++ b/tests/endedReads.spec.ts
@@ -1,6 +1,7 @@
 /**
  * Guarantee: a result that was returned to one reader is returned to every later reader at any host, at the same
- * position. A page may be short and a host may answer `unsure`, but an empty page in place of a known result is a violation.
+ * position. A page may be short and a host may answer `unsure`, but must not return an empty page instead of a known
+ * result.
  */
 import tap from 'tap';
 import { Deadline } from '@fuchsiahitch/base';
@@ -23,13 +24,13 @@
 const SHORT_READ_DELAYS_MS = [0, 1500] as const;
 
 /**
- * A short item, one that takes half a second, and one that does not end within a test. All have the same pace, so that no
- * item moves to a faster endpoint.
+ * A short item, one that takes half a second, and one that does not end within a test. All have the same pace, so that
+ * no item moves to a faster endpoint.
  */
 const SHORT: ItemScript = { events: 2, end: { kind: 'done' }, eventMs: 20 };
 const HALF_SECOND: ItemScript = { events: 25, end: { kind: 'done' }, eventMs: 20 };
 const ENDLESS: ItemScript = { events: 2000, end: { kind: 'done' }, eventMs: 20 };
-/** Times after the submission: when short items are listed, and just before and after the half-second item completes. */
+/** Times after submission: when short items are listed, and just before and after the half-second item completes. */
 const SHORT_LISTED_MS = 350;
 const BEFORE_COMPLETE_MS = 480;
 const COMPLETE_MS = 520;
@@ -126,8 +127,8 @@
   await world.clock.advance(atMs - world.clock.nowMs());
 }
 
-/** Cuts the connection between two hosts in both directions. */
-function cut(world: GatewayWorld, one: GatewayHost, other: GatewayHost): void {
+/** Blocks calls between two hosts in both directions. */
+function disconnect(world: GatewayWorld, one: GatewayHost, other: GatewayHost): void {
   world.blockedLinks.add(`${one.context.hostId}-${other.context.hostId}`);
   world.blockedLinks.add(`${other.context.hostId}-${one.context.hostId}`);
 }
@@ -150,7 +151,7 @@
 async function startBatch(given: Batch, script: Script): Promise<RunningBatch> {
   const [world, a, b, c] = await startHosts('a', 'b', 'c');
   if (!a || !b || !c) throw new Error('expected three hosts');
-  cut(world, a, c);
+  disconnect(world, a, c);
   world.client.script = script;
   const startMs = await submitAt(world, a, given);
   await advanceTo(world, startMs + SHORT_LISTED_MS);
@@ -167,7 +168,7 @@
   async t => {
     // Fails if an owner that ends its batch before it retries an unanswered append continues to answer from its shorter
     // list, while hosts that can't reach it read the complete list from the store.
-    const found: string[] = [];
+    const violations: string[] = [];
     for (const endMs of [10, 100, 200]) {
       const { world, a, b, c, readers, startMs } = await startBatch(BATCH, lastItemIsSlow);
       world.store.loseAnswers = 1;
@@ -177,10 +178,10 @@
       await readers.read(c, 'from the store');
       t.equal(readers.returnedCount(), 3);
       await readers.readAfterDelays([a, b, c], `ended ${endMs} ms after the append`);
-      found.push(...readers.broken);
+      violations.push(...readers.broken);
       world.stop();
     }
-    t.same(found, []);
+    t.same(violations, []);
   },
 );
 
@@ -201,7 +202,7 @@
 await tap.test('should show a result of a running batch whose append is unanswered', async t => {
   // Fails if an owner whose append took effect without an answer returns an empty page once its claim is confirmed, but
   // before it retried the append.
-  const found: string[] = [];
+  const violations: string[] = [];
   for (const outageMs of [900, 1300, 2000, 2600]) {
     const { world, a, b, c, readers, startMs } = await startBatch(FOUR_ITEMS, ({ itemId }) => {
       if (itemId === 'z') return ENDLESS;
@@ -219,17 +220,17 @@
       await readers.readAt([a, b], `${passedMs} ms after ${outageMs} ms without the store`);
       await world.clock.advance(50);
     }
-    found.push(...readers.broken);
+    violations.push(...readers.broken);
     world.stop();
   }
-  t.same(found, []);
+  t.same(violations, []);
 });
 
 await tap.test(
   'should show a result whose append got no answer, when the batch ended at another host',
   async t => {
     // As above, but a host that can't reach the owner ends the batch in the store.
-    const found: string[] = [];
+    const violations: string[] = [];
     for (const endMs of [10, 100, 200, 400]) {
       const { world, a, b, c, readers, startMs } = await startBatch(BATCH, lastItemIsSlow);
       world.store.loseAnswers = 1;
@@ -239,10 +240,10 @@
       t.equal(readers.returnedCount(), 3);
       await world.clock.advance(SETTLED_MS);
       await readers.readAfterDelays([a, b, c], `ended ${endMs} ms after the append`);
-      found.push(...readers.broken);
+      violations.push(...readers.broken);
       world.stop();
     }
-    t.same(found, []);
+    t.same(violations, []);
   },
 );
 
@@ -251,7 +252,7 @@
   // then missing from its cache for good.
   const [world, a, b, c] = await startHosts('a', 'b', 'c');
   if (!a || !b || !c) return;
-  cut(world, a, b);
+  disconnect(world, a, b);
   world.client.script = lastItemIsSlow;
   const startMs = await submitAt(world, a);
   await advanceTo(world, startMs + 100);
@@ -276,7 +277,7 @@
   const where = endsAtOwner ? 'at its owner' : 'at another host';
   await tap.test(`should show a result whose append is executed late, around an end ${where}`, async t => {
     // The store executes the unanswered append before the end, or after its retry, or rejects it after the end.
-    const found: string[] = [];
+    const violations: string[] = [];
     for (const lateMs of [20, 120, 240, 260, 600])
       for (const endMs of [10, 50, 150, 200, 300, 700]) {
         const { world, a, b, c, readers, startMs } = await startBatch(BATCH, lastItemIsSlow);
@@ -288,24 +289,24 @@
         await readers.read(c, when);
         await world.clock.advance(SETTLED_MS);
         await readers.readAfterDelays([c, a, b], when, SHORT_READ_DELAYS_MS);
-        found.push(...readers.broken);
+        violations.push(...readers.broken);
         world.stop();
       }
-    t.same(found, []);
+    t.same(violations, []);
   });
 }
 
 await tap.test('should show a result whose append is executed late, around a takeover', async t => {
   // Fails if an unanswered append takes effect after the claim changed: a position then has two results.
-  const found: string[] = [];
+  const violations: string[] = [];
   for (const lateMs of [10, 100, 200, 600, 2000])
-    for (const takenMs of [10, 100, 200]) {
+    for (const takeoverMs of [10, 100, 200]) {
       const { world, a, b, c, readers, startMs } = await startBatch(BATCH, lastItemIsSlow);
       world.store.delayNextWriteMs = lateMs;
-      await advanceTo(world, startMs + COMPLETE_MS + takenMs);
+      await advanceTo(world, startMs + COMPLETE_MS + takeoverMs);
       a.storeClient.mode = 'silent';
       world.expireLease('a');
-      const when = `appended ${lateMs} ms late, taken over after ${takenMs}`;
+      const when = `appended ${lateMs} ms late, taken over after ${takeoverMs}`;
       await readers.read(c, when);
       t.equal(c.batches.ownedCount(), 1, 'it is taken over');
       await world.clock.advance(1500);
@@ -316,10 +317,10 @@
       await readers.readAt([a, b, c], when);
       t.equal(await world.until(c.batches.end('b1')), 'ended');
       await readers.readAfterDelays([a, b, c], `ended, ${when}`, SHORT_READ_DELAYS_MS);
-      found.push(...readers.broken);
+      violations.push(...readers.broken);
       world.stop();
     }
-  t.same(found, []);
+  t.same(violations, []);
 });
 
 for (const isEnded of [true, false]) {
@@ -327,9 +328,9 @@
   await tap.test(`should show results of a ${state} to readers of its replaced owner`, async t => {
     // Fails if a replaced owner, whose append took effect without an answer, returns an empty page without querying the
     // store to hosts that still route reads to it.
-    const found: string[] = [];
-    for (const takenMs of [10, 100, 200, 700])
-      for (const backMs of [0, 300, 900, 2000, Infinity]) {
+    const violations: string[] = [];
+    for (const takeoverMs of [10, 100, 200, 700])
+      for (const recoveryMs of [0, 300, 900, 2000, Infinity]) {
         const script: Script = ({ itemId }) => {
           if (itemId === 'z') return ENDLESS;
           return itemId === 'y' ? HALF_SECOND : SHORT;
@@ -339,24 +340,24 @@
         await advanceTo(world, startMs + COMPLETE_MS + 160);
         t.equal(world.store.loseAnswers, 0, 'the append took effect without an answer');
         a.storeClient.mode = 'silent';
-        await world.clock.advance(takenMs);
+        await world.clock.advance(takeoverMs);
         world.expireLease('a');
-        const when = `taken over after ${takenMs} ms, the store back ${backMs} ms later`;
+        const when = `taken over after ${takeoverMs} ms, the store available ${recoveryMs} ms later`;
         await readers.read(c, when);
         t.equal(readers.returnedCount(), 3);
         t.equal(c.batches.ownedCount(), 1, 'the batch is taken over');
         if (isEnded) t.equal(await world.until(c.batches.end('b1')), 'ended');
-        await world.clock.advance(Math.min(backMs, SETTLED_MS));
-        if (backMs < Infinity) {
-          await world.clock.advance(Math.max(0, backMs - SETTLED_MS));
+        await world.clock.advance(Math.min(recoveryMs, SETTLED_MS));
+        if (recoveryMs < Infinity) {
+          await world.clock.advance(Math.max(0, recoveryMs - SETTLED_MS));
           a.storeClient.mode = 'well';
         }
-        await world.clock.advance(Math.max(0, SETTLED_MS - backMs));
+        await world.clock.advance(Math.max(0, SETTLED_MS - recoveryMs));
         await readers.readAfterDelays([b, a, c], when, SHORT_READ_DELAYS_MS);
-        found.push(...readers.broken);
+        violations.push(...readers.broken);
         world.stop();
       }
-    t.same(found, []);
+    t.same(violations, []);
   });
 }
 
@@ -376,12 +377,12 @@
 
 for (const isEnded of [false, true]) {
   const state = isEnded ? 'ended batch' : 'running batch';
-  await tap.test(`should not take a result read back for a confirmed claim, of a ${state}`, async t => {
-    // Fails if a previous owner that retries an append and finds its value in the store (written by itself or by the new
-    // owner) takes this as a confirmation of its claim, and returns an empty page.
-    const found: string[] = [];
+  await tap.test(`should not treat a stored result of a ${state} as confirmation of the claim`, async t => {
+    // Fails if a previous owner finds its retried append in the store, written by itself or by the new owner, concludes
+    // that it still holds the claim, and returns an empty page.
+    const violations: string[] = [];
     for (const takesEffect of [true, false])
-      for (const backMs of OUTAGES_MS) {
+      for (const recoveryMs of OUTAGES_MS) {
         const started = new Set<string>();
         const script: Script = ({ itemId }) => {
           if (itemId === 'y') return HALF_SECOND;
@@ -402,21 +403,21 @@
         await readers.read(c, 'after the takeover');
         t.equal(readers.returnedCount(), 4, 'the new owner has listed the rest');
         if (isEnded) t.equal(await world.until(c.batches.end('b1')), 'ended');
-        await advanceTo(world, startMs + COMPLETE_MS + 160 + backMs);
+        await advanceTo(world, startMs + COMPLETE_MS + 160 + recoveryMs);
         t.ok(await reconnectStore(world, a), 'the previous owner reacts to the store');
         const effect = takesEffect ? 'that took effect' : 'that never arrived';
-        await readers.readAt([a, b], `the store back after ${backMs} ms, an append ${effect}`);
-        found.push(...readers.broken);
+        await readers.readAt([a, b], `the store available after ${recoveryMs} ms, an append ${effect}`);
+        violations.push(...readers.broken);
         world.stop();
       }
-    t.same(found, []);
+    t.same(violations, []);
   });
 }
 
-await tap.test('should not take progress read back for a confirmed claim', async t => {
+await tap.test('should not treat stored progress as confirmation of the claim', async t => {
   // As above, with recorded progress of unfinished items.
-  const found: string[] = [];
-  for (const backMs of OUTAGES_MS) {
+  const violations: string[] = [];
+  for (const recoveryMs of OUTAGES_MS) {
     const started = new Set<string>();
     const script: Script = ({ itemId }) => {
       if (itemId === 'w' || itemId === 'x' || started.has(itemId)) return SHORT;
@@ -434,17 +435,17 @@
     await world.clock.advance(SETTLED_MS);
     await readers.read(c, 'after the takeover');
     t.equal(readers.returnedCount(), 4, 'the new owner has listed the rest');
-    await advanceTo(world, startMs + 1040 + backMs);
+    await advanceTo(world, startMs + 1040 + recoveryMs);
     t.ok(await reconnectStore(world, a), 'the previous owner reacts to the store');
-    await readers.readAt([a, b], `the store back after ${backMs} ms`);
-    found.push(...readers.broken);
+    await readers.readAt([a, b], `the store available after ${recoveryMs} ms`);
+    violations.push(...readers.broken);
     world.stop();
   }
-  t.same(found, []);
+  t.same(violations, []);
 });
 
 await tap.test('should show the results of an ended batch that is resubmitted', async t => {
-  // Fails if an owner that has evicted an ended batch takes its old claim for a new acceptance and starts without results.
+  // Fails if an owner that has evicted an ended batch treats its earlier claim as a new one and starts without results.
   const [world, a, b, c] = await startHosts('a', 'b', 'c');
   if (!a || !b || !c) return;
   const readers = new Readers(world);
--- a/tests/listing.spec.ts
+++ b/tests/listing.spec.ts
@@ -38,37 +38,40 @@
   const items = Array.from({ length: GROUPS * GROUP_SIZE }, (_, i) =>
     item(`i${i}`, { group: `g${Math.floor(i / GROUP_SIZE)}` }),
   );
-  const work = batch('b', items, { groupsWanted: GROUPS_WANTED });
+  const testBatch = batch('b', items, { groupsWanted: GROUPS_WANTED });
   const owner = { hostId: 'host-a', incarnation: 'i1', address: 'a' };
-  const accepted = await store.accept(work, owner, Deadline.after(clock, 1000));
+  const accepted = await store.accept(testBatch, owner, Deadline.after(clock, 1000));
   if (accepted.kind !== 'accepted') throw new Error('the batch was not accepted');
-  const ledger = new BatchLedger(work, [], { maxAttempts: 3, isSingleVersion: false });
+  const ledger = new BatchLedger(testBatch, [], { maxAttempts: 3, isSingleVersion: false });
   const lease = new ClaimLease(context, store, 'b', accepted.held, CLAIM_MS, () => undefined);
   const completedMs = new Map<string, number>();
   const groupWaitsMs: number[] = [];
   let stepCompletedMs = 0;
   let stepListedMs = 0;
-  const lister = new ResultLister(context, store, ledger, 0, lease, () => noteListed(), policy);
-  const noteListed = (): void => {
+  const lister = new ResultLister(context, store, ledger, 0, lease, () => recordListed(), policy);
+  const recordListed = (): void => {
     const listed = new Set(ledger.listed().map(({ id }) => id));
     for (const [group, atMs] of completedMs) {
-      if (!items.filter(each => each.group === group).every(({ id }) => listed.has(id))) continue;
+      if (!items.filter(other => other.group === group).every(({ id }) => listed.has(id))) continue;
       groupWaitsMs.push(clock.nowMs() - atMs);
       if (groupWaitsMs.length === GROUPS_WANTED) stepListedMs = clock.nowMs();
       completedMs.delete(group);
     }
   };
-  const open = new Map<string, number>();
+  const unfinishedCounts = new Map<string, number>();
   for (const { id, group } of items) {
-    open.set(group, (open.get(group) ?? 0) + 1);
+    unfinishedCounts.set(group, (unfinishedCounts.get(group) ?? 0) + 1);
     const events = random.below(10) === 0 ? 60 + random.below(80) : 1 + random.below(20);
     ledger.beginAttempt(id);
     clock.after(events * EVENT_MS, () => {
       ledger.event(id, { number: 1, text: 'text', version: 1 });
       ledger.completed(id);
-      open.set(group, (open.get(group) ?? 0) - 1);
-      if (open.get(group) === 0) completedMs.set(group, clock.nowMs());
-      if (open.get(group) === 0 && [...open.values()].filter(left => left === 0).length === GROUPS_WANTED)
+      unfinishedCounts.set(group, (unfinishedCounts.get(group) ?? 0) - 1);
+      if (unfinishedCounts.get(group) === 0) completedMs.set(group, clock.nowMs());
+      if (
+        unfinishedCounts.get(group) === 0 &&
+        [...unfinishedCounts.values()].filter(count => count === 0).length === GROUPS_WANTED
+      )
         stepCompletedMs = clock.nowMs();
       lister.list();
     });
@@ -81,16 +84,19 @@
 }
 
 await tap.test('should list complete groups without delay and with fewer writes', async t => {
-  // Trainers can't use single results of incomplete groups, so each needs no write of its own.
+  // Trainers can't use results of incomplete groups, so these may be written together.
   for (let seed = 1; seed <= 10; seed++) {
-    const soon = await listBatch(new FixedIntervalListing(), seed);
+    const fixedInterval = await listBatch(new FixedIntervalListing(), seed);
     const byGroup = await listBatch(new CompleteGroupListing(), seed);
-    for (const listed of [soon, byGroup]) {
+    for (const listed of [fixedInterval, byGroup]) {
       t.ok(listed.isAllListed);
       t.equal(listed.groupWaitsMs.length, GROUPS);
       t.ok(Math.max(...listed.groupWaitsMs) <= 200, `${Math.max(...listed.groupWaitsMs)} ms at most`);
     }
-    t.ok(byGroup.writes < soon.writes, `seed ${seed}: ${byGroup.writes} writes instead of ${soon.writes}`);
+    t.ok(
+      byGroup.writes < fixedInterval.writes,
+      `seed ${seed}: ${byGroup.writes} writes instead of ${fixedInterval.writes}`,
+    );
   }
 });
 
--- a/tests/orphans.spec.ts
+++ b/tests/orphans.spec.ts
@@ -91,8 +91,8 @@
 });
 
 await tap.test('should not reassign a batch of a live owner whose lease lapsed', async t => {
-  // Fails if orphans are reassigned without probing the owner: an overloaded owner that renews its lease late would lose
-  // its batch, and overload the next owner in the same way.
+  // Fails if orphans are reassigned without probing the owner: an overloaded owner that renews its lease late would
+  // lose its batch, and the next owner would be overloaded as well.
   const [world, c, a, b] = await startOwnedBatch();
   await world.clock.advance(500);
   const { leases } = world;
--- a/tests/pace.spec.ts
+++ b/tests/pace.spec.ts
@@ -31,16 +31,16 @@
   t.end();
 });
 
-await tap.test('should move no old run between endpoints of equal speed', t => {
-  // With too little smoothing one of many equal endpoints seems faster by chance.
+await tap.test('should move no item between endpoints of equal speed', t => {
+  // With too little smoothing, one of many equal endpoints appears to be faster by chance.
   let moves = 0;
   for (let run = 1; run <= 200; run++) {
-    const here = paceAfter(100, run).estimateMs() ?? 0;
-    const others = Array.from(
+    const currentPaceMs = paceAfter(100, run).estimateMs() ?? 0;
+    const otherPacesMs = Array.from(
       { length: 30 },
       (_, i) => paceAfter(100, 5000 + 100 * run + i).estimateMs() ?? 0,
     );
-    if (others.some(there => shouldMove(2000, here, there))) moves += 1;
+    if (otherPacesMs.some(otherPaceMs => shouldMove(2000, currentPaceMs, otherPaceMs))) moves += 1;
   }
   t.equal(moves, 0);
   t.end();
--- a/tests/paceUpdates.spec.ts
+++ b/tests/paceUpdates.spec.ts
@@ -36,7 +36,7 @@
 }
 
 await tap.test('should start a long item at an endpoint that another owner has measured as fast', async t => {
-  // Fails if a new owner has no paces: its longest items then start anywhere and have to move.
+  // Fails if a new owner knows no paces: its longest items then start at any endpoint and have to move.
   t.equal(await firstChoice('e1', 5000), 'e2');
   t.equal(await firstChoice('e2', 5000), 'e1');
 });
--- a/tests/resumption.spec.ts
+++ b/tests/resumption.spec.ts
@@ -7,8 +7,8 @@
 import { batch } from './gatewayFixtures.js';
 
 await tap.test('should list a complete stored text without sending it to an endpoint', async t => {
-  // A batch may end after a text is complete and before it is listed. If the text were resumed in a later step, the
-  // endpoint would have nothing to add and report no version, so that the item would be retried forever.
+  // If a complete text that was not listed were resumed in a later step, the endpoint would have nothing to add and
+  // report no version, so that the item would be retried forever.
   const [world, a, b] = await startHosts('a', 'b');
   if (!a || !b) return;
   world.client.script = call => {
--- a/tests/scoring.spec.ts
+++ b/tests/scoring.spec.ts
@@ -115,9 +115,9 @@
     next.unscored().map(({ id }) => id),
     ['x'],
   );
-  const cut = new BatchLedger(BATCH, [], RULES);
-  cut.resume(records.map(record => ({ ...record, events: record.events.slice(0, 20) })));
-  t.same(cut.unscored(), [], 'a part of it is not complete');
+  const truncated = new BatchLedger(BATCH, [], RULES);
+  truncated.resume(records.map(record => ({ ...record, events: record.events.slice(0, 20) })));
+  t.same(truncated.unscored(), [], 'a part of it is not complete');
   const newer = new BatchLedger(batch('b1', ITEMS, { minVersion: 2 }), [], RULES);
   newer.resume(records);
   t.same(newer.unscored(), [], 'nor is one that is too old');
@@ -204,8 +204,7 @@
 });
 
 await tap.test('should score again what a crashed owner had not listed', async t => {
-  // The owner crashes between texts and scores, or between scores and listing. Complete texts in the store must not be
-  // generated again.
+  // The owner crashes before the scores arrive, or before the scored results are listed.
   for (const fault of ['no-scores', 'no-store'] as const) {
     const [world, a, b] = await startHosts('a', 'b');
     if (!a || !b) return;
