--- a/packages/gateway/src/itemScoring.ts
+++ b/packages/gateway/src/itemScoring.ts
@@ -43,19 +43,19 @@
   private _isStopped = false;
   private readonly _backoff: ItemBackoff;
 
-  /** `maxItemFailures`: the maximum of the items' route. `onResult`: called when an item has a result. */
+  /** `maxItemFailures`: failures after which the batch's route terminates an item. `ended`: called on each result. */
   constructor(
     context: GatewayContext,
     ports: ScoringPorts,
     ledger: BatchLedger,
     maxItemFailures: number,
-    onResult: () => void,
+    ended: () => void,
   ) {
     this._context = context;
     this._ports = ports;
     this._ledger = ledger;
     this._maxItemFailures = maxItemFailures;
-    this._onResult = onResult;
+    this._onResult = ended;
     this._backoff = new ItemBackoff(context, ledger.batch.id, 'scoring');
   }
 
--- a/packages/gateway/src/storedBatchReader.ts
+++ b/packages/gateway/src/storedBatchReader.ts
@@ -1,5 +1,5 @@
 /**
- * Reads batches that have ended or whose owner is unreachable from the store.
+ * Reads batches from the store that have ended or whose owner is unreachable.
  */
 import { Deadline, sleep } from '@fuchsiahitch/base';
 import { pageFrom, type Batch, type ItemResult } from '@fuchsiahitch/batches';
