--- a/tests/pace.spec.ts
+++ b/tests/pace.spec.ts
@@ -3,7 +3,7 @@
  */
 import tap from 'tap';
 import { SeededRandom } from '@fuchsiahitch/base';
-import { Pace, shouldMove } from '@fuchsiahitch/batches';
+import { PaceEstimator, shouldMove } from '@fuchsiahitch/batches';
 
 /** The intervals of a stream with an event every 45 ms, read in bursts of one to four. */
 function* bursts(seed: number): Generator<number> {
@@ -15,15 +15,15 @@
   }
 }
 
-function paceAfter(intervals: number, seed: number): Pace {
-  const pace = new Pace();
+function paceAfter(intervals: number, seed: number): PaceEstimator {
+  const pace = new PaceEstimator();
   const source = bursts(seed);
   for (let i = 0; i < intervals; i++) pace.addInterval(Number(source.next().value));
   return pace;
 }
 
 await tap.test('should return no pace after a few events', t => {
-  const pace = new Pace();
+  const pace = new PaceEstimator();
   for (let i = 0; i < 15; i++) pace.addInterval(45);
   t.equal(pace.estimateMs(), undefined);
   pace.addInterval(45);
@@ -31,16 +31,16 @@
   t.end();
 });
 
-await tap.test('should move no old run between endpoints of equal speed', t => {
-  // With too little smoothing one of many equal endpoints seems faster by chance.
+await tap.test('should move no item between endpoints of equal speed', t => {
+  // With too little smoothing, one of many equal endpoints appears to be faster by chance.
   let moves = 0;
   for (let run = 1; run <= 200; run++) {
-    const here = paceAfter(100, run).estimateMs() ?? 0;
-    const others = Array.from(
+    const currentPaceMs = paceAfter(100, run).estimateMs() ?? 0;
+    const otherPacesMs = Array.from(
       { length: 30 },
       (_, i) => paceAfter(100, 5000 + 100 * run + i).estimateMs() ?? 0,
     );
-    if (others.some(there => shouldMove(2000, here, there))) moves += 1;
+    if (otherPacesMs.some(otherPaceMs => shouldMove(2000, currentPaceMs, otherPaceMs))) moves += 1;
   }
   t.equal(moves, 0);
   t.end();
