--- a/packages/accounts/src/accountIndex.ts
+++ b/packages/accounts/src/accountIndex.ts
@@ -46,11 +46,11 @@
   }
 
   private _add(account: Account): AccountsError | undefined {
-    if (this._names.has(account.name)) return { kind: 'name-twice', name: account.name };
+    if (this._names.has(account.name)) return { kind: 'duplicate-name', name: account.name };
     this._names.add(account.name);
     for (const key of account.keys) {
       const other = this._accounts.get(key);
-      if (other && other !== account) return { kind: 'key-shared', names: [other.name, account.name] };
+      if (other && other !== account) return { kind: 'duplicate-key', names: [other.name, account.name] };
       this._accounts.set(key, account);
     }
     return undefined;
--- a/packages/accounts/src/model.ts
+++ b/packages/accounts/src/model.ts
@@ -13,5 +13,5 @@
 
 /** Why a list of accounts is rejected. Names accounts, never keys. */
 export type AccountsError =
-  | { readonly kind: 'name-twice'; readonly name: string }
-  | { readonly kind: 'key-shared'; readonly names: readonly [string, string] };
+  | { readonly kind: 'duplicate-name'; readonly name: string }
+  | { readonly kind: 'duplicate-key'; readonly names: readonly [string, string] };
--- a/packages/capacity/src/orderTracker.ts
+++ b/packages/capacity/src/orderTracker.ts
@@ -15,11 +15,11 @@
 }
 
 /** Outcome of an order. `none-left`: the platform has no more endpoints there. `unsure`: it may have arrived, or may still. */
-export type CapacityOrderEnd = 'accepted' | 'none-left' | 'busy' | 'unsure';
+export type CapacityOrderOutcome = 'accepted' | 'none-left' | 'busy' | 'unsure';
 
 interface SubjectOrders {
   readonly count: number;
-  readonly end: CapacityOrderEnd;
+  readonly end: CapacityOrderOutcome;
   readonly atMs: number;
   /** Consecutive orders that were not accepted. */
   readonly failures: number;
@@ -53,7 +53,7 @@
     return present < wanted && sinceMs >= Math.max(OVERDUE_FACTOR * bootMs, this._options.maxBackoffMs);
   }
 
-  recordOrder(subject: string, count: number, end: CapacityOrderEnd): void {
+  recordOrder(subject: string, count: number, end: CapacityOrderOutcome): void {
     const atMs = this._clock.nowMs();
     const before = this._subjects.get(subject)?.failures ?? 0;
     this._orderedMs.push(atMs);
--- a/packages/duties/src/leaseGuard.ts
+++ b/packages/duties/src/leaseGuard.ts
@@ -30,7 +30,8 @@
     this._untilMs = Math.max(this._untilMs, sentMs + this._times.leaseMs);
   }
 
-  lost(): void {
+  /** Forbids calls until the next renewal. */
+  invalidate(): void {
     this._untilMs = -Infinity;
   }
 
--- a/packages/entry/src/callerAccounts.ts
+++ b/packages/entry/src/callerAccounts.ts
@@ -74,7 +74,7 @@
     const index = AccountIndex.build(accounts.value, this._index);
     if (!index.ok)
       return [
-        `${index.error.kind}: ${index.error.kind === 'name-twice' ? index.error.name : index.error.names.join(', ')}`,
+        `${index.error.kind}: ${index.error.kind === 'duplicate-name' ? index.error.name : index.error.names.join(', ')}`,
       ];
     this._accounts = accounts.value;
     this._index = index.value;
--- a/packages/entry/src/ordersService.ts
+++ b/packages/entry/src/ordersService.ts
@@ -180,7 +180,7 @@
     this._lease = undefined;
     const key = `orders/${this._context.domain}`;
     void this._store.transact([{ key, version: token }], [{ kind: 'delete', key }], this._deadline());
-    this._guard.lost();
+    this._guard.invalidate();
     this._watch?.abort();
     this._watch = undefined;
   }
--- a/packages/gateway/src/capacityOrders.ts
+++ b/packages/gateway/src/capacityOrders.ts
@@ -6,7 +6,7 @@
  */
 import {
   OrderTracker,
-  type CapacityOrderEnd,
+  type CapacityOrderOutcome,
   type CapacityPolicy,
   type PoolScaling,
 } from '@fuchsiahitch/capacity';
@@ -108,7 +108,7 @@
   private async _order(subject: string, { pool, domain, wanted, present }: PoolOrder): Promise<void> {
     const fencingToken = this._duty.token();
     if (fencingToken === undefined) return;
-    this._duty.recordAct(subject, this._context.clock.nowMs() + TIMEOUTS.connectMs);
+    this._duty.recordActionOn(subject, this._context.clock.nowMs() + TIMEOUTS.connectMs);
     const act = { holder: this._context.hostId, fencingToken };
     const order = { pool, domain, count: wanted };
     const answer = await this._options.duties.orderCapacity(act, order, TIMEOUTS);
@@ -127,7 +127,7 @@
   readonly present: number;
 }
 
-function toOrderEnd(answer: DutyAnswer): CapacityOrderEnd {
+function toOrderEnd(answer: DutyAnswer): CapacityOrderOutcome {
   switch (answer) {
     case 'accepted':
       return 'accepted';
--- a/packages/gateway/src/configurationService.ts
+++ b/packages/gateway/src/configurationService.ts
@@ -173,7 +173,7 @@
       revision,
       inForce,
       problem: index.error.kind,
-      accounts: index.error.kind === 'name-twice' ? index.error.name : index.error.names.join(', '),
+      accounts: index.error.kind === 'duplicate-name' ? index.error.name : index.error.names.join(', '),
     });
     return 'contradictory';
   }
--- a/packages/gateway/src/dutyLease.ts
+++ b/packages/gateway/src/dutyLease.ts
@@ -131,7 +131,7 @@
   }
 
   /** Records that an action on the subject is sent and arrives no later than `latestMs`. */
-  recordAct(subject: string, latestMs: number): void {
+  recordActionOn(subject: string, latestMs: number): void {
     this._actionTimes.recordAction(subject, latestMs);
   }
 
@@ -156,7 +156,7 @@
   }
 
   private async _endActions(): Promise<void> {
-    this._guard.lost();
+    this._guard.invalidate();
     this._token = undefined;
     this._isReleased = true;
     await Promise.all(this._pendingActions);
@@ -228,7 +228,7 @@
   }
 
   private _onLost(reason: string): void {
-    this._guard.lost();
+    this._guard.invalidate();
     this._token = undefined;
     this._log({ change: 'lost', reason });
   }
@@ -246,7 +246,7 @@
 
   private _tick(): void {
     if (this._pauses.wasPaused()) {
-      this._guard.lost();
+      this._guard.invalidate();
       this._log({ change: 'paused', reason: 'process was paused; no actions until the lease is renewed' });
     }
     if (this._context.clock.nowMs() >= this._actAfterMs) this._duty.tick();
--- a/packages/gateway/src/eventLoopMonitor.ts
+++ b/packages/gateway/src/eventLoopMonitor.ts
@@ -43,8 +43,8 @@
     return Math.max(this._maxLagMs, this._previousMaxLagMs, this._overdueMs());
   }
 
-  /** True if no lag was measured from `sinceMs` until now. */
-  isOnTimeSince(sinceMs: number): boolean {
+  /** Returns true if no lag was measured from `sinceMs` until now. */
+  hasNoLagSince(sinceMs: number): boolean {
     return sinceMs >= this._onTimeSinceMs && this._overdueMs() <= LAG_THRESHOLD_MS;
   }
 
@@ -64,7 +64,7 @@
 
   private _afterPendingIo(sinceMs: number, samplesLeft: number, decide: () => void): CancelTimer {
     let cancel = this.afterPollPhase(() => {
-      if (samplesLeft === 0 || this.isOnTimeSince(sinceMs)) {
+      if (samplesLeft === 0 || this.hasNoLagSince(sinceMs)) {
         decide();
         return;
       }
--- a/packages/gateway/src/gateway.ts
+++ b/packages/gateway/src/gateway.ts
@@ -137,7 +137,7 @@
 
   /** True if this host can reach neither the store nor another failure domain. */
   isIsolated(): boolean {
-    return this._reachability.isCutOff();
+    return this._reachability.isIsolated();
   }
 
   /** True if this host can serve callers. */
--- a/packages/gateway/src/itemAttempt.ts
+++ b/packages/gateway/src/itemAttempt.ts
@@ -105,7 +105,7 @@
   event(event: GeneratedEvent): boolean {
     const nowMs = this._context.clock.nowMs();
     // Events that were read late because of event loop lag don't show the endpoint's pace.
-    if (this._lastEventMs !== undefined && this._context.eventLoop.isOnTimeSince(this._lastEventMs))
+    if (this._lastEventMs !== undefined && this._context.eventLoop.hasNoLagSince(this._lastEventMs))
       this.endpoint.recordEventInterval(nowMs - this._lastEventMs);
     this._lastEventMs = nowMs;
     this._lastActivityWallMs = this._context.clock.wallMs();
--- a/packages/gateway/src/reachabilityMonitor.ts
+++ b/packages/gateway/src/reachabilityMonitor.ts
@@ -38,17 +38,17 @@
     every(this._context.clock, CHECK_INTERVAL_MS, this._context.stopped, () => this._check());
   }
 
-  isCutOff(): boolean {
+  isIsolated(): boolean {
     return this._failedRounds >= MAX_FAILED_ROUNDS;
   }
 
   private async _check(): Promise<void> {
     const isReached =
       (await this._isStoreReached()) || (await this._anyHostResponds()) || (await this._isStoreReached());
-    const wasCutOff = this.isCutOff();
+    const wasCutOff = this.isIsolated();
     this._failedRounds = isReached ? 0 : this._failedRounds + 1;
-    if (this.isCutOff() === wasCutOff) return;
-    const change = this.isCutOff() ? 'cut off' : 'connected';
+    if (this.isIsolated() === wasCutOff) return;
+    const change = this.isIsolated() ? 'cut off' : 'connected';
     this._context.log.warn('reach', {
       change,
       sinceStoreMs: Math.round(this._store.sinceReachedMs()),
--- a/packages/gateway/src/storeLease.ts
+++ b/packages/gateway/src/storeLease.ts
@@ -15,7 +15,10 @@
   value(): string;
   /** Delay before the key is acquired: 0 to acquire it now, Infinity to wait until `recheck` is called. */
   acquireDelayMs(): number;
-  /** Called when the key was acquired or renewed. `sentMs`: when the request was sent; `token` grows with each holder. */
+  /**
+   * Called when the store confirmed that this process holds the key: on its acquisition and each renewal.
+   * `sentMs`: when the request was sent; `token` grows with each holder.
+   */
   held(token: number, sentMs: number): void;
   lost(reason: string): void;
   /** Additional writes when the key is acquired and when it is released; they outlive the lease. */
--- a/packages/gateway/src/usageReporter.ts
+++ b/packages/gateway/src/usageReporter.ts
@@ -241,7 +241,7 @@
   private async _send(report: UsageReport): Promise<DutyAnswer | 'not-holder'> {
     const fencingToken = this._duty.token();
     if (fencingToken === undefined || !this._duty.canActOn(SUBJECT)) return 'not-holder';
-    this._duty.recordAct(SUBJECT, this._context.clock.nowMs() + CONNECT_TIMEOUT_MS);
+    this._duty.recordActionOn(SUBJECT, this._context.clock.nowMs() + CONNECT_TIMEOUT_MS);
     const act = { holder: this._context.hostId, fencingToken };
     const timeouts = { connectMs: CONNECT_TIMEOUT_MS, answerMs: ANSWER_TIMEOUT_MS };
     return this._ports.duties.reportUsage(act, report, timeouts);
--- a/packages/gateway/src/weightOrders.ts
+++ b/packages/gateway/src/weightOrders.ts
@@ -226,7 +226,7 @@
     const token = this._duty.token();
     if (token !== order.token) return 'no-lease';
     // Latest time at which the order can arrive.
-    this._duty.recordAct(endpoint.id, this._context.clock.nowMs() + ORDER_TIMEOUT_MS);
+    this._duty.recordActionOn(endpoint.id, this._context.clock.nowMs() + ORDER_TIMEOUT_MS);
     return this._ports.client.order(
       {
         endpoint: endpoint.info(),
--- a/tests/accounts.spec.ts
+++ b/tests/accounts.spec.ts
@@ -84,9 +84,11 @@
 });
 
 await tap.test('should reject lists with a duplicate account or key', t => {
-  t.match(AccountIndex.build([account('ann', 'a'), account('ann', 'b')]), { error: { kind: 'name-twice' } });
+  t.match(AccountIndex.build([account('ann', 'a'), account('ann', 'b')]), {
+    error: { kind: 'duplicate-name' },
+  });
   t.match(AccountIndex.build([account('ann', 'a'), account('bob', 'a')]), {
-    error: { kind: 'key-shared', names: ['ann', 'bob'] },
+    error: { kind: 'duplicate-key', names: ['ann', 'bob'] },
   });
   t.ok(AccountIndex.build([account('ann', 'a', 'a')]).ok, 'a key may be repeated within an account');
   t.end();
--- a/tests/crashingEndpoints.ts
+++ b/tests/crashingEndpoints.ts
@@ -34,7 +34,7 @@
 const CONNECTION_REFUSED_MS = 1;
 const EVENTS_PER_ITEM = 10;
 
-export interface CrashingEndpointsHost {
+export interface CrashingEndpointsEnvironment {
   readonly clock: VirtualClock;
   readonly store: FakeStore;
   readonly client: ScriptedClient;
@@ -45,11 +45,11 @@
   readonly crashes: ReceivedRequest[] = [];
   /** Selects the calls that crash their endpoint. */
   isPoison: (call: { readonly target: string; readonly body: Buffer | undefined }) => boolean = () => false;
-  private readonly _world: CrashingEndpointsHost;
+  private readonly _world: CrashingEndpointsEnvironment;
   private readonly _byAddress = new Map<string, LiveEndpoint>();
   private _starts = 0;
 
-  constructor(world: CrashingEndpointsHost) {
+  constructor(world: CrashingEndpointsEnvironment) {
     this._world = world;
     const { client } = world;
     client.reply = (call, signal) => this._send(call, signal);
--- a/tests/eventLoopLag.spec.ts
+++ b/tests/eventLoopLag.spec.ts
@@ -164,14 +164,14 @@
   await world.clock.advance(1000);
   t.equal(loop.recentLagMs(), 0);
   const beforeMs = world.clock.nowMs();
-  t.ok(loop.isOnTimeSince(beforeMs));
+  t.ok(loop.hasNoLagSince(beforeMs));
   await world.clock.blockEventLoop(1000, () =>
-    t.notOk(loop.isOnTimeSince(beforeMs), 'while pending I/O is read'),
+    t.notOk(loop.hasNoLagSince(beforeMs), 'while pending I/O is read'),
   );
   t.ok(loop.recentLagMs() >= 950, 'a tick is due every 50 ms');
   await world.clock.advance(100);
-  t.notOk(loop.isOnTimeSince(beforeMs));
-  t.ok(loop.isOnTimeSince(world.clock.nowMs()));
+  t.notOk(loop.hasNoLagSince(beforeMs));
+  t.ok(loop.hasNoLagSince(world.clock.nowMs()));
   await world.clock.advance(2000);
   t.ok(loop.recentLagMs() >= 950);
   await world.clock.advance(4000);
--- a/tests/eventLoopLagPeers.spec.ts
+++ b/tests/eventLoopLagPeers.spec.ts
@@ -270,7 +270,7 @@
   const { clock, monitor, storeAnswers, stop } = startMonitor();
   for (let i = 0; i < 12; i++) {
     await clock.blockEventLoop(1000, storeAnswers);
-    t.notOk(monitor.isCutOff(), `blocked ${i + 1} times`);
+    t.notOk(monitor.isIsolated(), `blocked ${i + 1} times`);
   }
   stop.abort();
 });
@@ -278,7 +278,7 @@
 await tap.test('should consider itself isolated although its event loop is blocked repeatedly', async t => {
   const { clock, monitor, stop } = startMonitor();
   let blockedMs = 0;
-  for (; blockedMs < 6000 && !monitor.isCutOff(); blockedMs += 200) {
+  for (; blockedMs < 6000 && !monitor.isIsolated(); blockedMs += 200) {
     await clock.blockEventLoop(200, () => undefined);
     // The monitor decides in the event loop iteration after its timer, during which no time passes.
     await settle();
--- a/tests/gateway.spec.ts
+++ b/tests/gateway.spec.ts
@@ -530,10 +530,10 @@
   own.mode = 'away';
   peer.mode = 'away';
   await clock.advance(5000);
-  t.notOk(monitor.isCutOff(), 'the store is unavailable to all hosts');
+  t.notOk(monitor.isIsolated(), 'the store is unavailable to all hosts');
   isPeerUp = false;
   await clock.advance(1500);
-  t.ok(monitor.isCutOff());
+  t.ok(monitor.isIsolated());
   own.mode = 'well';
   await store.get('k', Deadline.after(clock, 500));
   await clock.advance(500);
