--- a/packages/accounts/src/accountIndex.ts
+++ b/packages/accounts/src/accountIndex.ts
@@ -11,17 +11,17 @@
   | { readonly kind: 'unknown' };
 
 /**
- * Accounts by key. A map looks up the randomly seeded hash of the complete key, so that response times reveal nothing about
- * the correct prefix of a guess.
+ * Accounts by key. Lookups use a randomly seeded hash of the complete key, so response times reveal no part of a key.
  */
 type KeyTable = Map<string, Account>;
 
-/** Bounds the keys of earlier versions that are retained to log why a key is refused. */
-const MAX_REMOVED = 1000;
+/** Maximum number of keys of earlier versions that are retained, to log why a key is refused. */
+const MAX_REMOVED_KEYS = 1000;
+
 export class AccountIndex {
-  private readonly _accounts: KeyTable = new Map();
+  private readonly _accountsByKey: KeyTable = new Map();
   private readonly _names = new Set<string>();
-  private readonly _removed: KeyTable = new Map();
+  private readonly _removedKeys: KeyTable = new Map();
 
   private constructor() {
     // `build` fills it, since a list may contradict itself.
@@ -39,9 +39,9 @@
   }
 
   find(key: string): KeyLookup {
-    const known = this._accounts.get(key);
+    const known = this._accountsByKey.get(key);
     if (known) return { kind: 'known', account: known };
-    const removed = this._removed.get(key);
+    const removed = this._removedKeys.get(key);
     return removed ? { kind: 'removed', accountName: removed.name } : { kind: 'unknown' };
   }
 
@@ -49,17 +49,19 @@
     if (this._names.has(account.name)) return { kind: 'duplicate-name', name: account.name };
     this._names.add(account.name);
     for (const key of account.keys) {
-      const other = this._accounts.get(key);
+      const other = this._accountsByKey.get(key);
       if (other && other !== account) return { kind: 'duplicate-key', names: [other.name, account.name] };
-      this._accounts.set(key, account);
+      this._accountsByKey.set(key, account);
     }
     return undefined;
   }
 
   private _retainRemoved(before: AccountIndex): void {
-    for (const table of [before._removed, before._accounts])
-      for (const [key, account] of table) if (!this._accounts.has(key)) this._removed.set(key, account);
-    const surplus = this._removed.size - MAX_REMOVED;
-    for (const key of [...this._removed.keys()].slice(0, Math.max(0, surplus))) this._removed.delete(key);
+    for (const table of [before._removedKeys, before._accountsByKey])
+      for (const [key, account] of table)
+        if (!this._accountsByKey.has(key)) this._removedKeys.set(key, account);
+    const surplus = this._removedKeys.size - MAX_REMOVED_KEYS;
+    for (const key of [...this._removedKeys.keys()].slice(0, Math.max(0, surplus)))
+      this._removedKeys.delete(key);
   }
 }
--- a/packages/accounts/src/accountsFile.ts
+++ b/packages/accounts/src/accountsFile.ts
@@ -7,7 +7,12 @@
 import type { Account } from './model.js';
 
 const accountSchema = z.strictObject({
-  name: z.string().regex(/^[a-z0-9][a-z0-9:.-]*$/, 'not a lower-case name'),
+  name: z
+    .string()
+    .regex(
+      /^[a-z0-9][a-z0-9:.-]*$/,
+      "must be lower-case letters, digits, ':', '.' or '-', and begin with a letter or digit",
+    ),
   keys: z.array(z.string().min(1)),
   rank: z.number().int().min(0).optional(),
 });
@@ -20,7 +25,7 @@
     content = parse(text);
   } catch {
     // The parser's message may quote a line that contains a key.
-    return err(['not a YAML file']);
+    return err(['not valid YAML']);
   }
   const parsed = fileSchema.safeParse(content);
   if (!parsed.success)
--- a/packages/capacity/src/capacityPolicy.ts
+++ b/packages/capacity/src/capacityPolicy.ts
@@ -22,9 +22,9 @@
 const MIN_PRICE = 0.01;
 
 /**
- * Wants a fixed number of endpoints per model, distributed over the failure domains in inverse proportion to their prices.
+ * Wants a fixed number of endpoints per model, distributed over the failure domains in inverse proportion to prices.
  *
- * With enough endpoints each model gets its own share of the pool, so that trainers don't wait for each other's slots or loads.
+ * With enough endpoints, each model gets its own share of the pool and trainers don't wait for each other.
  */
 export class CapacityByModel implements CapacityPolicy {
   readonly name = 'by-model';
--- a/packages/capacity/src/orderTracker.ts
+++ b/packages/capacity/src/orderTracker.ts
@@ -1,8 +1,8 @@
 /**
  * Decides when a capacity order is due, and prevents order loops.
  *
- * An order states the total number of endpoints of a subject. It is repeated, with a backoff, only if it may not have been
- * executed, or if endpoints are missing well after their boot time.
+ * An order states the total number of endpoints of a subject, such as a pool in one failure domain. It is repeated,
+ * with a backoff, only if it may not have been executed, or if endpoints are missing well after their boot time.
  */
 import type { Clock } from '@fuchsiahitch/base';
 
@@ -14,7 +14,7 @@
   readonly maxBackoffMs: number;
 }
 
-/** Outcome of an order. `none-left`: the platform has no more endpoints there. `unsure`: it may have arrived, or may still. */
+/** Outcome of an order. `none-left`: the platform has no more endpoints. `unsure`: it may have been received. */
 export type CapacityOrderOutcome = 'accepted' | 'none-left' | 'busy' | 'unsure';
 
 interface SubjectOrders {
@@ -33,18 +33,18 @@
   private readonly _clock: Clock;
   private readonly _options: OrderTrackerOptions;
   private readonly _subjects = new Map<string, SubjectOrders>();
-  private _orderedMs: number[] = [];
+  private _recentOrdersMs: number[] = [];
 
   constructor(clock: Clock, options: OrderTrackerOptions) {
     this._clock = clock;
     this._options = options;
   }
 
-  /** Returns true if an order for `wanted` endpoints should be sent, of which `present` serve. */
+  /** Returns true if `wanted` endpoints should be ordered now, while `present` endpoints serve. */
   isDue(subject: string, wanted: number, present: number, bootMs: number): boolean {
     const nowMs = this._clock.nowMs();
-    this._orderedMs = this._orderedMs.filter(atMs => nowMs - atMs < MINUTE_MS);
-    if (this._orderedMs.length >= this._options.maxPerMinute) return false;
+    this._recentOrdersMs = this._recentOrdersMs.filter(atMs => nowMs - atMs < MINUTE_MS);
+    if (this._recentOrdersMs.length >= this._options.maxPerMinute) return false;
     const last = this._subjects.get(subject);
     if (!last) return wanted !== present;
     const sinceMs = nowMs - last.atMs;
@@ -56,7 +56,7 @@
   recordOrder(subject: string, count: number, end: CapacityOrderOutcome): void {
     const atMs = this._clock.nowMs();
     const before = this._subjects.get(subject)?.failures ?? 0;
-    this._orderedMs.push(atMs);
+    this._recentOrdersMs.push(atMs);
     this._subjects.set(subject, { count, end, atMs, failures: end === 'accepted' ? 0 : before + 1 });
   }
 
--- a/packages/duties/src/dutyHandover.ts
+++ b/packages/duties/src/dutyHandover.ts
@@ -1,16 +1,16 @@
 /**
  * Hand-over record of a duty.
  *
- * Targets that don't check fencing tokens must not be called by two hosts about the same subject within a bound. A holder
- * that releases its duty stores the time since its last action on each subject, so that its successor waits for those
- * subjects only.
+ * Targets that don't check fencing tokens must not be called by two hosts about the same subject within a bound. A
+ * holder that releases its duty stores the time since its last action on each subject, so that its successor waits for
+ * those subjects only.
  */
 import * as z from 'zod';
 
 const handoverSchema = z
   .strictObject({
     hostId: z.string(),
-    /** True if the host released the duty and no longer acts; false while it holds the duty, or if it lost the lease. */
+    /** True if the host released the duty and no longer acts; false while it holds the duty or if it lost the lease. */
     isReleased: z.boolean(),
     /** Milliseconds from the last action on each subject until the record was written; older actions are omitted. */
     quietMs: z.record(z.string(), z.number().min(0)).readonly(),
@@ -54,8 +54,8 @@
 }
 
 /**
- * How long a new holder must not act on a subject after it acquired the duty. The age of the record is not deducted, since it
- * may have been written immediately before.
+ * How long a new holder must not act on a subject after it acquired the duty. The age of the record is not deducted,
+ * since it is unknown and may be zero.
  */
 export function waitForSubjectMs(
   handover: DutyHandover | undefined,
--- a/packages/duties/src/leaseGuard.ts
+++ b/packages/duties/src/leaseGuard.ts
@@ -1,8 +1,9 @@
 /**
- * Decides whether this host may still act under its lease, so that a paused or isolated holder does not act after a successor.
+ * Decides whether this host may still act under its lease, so that a paused or isolated holder does not act once it may
+ * have a successor.
  *
- * The validity is measured on the monotonic clock from when the renewal was sent. Actions stop a margin earlier, which covers
- * their transit time.
+ * The validity is measured on the monotonic clock from when the renewal was sent. Actions stop a margin earlier, which
+ * covers their transit time.
  */
 import type { Clock } from '@fuchsiahitch/base';
 
@@ -16,7 +17,7 @@
   private readonly _clock: Clock;
   private readonly _times: LeaseTimes;
   private _token = 0;
-  private _untilMs = -Infinity;
+  private _validUntilMs = -Infinity;
 
   constructor(clock: Clock, times: LeaseTimes) {
     this._clock = clock;
@@ -27,17 +28,17 @@
   renewed(token: number, sentMs: number): void {
     if (token < this._token) return;
     this._token = token;
-    this._untilMs = Math.max(this._untilMs, sentMs + this._times.leaseMs);
+    this._validUntilMs = Math.max(this._validUntilMs, sentMs + this._times.leaseMs);
   }
 
   /** Forbids calls until the next renewal. */
   invalidate(): void {
-    this._untilMs = -Infinity;
+    this._validUntilMs = -Infinity;
   }
 
   /** Fencing token for a call now; undefined if no call may be made. */
   token(): number | undefined {
-    const isSafe = this._clock.nowMs() < this._untilMs - this._times.marginMs;
+    const isSafe = this._clock.nowMs() < this._validUntilMs - this._times.marginMs;
     return isSafe ? this._token : undefined;
   }
 }
--- a/packages/duties/src/pauseDetector.ts
+++ b/packages/duties/src/pauseDetector.ts
@@ -1,5 +1,5 @@
 /**
- * Detects pauses of the process, such as a suspension: the wall clock advances during them, the monotonic clock does not.
+ * Detects pauses of the process, such as suspensions: the wall clock advances in them, the monotonic clock does not.
  */
 import type { Clock } from '@fuchsiahitch/base';
 
--- a/packages/gateway/src/configurationService.ts
+++ b/packages/gateway/src/configurationService.ts
@@ -45,7 +45,7 @@
   private readonly _mirror: StoreMirror;
   private readonly _history = new RuleHistory();
   private readonly _namedVersions = new Map<string, number>();
-  private _ruleBook: RuleEvaluator | undefined;
+  private _ruleEvaluator: RuleEvaluator | undefined;
   private _accounts: AccountIndex | undefined;
   private _configuration: FleetConfiguration | undefined;
 
@@ -66,7 +66,7 @@
   }
 
   hasConfiguration(): boolean {
-    return this._ruleBook !== undefined;
+    return this._ruleEvaluator !== undefined;
   }
 
   limits(): CallerLimits | undefined {
@@ -93,8 +93,8 @@
   }
 
   route(host: string, path: string): RouteResult {
-    if (!this._ruleBook) return { kind: 'unknown' };
-    const decision = this._ruleBook.decide({
+    if (!this._ruleEvaluator) return { kind: 'unknown' };
+    const decision = this._ruleEvaluator.decide({
       kind: 'service',
       caller: '',
       house: '',
@@ -157,7 +157,7 @@
     if (offered !== 'taken') return;
     this._configuration = configuration;
     this._accounts = accounts;
-    this._ruleBook = new RuleEvaluator(this._history.document(), clock, noSignals);
+    this._ruleEvaluator = new RuleEvaluator(this._history.document(), clock, noSignals);
   }
 
   /** A configuration with contradictory accounts is rejected as a whole. */
@@ -169,7 +169,7 @@
     const index = AccountIndex.build(accounts, this._accounts);
     if (index.ok) return index.value;
     const inForce = this._history.revision();
-    this._context.log.error('contradictory accounts, the configuration in force stays', {
+    this._context.log.error('contradictory accounts, keeping the configuration in force', {
       revision,
       inForce,
       problem: index.error.kind,
@@ -186,7 +186,7 @@
     }
     const version = Math.max(named.version, this.namedVersion(named.model));
     this._namedVersions.set(named.model, version);
-    this._context.log.info('version named', { model: named.model, version });
+    this._context.log.info('weight version named', { model: named.model, version });
   }
 }
 
--- a/packages/listener/src/listener.ts
+++ b/packages/listener/src/listener.ts
@@ -10,7 +10,7 @@
 
 const MAX_BODY_BYTES = 4 * 1024 * 1024;
 const MAX_HEADER_BYTES = 16 * 1024;
-/** Disconnects clients that send their headers or body too slowly. */
+/** Clients that take longer to send their headers and body are disconnected. */
 const REQUEST_TIMEOUT_MS = 30_000;
 const KEEP_ALIVE_TIMEOUT_MS = 30_000;
 
--- a/tests/accountFlood.spec.ts
+++ b/tests/accountFlood.spec.ts
@@ -12,12 +12,12 @@
 const ACCOUNTS = 76;
 const SERVERS = 3;
 const SLOTS = 6;
-const WORK_MS = 40;
+const RUN_MS = 40;
 /** Minimum served share of an account's requests, relative to the served share of all requests. */
 const MIN_RELATIVE_SHARE = 0.25;
 
 /** Requested and served requests, by account. */
-class Served {
+class RequestCounts {
   readonly requested = new Map<string, number>();
   readonly served = new Map<string, number>();
 
@@ -36,13 +36,13 @@
     const load = { running: count, waiting: 0 };
     if (count >= SLOTS) return { kind: 'not-run', reason: 'refused', load };
     running.set(endpoint.id, count + 1);
-    await sleep(fleet.clock, WORK_MS);
+    await sleep(fleet.clock, RUN_MS);
     running.set(endpoint.id, (running.get(endpoint.id) ?? 1) - 1);
     return { kind: 'answered', answer: answer(200, 'whole', { load }) };
   };
 }
 
-async function runFlood(seed: number): Promise<Served> {
+async function runFlood(seed: number): Promise<RequestCounts> {
   const fleet = new GatewayFleet({ hosts: 9, domains: 3, endpoints: 3, isHeartbeatDisabled: true });
   for (let i = 0; i < SERVERS; i++)
     fleet.store.put(
@@ -53,7 +53,7 @@
   await fleet.start();
   await fleet.clock.advance(2000);
   const random = new SeededRandom(seed);
-  const result = new Served();
+  const result = new RequestCounts();
   const add = (counts: Map<string, number>, name: string): unknown =>
     counts.set(name, (counts.get(name) ?? 0) + 1);
   // The endpoints serve 450 requests per second; the flood sends about twice as many, all others together a tenth.
--- a/tests/accounts.spec.ts
+++ b/tests/accounts.spec.ts
@@ -101,10 +101,10 @@
   fc.assert(
     fc.property(fc.array(version, { minLength: 1, maxLength: 5 }), versions => {
       let index: AccountIndex | undefined;
-      for (const held of versions) {
-        const owners = new Map<string, string>(held);
+      for (const keyOwners of versions) {
+        const owners = new Map<string, string>(keyOwners);
         const accounts = ['ann', 'bob', 'cat'].map(name =>
-          account(name, ...held.filter(([, owner]) => owner === name).map(([text]) => text)),
+          account(name, ...keyOwners.filter(([, owner]) => owner === name).map(([text]) => text)),
         );
         index = indexOf(accounts, index);
         for (const text of ['k1', 'k2', 'k3', 'k4']) {
@@ -148,7 +148,7 @@
   await put(configuration(1));
   await put(configuration(2, [...ACCOUNTS, { name: 'cat', api_keys: ['ann-1'] }]));
   t.match(service.access(key('ann-1'), false), { kind: 'granted', accountName: 'ann', revision: 1 });
-  t.ok(context.log.has('contradictory accounts, the configuration in force stays'));
+  t.ok(context.log.has('contradictory accounts, keeping the configuration in force'));
   await put(configuration(3, [{ name: 'cat' }]));
   await put(configuration(4, [{ name: 5, api_keys: ['x'] }]));
   t.match(
--- a/tests/capacity.spec.ts
+++ b/tests/capacity.spec.ts
@@ -49,29 +49,29 @@
 
 await tap.test('should order once, and again only if endpoints remain missing', async t => {
   const clock = new VirtualClock();
-  const book = new OrderTracker(clock, ORDER_LIMITS);
-  t.notOk(book.isDue('s', 5, 5, 4000), 'nothing is missing');
-  t.ok(book.isDue('s', 6, 5, 4000));
-  book.recordOrder('s', 6, 'accepted');
-  t.notOk(book.isDue('s', 6, 5, 4000), 'ordered endpoints are booting');
+  const tracker = new OrderTracker(clock, ORDER_LIMITS);
+  t.notOk(tracker.isDue('s', 5, 5, 4000), 'nothing is missing');
+  t.ok(tracker.isDue('s', 6, 5, 4000));
+  tracker.recordOrder('s', 6, 'accepted');
+  t.notOk(tracker.isDue('s', 6, 5, 4000), 'ordered endpoints are booting');
   await clock.advance(14_000);
-  t.notOk(book.isDue('s', 6, 5, 4000), 'not yet overdue');
+  t.notOk(tracker.isDue('s', 6, 5, 4000), 'not yet overdue');
   await clock.advance(2000);
-  t.ok(book.isDue('s', 6, 5, 4000));
-  t.notOk(book.isDue('s', 6, 6, 4000));
-  t.ok(book.isDue('s', 7, 6, 4000), 'wanted number has changed');
+  t.ok(tracker.isDue('s', 6, 5, 4000));
+  t.notOk(tracker.isDue('s', 6, 6, 4000));
+  t.ok(tracker.isDue('s', 7, 6, 4000), 'wanted number has changed');
 });
 
 await tap.test('should back off after each refusal and limit the orders per minute', async t => {
   // Guards against an order at every check while the platform has no endpoints.
   const clock = new VirtualClock();
-  const book = new OrderTracker(clock, ORDER_LIMITS);
+  const tracker = new OrderTracker(clock, ORDER_LIMITS);
   let orders = 0;
   for (let second = 0; second < 120; second++) {
     for (const subject of ['a', 'b', 'c', 'd'])
-      if (book.isDue(subject, 9, 5, 4000)) {
+      if (tracker.isDue(subject, 9, 5, 4000)) {
         orders += 1;
-        book.recordOrder(subject, 9, 'none-left');
+        tracker.recordOrder(subject, 9, 'none-left');
       }
     await clock.advance(1000);
   }
