--- a/packages/gateway/src/callerListener.ts
+++ b/packages/gateway/src/callerListener.ts
@@ -33,7 +33,7 @@
   readonly address: string;
   readonly log: Logger;
   readonly limits: () => CallerLimits | undefined;
-  readonly handle: (arrival: IncomingRequest) => Promise<void>;
+  readonly handle: (incoming: IncomingRequest) => Promise<void>;
 }
 
 export class CallerListener {
--- a/packages/gateway/src/capacityOrders.ts
+++ b/packages/gateway/src/capacityOrders.ts
@@ -1,8 +1,8 @@
 /**
  * Duty that orders endpoints for the pools that can be scaled.
  *
- * The subject of an order is one pool in one failure domain. An order states the total number of endpoints, so that repeating
- * it has no effect.
+ * The subject of an order is one pool in one failure domain. An order states the total number of endpoints, so that
+ * repeating it has no effect.
  */
 import {
   OrderTracker,
@@ -46,8 +46,8 @@
   private readonly _options: CapacityOptions;
   private readonly _duty: DutyLease;
   private _tracker: OrderTracker;
-  private _checkAtMs = -Infinity;
-  private readonly _busy = new Set<string>();
+  private _nextCheckMs = -Infinity;
+  private readonly _pendingSubjects = new Set<string>();
 
   constructor(context: GatewayContext, ports: CapacityPorts, options: CapacityOptions) {
     this._context = context;
@@ -78,8 +78,8 @@
 
   tick(): void {
     const nowMs = this._context.clock.nowMs();
-    if (nowMs < this._checkAtMs || !this._ports.endpoints.isSynced()) return;
-    this._checkAtMs = nowMs + CHECK_INTERVAL_MS;
+    if (nowMs < this._nextCheckMs || !this._ports.endpoints.isSynced()) return;
+    this._nextCheckMs = nowMs + CHECK_INTERVAL_MS;
     for (const [pool, scaling] of this._ports.configuration.scalings()) this._checkPool(pool, scaling);
   }
 
@@ -99,20 +99,20 @@
 
   private _orderIfDue(order: PoolOrder, { bootMs }: PoolScaling): void {
     const subject = `${order.pool}/${order.domain}`;
-    if (this._busy.has(subject) || !this._duty.canActOn(subject)) return;
+    if (this._pendingSubjects.has(subject) || !this._duty.canActOn(subject)) return;
     if (!this._tracker.isDue(subject, order.wanted, order.present, bootMs)) return;
-    this._busy.add(subject);
-    this._duty.track(this._order(subject, order).finally(() => this._busy.delete(subject)));
+    this._pendingSubjects.add(subject);
+    this._duty.track(this._order(subject, order).finally(() => this._pendingSubjects.delete(subject)));
   }
 
   private async _order(subject: string, { pool, domain, wanted, present }: PoolOrder): Promise<void> {
     const fencingToken = this._duty.token();
     if (fencingToken === undefined) return;
     this._duty.recordActionOn(subject, this._context.clock.nowMs() + TIMEOUTS.connectMs);
-    const act = { holder: this._context.hostId, fencingToken };
+    const dutyHolder = { holder: this._context.hostId, fencingToken };
     const order = { pool, domain, count: wanted };
-    const answer = await this._options.duties.orderCapacity(act, order, TIMEOUTS);
-    this._tracker.recordOrder(subject, wanted, toOrderEnd(answer));
+    const answer = await this._options.duties.orderCapacity(dutyHolder, order, TIMEOUTS);
+    this._tracker.recordOrder(subject, wanted, toOrderOutcome(answer));
     this._context.metrics.duties.inc({ duty: 'capacity', answer });
     const policy = this._options.policy.name;
     this._context.log.info('capacity order', { pool, of: domain, wanted, present, answer, policy });
@@ -127,7 +127,7 @@
   readonly present: number;
 }
 
-function toOrderEnd(answer: DutyAnswer): CapacityOrderOutcome {
+function toOrderOutcome(answer: DutyAnswer): CapacityOrderOutcome {
   switch (answer) {
     case 'accepted':
       return 'accepted';
--- a/packages/gateway/src/dutyLease.ts
+++ b/packages/gateway/src/dutyLease.ts
@@ -1,9 +1,9 @@
 /**
  * Exclusive lease on a duty, such as ordering the endpoints of a failure domain.
  *
- * Some targets don't check fencing tokens, so two holders must never act concurrently. A holder acts only well within its
- * lease, measured from when the renewal was sent; a new holder waits until actions of the previous one must have ended; and
- * after a pause of the process the holder does not act until the store has renewed the lease.
+ * Some targets don't check fencing tokens, so two holders must never act concurrently. A holder acts only well within
+ * its lease, measured from when the renewal was sent; a new holder waits until actions of the previous one must have
+ * ended; and after a pause of the process the holder does not act until the store has renewed the lease.
  */
 import { sleep } from '@fuchsiahitch/base';
 import type { RevisionedStore } from '@fuchsiahitch/clients';
@@ -23,8 +23,8 @@
 /** Lets the host of the previous holder reacquire the lease after a restart, since it needs no hand-over wait. */
 const LAST_HOLDER_GRACE_MS = 700;
 /**
- * Delay between consecutive candidates, so that they don't all call the store when a key becomes free. Longer than the time
- * in which hosts learn that the key is held: 0.25 s and two calls.
+ * Delay between consecutive candidates, so that they don't all call the store when a key becomes free. Longer than the
+ * time in which hosts learn that the key is held: 0.25 s and two calls.
  */
 const ACQUIRE_STEP_MS = 400;
 const MAX_ACQUIRE_STEPS = 8;
@@ -130,7 +130,7 @@
     return this._context.clock.nowMs() >= this._acquiredMs + waitMs;
   }
 
-  /** Records that an action on the subject is sent and arrives no later than `latestMs`. */
+  /** Records an action on the subject that arrives at its target by `latestMs`. */
   recordActionOn(subject: string, latestMs: number): void {
     this._actionTimes.recordAction(subject, latestMs);
   }
@@ -165,8 +165,8 @@
   /** Encodes the recent actions of this holder and of its predecessors for a successor. */
   private _handover(): string {
     const { clock, hostId } = this._context;
-    // Includes the entries of the previous holder, which may still be within the hand-over time. Their ages are too low, which
-    // only prolongs the wait.
+    // Actions of the previous holder may still be within the hand-over time. Their ages are not updated, which only
+    // prolongs the wait.
     const before = this._previousHandover?.quietMs ?? {};
     const quietMs = { ...before, ...this._actionTimes.quietMs(clock.nowMs()) };
     return encodeHandover({ hostId, isReleased: this._isReleased, quietMs });
@@ -189,18 +189,19 @@
     return 0;
   }
 
-  /** Delay before this host acquires a free key. The last holder goes first, since it does not wait for its own actions. */
+  /** Delay before this host acquires a free key. The last holder goes first: it need not wait for its own actions. */
   private _ownAcquireDelayMs(): number {
     const last = this._ports.lastHandover();
     if (last?.hostId === this._context.hostId) return 0;
     const { domain } = this._name;
-    const waitMs = domain === undefined || domain === this._context.domain ? 0 : FOREIGN_DOMAIN_DELAY_MS;
+    const foreignDomainMs =
+      domain === undefined || domain === this._context.domain ? 0 : FOREIGN_DOMAIN_DELAY_MS;
     const lastHolderMs = last === undefined || last.isReleased ? 0 : LAST_HOLDER_GRACE_MS;
     const rankDelayMs = Math.min(this._candidateRank(), MAX_ACQUIRE_STEPS) * ACQUIRE_STEP_MS;
-    return waitMs + lastHolderMs + rankDelayMs + this._context.random.below(ACQUIRE_JITTER_MS);
+    return foreignDomainMs + lastHolderMs + rankDelayMs + this._context.random.below(ACQUIRE_JITTER_MS);
   }
 
-  /** Number of candidates that precede this host: hosts of its own domain for that domain's duty, all hosts otherwise. */
+  /** Number of candidates that precede this host. For its own domain's duty, only hosts of that domain count. */
   private _candidateRank(): number {
     const { hosts } = this._ports;
     const isCandidate = (hostId: string): boolean =>
@@ -215,8 +216,8 @@
     this._guard.renewed(token, sentMs);
     if (this._token === token) return;
     this._token = token;
-    // If the lease was revoked rather than expired, the previous holder may act until its validity ends. If it released the
-    // duty, or was this host, only the subjects of its recent actions require a wait.
+    // If the lease was revoked rather than expired, the previous holder may act until its validity ends. If it released
+    // the duty, or was this host, only the subjects of its recent actions require a wait.
     const areActionsKnown =
       this._previousHandover?.isReleased === true || this._previousHandover?.hostId === this._context.hostId;
     const waitMs = areActionsKnown ? 0 : this._times.handoverMs + this._times.validityMs;
--- a/packages/gateway/src/endpoint.ts
+++ b/packages/gateway/src/endpoint.ts
@@ -14,7 +14,7 @@
 /** A weight load that is not visible by then is assumed to have failed. */
 const LOAD_TIMEOUT_MS = 2500;
 
-/** How long a version from an answer takes precedence over the endpoint's record: two heartbeat intervals and a margin. */
+/** How long a version from an answer takes precedence over the endpoint's record: two heartbeats and a margin. */
 const ANSWER_VALID_MS = 2500;
 
 /** How long an endpoint is avoided after a connection failed or another instance answered at its address. */
@@ -46,7 +46,7 @@
 export class Endpoint {
   readonly stats: EndpointStats;
   readonly limit: ConcurrencyLimit;
-  /** Not used: items, the only requests bound to a version, use `versionOf`. */
+  /** Required by `EndpointPicker`; empty, because items, the only requests bound to a version, use `versionOf`. */
   readonly version = '';
   private readonly _clock: Clock;
   private readonly _reportedVersions = new Map<string, number>();
@@ -183,7 +183,7 @@
     this._itemsSuspendedUntilMs = Math.max(this._itemsSuspendedUntilMs, this._clock.nowMs() + durationMs);
   }
 
-  /** A connection to its address failed, or another instance answered there. */
+  /** Records that a connection to its address failed, or that another instance answered there. */
   markUnreachable(): void {
     this._unreachableUntilMs = this._clock.nowMs() + UNREACHABLE_BACKOFF_MS;
   }
--- a/packages/gateway/src/endpointDirectory.ts
+++ b/packages/gateway/src/endpointDirectory.ts
@@ -1,9 +1,9 @@
 /**
  * The endpoints that exist, mirrored from the records that they write to the store.
  *
- * An endpoint may restart under its identifier. State of the previous instance, such as running items, versions, pace or
- * an ejection, must not be applied to the new one. Each instance is therefore an `Endpoint` of its own that replaces the
- * previous one; late records of earlier instances are ignored. An unreadable record removes only its own endpoint.
+ * An endpoint may restart under its identifier. State of the previous instance, such as running items, versions, pace
+ * or an ejection, must not be applied to the new one. Each instance is therefore an `Endpoint` of its own that replaces
+ * the previous one; late records of earlier instances are ignored. An unreadable record removes only its own endpoint.
  */
 import type { CancelTimer } from '@fuchsiahitch/base';
 import type { StoredValue } from '@fuchsiahitch/clients';
@@ -12,7 +12,7 @@
 import type { EndpointInfo, RecordDecoder, RecordKeys } from './ports.js';
 import { StoreMirror, type MirrorSource } from './storeMirror.js';
 
-/** How long a removal is delayed after a store outage: records that expired during it return about two seconds later. */
+/** Delay of a removal after a store outage: records that expired during it return about two seconds later. */
 const REMOVAL_GRACE_MS = 2300;
 /** A removal this soon after a failed store call may be caused by the outage and not by the endpoint. */
 const OUTAGE_WINDOW_MS = 2500;
--- a/packages/gateway/src/eventLoopMonitor.ts
+++ b/packages/gateway/src/eventLoopMonitor.ts
@@ -2,10 +2,10 @@
  * Measures event loop lag.
  *
  * A blocked process runs expired timers before it reads the data that arrived meanwhile, so that its own lag looks like
- * unresponsive endpoints. Timeouts of endpoints are therefore decided after pending I/O was read, and pace samples taken
- * during lag are discarded.
+ * unresponsive endpoints. Timeouts of endpoints are therefore decided after pending I/O was read, and pace samples
+ * taken during lag are discarded.
  *
- * The pause detector of the weight orders covers a different case: a suspended machine, whose monotonic clock stood still.
+ * A suspension, during which the monotonic clock stands still, is not lag: see `PauseDetector`.
  */
 import type { CancelTimer, Clock } from '@fuchsiahitch/base';
 
@@ -22,7 +22,7 @@
   private readonly _stopped: AbortSignal;
   private _dueMs: number;
   /** Infinity while the loop lags. */
-  private _onTimeSinceMs: number;
+  private _lagFreeSinceMs: number;
   private _windowStartMs: number;
   private _maxLagMs = 0;
   private _previousMaxLagMs = 0;
@@ -32,7 +32,7 @@
     this._clock = clock;
     this._stopped = stopped;
     const nowMs = clock.nowMs();
-    this._onTimeSinceMs = nowMs;
+    this._lagFreeSinceMs = nowMs;
     this._windowStartMs = nowMs;
     this._dueMs = nowMs;
     this._scheduleSample(nowMs);
@@ -45,7 +45,7 @@
 
   /** Returns true if no lag was measured from `sinceMs` until now. */
   hasNoLagSince(sinceMs: number): boolean {
-    return sinceMs >= this._onTimeSinceMs && this._overdueMs() <= LAG_THRESHOLD_MS;
+    return sinceMs >= this._lagFreeSinceMs && this._overdueMs() <= LAG_THRESHOLD_MS;
   }
 
   /**
@@ -89,8 +89,8 @@
   private _sample(): void {
     const nowMs = this._clock.nowMs();
     const lagMs = this._overdueMs();
-    if (lagMs > LAG_THRESHOLD_MS) this._onTimeSinceMs = Infinity;
-    else if (this._onTimeSinceMs === Infinity) this._onTimeSinceMs = nowMs;
+    if (lagMs > LAG_THRESHOLD_MS) this._lagFreeSinceMs = Infinity;
+    else if (this._lagFreeSinceMs === Infinity) this._lagFreeSinceMs = nowMs;
     if (nowMs - this._windowStartMs > WINDOW_MS) {
       this._previousMaxLagMs = this._maxLagMs;
       this._maxLagMs = 0;
--- a/packages/gateway/src/forwardedRequest.ts
+++ b/packages/gateway/src/forwardedRequest.ts
@@ -30,8 +30,8 @@
   private readonly _disconnected: AbortSignal;
   private readonly _deadline: Deadline;
   private readonly _abortController = new AbortController();
-  private readonly _tried = new Set<string>();
-  private readonly _attemptEnds: RequestAttemptEnd[] = [];
+  private readonly _triedEndpointIds = new Set<string>();
+  private readonly _pendingAttemptEnds: RequestAttemptEnd[] = [];
   private _wake: (() => void) | undefined;
   private _runningCount = 0;
   private _sentCount = 0;
@@ -74,7 +74,7 @@
   private async _waitForOutcome(): Promise<ForwardOutcome> {
     this._startAttempt();
     for (;;) {
-      const end = this._attemptEnds.shift();
+      const end = this._pendingAttemptEnds.shift();
       const outcome = end ? this._handleAttemptEnd(end) : this._terminalOutcome();
       if (outcome) return outcome;
       if (!end) await this._waitForWake();
@@ -96,9 +96,13 @@
     if (sent >= this._route.maxAttempts || this._deadline.isOver()) return false;
     // A request that crashed an endpoint in an earlier attempt is not sent to the next one.
     if (sent > 0 && this._poison.verdict(this._request).kind !== 'free') return false;
-    const endpoint = this._forwarder.chooseEndpoint(this._route, this._tried, this._request.isBackground);
+    const endpoint = this._forwarder.chooseEndpoint(
+      this._route,
+      this._triedEndpointIds,
+      this._request.isBackground,
+    );
     if (!endpoint) return false;
-    this._tried.add(endpoint.id);
+    this._triedEndpointIds.add(endpoint.id);
     this._sentCount += 1;
     this._runningCount += 1;
     void this._runAttempt(endpoint);
@@ -119,7 +123,7 @@
     if (end.kind === 'broken') await this._poison.recordBroken(this._request, endpoint);
     if (end.kind === 'answered') this._poison.answered(this._request);
     this._runningCount -= 1;
-    this._attemptEnds.push(end);
+    this._pendingAttemptEnds.push(end);
     this._wake?.();
     this._forwarder.logAttempt(this._request, endpoint, end, { number: attempt, tookMs, leftMs });
   }
@@ -132,11 +136,11 @@
     if (end.kind !== 'not-run') this._mayHaveRun = true;
     else if (end.reason === 'unreachable') this._unconnectedCount += 1;
     if (end.kind === 'not-run' || isRetryable) this._startAttempt();
-    if (this._runningCount > 0 || this._attemptEnds.length > 0) return undefined;
+    if (this._runningCount > 0 || this._pendingAttemptEnds.length > 0) return undefined;
     if (this._failureAnswer) return this._toAnswered(this._failureAnswer);
     if (this._mayHaveRun) return { kind: 'unknown', reason: 'broken' };
     if (this._isDenied) return { kind: 'denied' };
-    return { kind: 'not-run', reason: 'every endpoint refused it', retryAfterMs: RETRY_AFTER_MS };
+    return { kind: 'not-run', reason: 'refused by every endpoint', retryAfterMs: RETRY_AFTER_MS };
   }
 
   private _toAnswered(answer: CompleteAnswer): ForwardOutcome {
@@ -148,7 +152,7 @@
     if (this._disconnected.aborted) return { kind: 'caller-left' };
     if (this._runningCount === 0 && this._isDenied) return { kind: 'denied' };
     if (this._runningCount === 0)
-      return { kind: 'not-run', reason: 'no endpoint', retryAfterMs: RETRY_AFTER_MS };
+      return { kind: 'not-run', reason: 'no endpoint available', retryAfterMs: RETRY_AFTER_MS };
     return this._deadline.isOver() ? { kind: 'unknown', reason: 'late' } : undefined;
   }
 
--- a/packages/gateway/src/forwarder.ts
+++ b/packages/gateway/src/forwarder.ts
@@ -2,8 +2,8 @@
  * Forwards a caller's request to an endpoint.
  *
  * An idempotent request is retried on another endpoint after any failure, and hedged when the first endpoint is slow.
- * Any other request is retried only after proof that it did not run. All attempts are counted here, so that no other
- * layer retries the same request.
+ * Any other request is retried only after proof that it did not run. No other layer retries, so that a route's limit
+ * applies to all attempts.
  */
 import { Deadline, messageOf } from '@fuchsiahitch/base';
 import {
@@ -125,7 +125,11 @@
     const admission = this._admissionOf(route);
     if (!admission.admit(accountName, this._context.clock.nowMs())) {
       this._context.log.info('request exceeds fair share', { requestId, account: accountName });
-      return { kind: 'not-run', reason: 'endpoints are full', retryAfterMs: OVERLOAD_RETRY_MS };
+      return {
+        kind: 'not-run',
+        reason: 'account exceeds its fair share of full endpoints',
+        retryAfterMs: OVERLOAD_RETRY_MS,
+      };
     }
     const outcome = await run();
     admission.ended(outcome.kind === 'not-run');
@@ -158,9 +162,13 @@
         return this._recordOutcome(request, outcome);
       }
       case 'held':
-        return { kind: 'not-run', reason: 'endpoints ended under it', retryAfterMs: verdict.leftMs };
+        return {
+          kind: 'not-run',
+          reason: 'held: endpoints terminated while running it',
+          retryAfterMs: verdict.leftMs,
+        };
       case 'condemned':
-        return { kind: 'rejected', reason: 'endpoints end under it' };
+        return { kind: 'rejected', reason: 'poison request: endpoints terminate while running it' };
     }
   }
 
@@ -205,7 +213,7 @@
       if (end.kind !== 'not-sent') return end;
       if (end.reason === 'unreachable') unconnectedCount += 1;
     }
-    return { kind: 'not-run', reason: 'no endpoint takes it', retryAfterMs: RETRY_AFTER_MS };
+    return { kind: 'not-run', reason: 'no endpoint accepted it', retryAfterMs: RETRY_AFTER_MS };
   }
 
   tryTakeHedge(): boolean {
--- a/packages/gateway/src/gateway.ts
+++ b/packages/gateway/src/gateway.ts
@@ -157,8 +157,8 @@
   }
 
   /**
-   * Shuts down within `graceMs`. Reports not ready, hands over duties, batches and leases so that other hosts continue at
-   * once, then serves callers until the load balancer has stopped sending and no request is in flight.
+   * Shuts down within `graceMs`. Reports not ready, hands over duties, batches and leases so that other hosts continue
+   * at once, then serves callers until the load balancer has stopped sending and no request is in flight.
    */
   async shutDown(graceMs: number): Promise<void> {
     this._isLeaving = true;
--- a/packages/gateway/src/hostDirectory.ts
+++ b/packages/gateway/src/hostDirectory.ts
@@ -29,8 +29,8 @@
 
 /** The lease bounds the time until a failed host is detected; a shorter one would lose the batches of paused hosts. */
 const HOST_LEASE = { ttlMs: 2000, renewMs: 600 };
-const MAX_TERMINATED = 1000;
-const MIRROR = { prefix: LIVE_PREFIX, waitMs: 4000, spacingMs: 0 };
+const MAX_TERMINATED_PROCESSES = 1000;
+const MIRROR_OPTIONS = { prefix: LIVE_PREFIX, waitMs: 4000, spacingMs: 0 };
 
 export interface HostDirectoryOptions {
   readonly peers: PeerCaller;
@@ -46,17 +46,17 @@
   /** Returns true if the process is live according to the last view of the store. */
   isAlive(owner: Owner): boolean;
   /**
-   * Runs a callback once when the process is seen to be terminated: its lease has ended, or another process has replaced it
-   * at its host. Runs it at once if that was seen before. The returned function cancels it.
+   * Runs a callback once when the process is seen to be terminated: its lease has ended, or another process has
+   * replaced it at its host. Runs it at once if that was seen before. The returned function cancels it.
    */
-  onTerminated(owner: Owner, run: () => void): CancelTimer;
+  onTerminated(owner: Owner, callback: () => void): CancelTimer;
   /** Returns true if the process was seen to be terminated. */
   isTerminated(owner: Owner): boolean;
   /** Returns true for a host of this host's failure domain. */
   isOwnDomain(hostId: string): boolean;
   isHeld(key: string): boolean;
-  /** Runs a callback whenever the holder of the key may have changed, and after each complete read of the live hosts. */
-  onKeyChange(key: string, run: () => void): void;
+  /** Runs a callback whenever the key's holder may have changed, and after each complete read of the live hosts. */
+  onKeyChange(key: string, callback: () => void): void;
   /** Hand-over record of a domain's weight orders, available even if they have no holder now. */
   lastOrders(domain: string): DutyHandover | undefined;
   /** Live hosts other than this one. */
@@ -86,14 +86,14 @@
   private readonly _lease: StoreLease;
   private readonly _owners = new Map<string, Owner>();
   private readonly _domains = new Map<string, string>();
-  private readonly _values = new Map<string, string>();
+  private readonly _valuesByKey = new Map<string, string>();
   private readonly _keyCallbacks = new Map<string, (() => void)[]>();
   private readonly _listeners = new Map<string, KeyListener>();
   private readonly _terminated = new TerminatedProcesses();
-  private readonly _changes: HostChangeLog;
+  private readonly _changeLog: HostChangeLog;
   private readonly _onHostTerminated: () => void;
 
-  /** `source`: where the live hosts are read. `onHostTerminated`: called whenever a process is seen to be terminated. */
+  /** `source`: where live hosts are read. `onHostTerminated`: called whenever a process is seen to be terminated. */
   constructor(
     context: GatewayContext,
     store: RevisionedStore,
@@ -104,11 +104,11 @@
     this._onHostTerminated = onHostTerminated;
     this._context = context;
     this._options = options;
-    this._changes = new HostChangeLog(context);
-    this._mirror = new StoreMirror(context, source, MIRROR, {
+    this._changeLog = new HostChangeLog(context);
+    this._mirror = new StoreMirror(context, source, MIRROR_OPTIONS, {
       changed: item => this._changed(item.key, item.value),
       removed: key => this._removed(key),
-      synced: () => [...this._keyCallbacks.values()].flat().forEach(run => run()),
+      synced: () => [...this._keyCallbacks.values()].flat().forEach(callback => callback()),
     });
     this._lease = new StoreLease(context, store, `${HOST_PREFIX}${context.hostId}`, HOST_LEASE, false, {
       value: () => JSON.stringify({ ...this.self(), domain: context.domain }),
@@ -146,8 +146,8 @@
     return known !== undefined && isSameOwner(known, owner);
   }
 
-  onTerminated(owner: Owner, run: () => void): CancelTimer {
-    return this._terminated.on(owner, run);
+  onTerminated(owner: Owner, callback: () => void): CancelTimer {
+    return this._terminated.subscribe(owner, callback);
   }
 
   isTerminated(owner: Owner): boolean {
@@ -155,16 +155,16 @@
   }
 
   isHeld(key: string): boolean {
-    return this._values.has(key);
+    return this._valuesByKey.has(key);
   }
 
-  onKeyChange(key: string, run: () => void): void {
-    this._keyCallbacks.set(key, [...(this._keyCallbacks.get(key) ?? []), run]);
+  onKeyChange(key: string, callback: () => void): void {
+    this._keyCallbacks.set(key, [...(this._keyCallbacks.get(key) ?? []), callback]);
   }
 
   /** Value of a key; undefined if it has no holder. */
   valueOfKey(key: string): string | undefined {
-    return this._values.get(key);
+    return this._valuesByKey.get(key);
   }
 
   watchKeys(prefix: string, listener: KeyListener): void {
@@ -177,7 +177,7 @@
 
   /** Hand-over record stored under a key. */
   handover(key: string): DutyHandover | undefined {
-    const value = this._values.get(key);
+    const value = this._valuesByKey.get(key);
     return value === undefined ? undefined : decodeHandover(value);
   }
 
@@ -209,7 +209,7 @@
       listener.changed(key, value);
       return;
     }
-    this._values.set(key, value);
+    this._valuesByKey.set(key, value);
     this._notifyKeyCallbacks(key);
     if (!key.startsWith(HOST_PREFIX)) return;
     const owner = decodeHostRecord(value);
@@ -223,11 +223,11 @@
     if (known && isSameOwner(known, owner)) return;
     this._terminated.delete(owner);
     if (known) this._onProcessTerminated(known);
-    this._changes.added(owner.hostId, owner.incarnation);
+    this._changeLog.added(owner.hostId, owner.incarnation);
   }
 
   private _notifyKeyCallbacks(key: string): void {
-    for (const run of this._keyCallbacks.get(key) ?? []) run();
+    for (const callback of this._keyCallbacks.get(key) ?? []) callback();
   }
 
   private _onProcessTerminated(process: Owner): void {
@@ -241,18 +241,18 @@
       listener.removed(key);
       return;
     }
-    this._values.delete(key);
+    this._valuesByKey.delete(key);
     this._notifyKeyCallbacks(key);
     if (!key.startsWith(HOST_PREFIX)) return;
     const hostId = key.slice(HOST_PREFIX.length);
     const known = this._owners.get(hostId);
     this._owners.delete(hostId);
     if (known) this._onProcessTerminated(known);
-    this._changes.removed(hostId);
+    this._changeLog.removed(hostId);
   }
 }
 
-/** Processes that were seen to be terminated, and callbacks for those that were not. */
+/** Processes that were seen to be terminated, and callbacks for the termination of others. */
 class TerminatedProcesses {
   private readonly _incarnations = new Set<string>();
   private readonly _callbacks = new Map<string, Set<() => void>>();
@@ -260,10 +260,11 @@
   add({ incarnation }: Owner): void {
     this._incarnations.add(incarnation);
     const [oldest] = this._incarnations;
-    if (this._incarnations.size > MAX_TERMINATED && oldest !== undefined) this._incarnations.delete(oldest);
+    if (this._incarnations.size > MAX_TERMINATED_PROCESSES && oldest !== undefined)
+      this._incarnations.delete(oldest);
     const callbacks = this._callbacks.get(incarnation) ?? [];
     this._callbacks.delete(incarnation);
-    for (const run of callbacks) run();
+    for (const callback of callbacks) callback();
   }
 
   /** Forgets a process whose lease was revoked and that has registered again. */
@@ -275,16 +276,16 @@
     return this._incarnations.has(incarnation);
   }
 
-  on({ incarnation }: Owner, run: () => void): CancelTimer {
+  subscribe({ incarnation }: Owner, callback: () => void): CancelTimer {
     if (this._incarnations.has(incarnation)) {
-      run();
+      callback();
       return () => undefined;
     }
     const callbacks = this._callbacks.get(incarnation) ?? new Set();
-    callbacks.add(run);
+    callbacks.add(callback);
     this._callbacks.set(incarnation, callbacks);
     return () => {
-      callbacks.delete(run);
+      callbacks.delete(callback);
       if (callbacks.size === 0) this._callbacks.delete(incarnation);
     };
   }
--- a/packages/gateway/src/httpExchange.ts
+++ b/packages/gateway/src/httpExchange.ts
@@ -95,9 +95,9 @@
 
   answer(status: number, pairs: readonly HeaderPair[] = [], body: Buffer = Buffer.alloc(0)): void {
     if (this.response.destroyed) return;
-    const own: HeaderPair[] = [...pairs];
-    if (hasBody(status)) own.push(['Content-Length', String(body.length)]);
-    this.response.writeHead(status, [...this.headers(own)]);
+    const allPairs: HeaderPair[] = [...pairs];
+    if (hasBody(status)) allPairs.push(['Content-Length', String(body.length)]);
+    this.response.writeHead(status, [...this.headers(allPairs)]);
     this.response.end(body);
   }
 
--- a/packages/gateway/src/poisonGuard.ts
+++ b/packages/gateway/src/poisonGuard.ts
@@ -21,17 +21,17 @@
 import type { EndpointClient } from './ports.js';
 
 /** How long the result of a termination check is reused: all requests at an endpoint break at once. */
-const END_CHECK_CACHE_MS = 500;
+const TERMINATION_CHECK_CACHE_MS = 500;
 /** Retry delay when another host holds the trial, or the store could not grant it. */
 const TRIAL_RETRY_MS = 1000;
 /** From this many terminated endpoints on, marks are announced at once, even while other attempts still run. */
-const ANNOUNCED_ENDS = 2;
+const MIN_ENDS_TO_ANNOUNCE = 2;
 /** Interval at which the marks of a recurring request are renewed before their lease expires. */
 const REANNOUNCE_INTERVAL_MS = 240_000;
 
 /** The marks of one request that were announced to the fleet or received from it. */
 interface AnnouncedMarks {
-  readonly names: Set<string>;
+  readonly markKeys: Set<string>;
   /** When the last mark was announced or received. */
   updatedMs: number;
 }
@@ -55,7 +55,7 @@
   private readonly _cases: PoisonCases;
   private readonly _targets = new WeakMap<RequestIdentity, string>();
   private readonly _fingerprints = new WeakMap<RequestIdentity, string>();
-  private readonly _endChecks = new Map<string, Promise<boolean>>();
+  private readonly _terminationChecks = new Map<string, Promise<boolean>>();
   /** Marks shared with the fleet, by fingerprint. */
   private readonly _announced = new Map<string, AnnouncedMarks>();
 
@@ -93,7 +93,7 @@
     return fingerprint === undefined ? { kind: 'free' } : this._cases.verdict(fingerprint);
   }
 
-  /** As `verdict`, but claims a trial that is due. If another host holds it, the request is held. */
+  /** Like `verdict`, but also claims a trial that is due. Returns `held` if another host holds the trial. */
   async admit(request: RequestIdentity): Promise<PoisonVerdict> {
     const verdict = this.verdict(request);
     if (verdict.kind === 'free') return verdict;
@@ -116,17 +116,17 @@
     return { fingerprint, ends: this._cases.ends(fingerprint), lastUpdateAgeMs: ageMs };
   }
 
-  /** The request's connection broke. Resolves once it is known whether the endpoint has terminated. */
+  /** Records that the request's connection broke. Resolves once it is known whether the endpoint has terminated. */
   async recordBroken(request: RequestIdentity, endpoint: Endpoint): Promise<void> {
     if (!(await this._hasTerminated(endpoint))) return;
     const fingerprint = this._fingerprint(request);
     const ends = this._cases.ended(fingerprint, endpoint.startId());
     this._context.metrics.poison.inc({ event: 'end' });
     this._log('endpoint terminated while running request', fingerprint, { endpointId: endpoint.id, ends });
-    if (ends >= ANNOUNCED_ENDS) this._announceNew(fingerprint);
+    if (ends >= MIN_ENDS_TO_ANNOUNCE) this._announceNew(fingerprint);
   }
 
-  /** Clears the case: the request was answered completely without terminating its endpoint. */
+  /** Clears the case of a request that was answered completely without terminating its endpoint. */
   answered(request: RequestIdentity): void {
     const fingerprint = this._fingerprintIfKnown(request);
     if (fingerprint === undefined) return;
@@ -140,7 +140,7 @@
     });
   }
 
-  /** The request ended on this host without an answer. Announces its marks, as the caller may retry at another host. */
+  /** Announces the marks of a request that got no answer on this host, as the caller may retry at another host. */
   recordUnanswered(request: RequestIdentity): void {
     const fingerprint = this._fingerprintIfKnown(request);
     if (fingerprint !== undefined && this._cases.ends(fingerprint) > 0) this._announceNew(fingerprint);
@@ -150,7 +150,7 @@
   abandonTrial(request: RequestIdentity, number: number): void {
     const fingerprint = this._fingerprint(request);
     this._cases.trialDropped(fingerprint, number);
-    this._announced.get(fingerprint)?.names.delete(markKey({ kind: 'trial', number, endsBefore: 0 }));
+    this._announced.get(fingerprint)?.markKeys.delete(markKey({ kind: 'trial', number, endsBefore: 0 }));
     void this._records.remove(fingerprint, [{ kind: 'trial', number, endsBefore: 0 }]);
   }
 
@@ -163,20 +163,20 @@
     const isClaimed = await this._records.claimTrial(fingerprint, number, endsBefore);
     this._log('poison trial due', fingerprint, { number, endsBefore, isClaimed });
     if (!isClaimed) return { kind: 'held', leftMs: TRIAL_RETRY_MS };
-    this._noteAnnounced(fingerprint, [{ kind: 'trial', number, endsBefore }]);
+    this._recordAnnounced(fingerprint, [{ kind: 'trial', number, endsBefore }]);
     this._cases.trialStarted(fingerprint, number, endsBefore);
     return trial;
   }
 
   /** Announces marks that the fleet does not have yet. */
   private _announceNew(fingerprint: string): void {
-    const announced = this._announced.get(fingerprint)?.names;
+    const announced = this._announced.get(fingerprint)?.markKeys;
     const marks = this._cases.marks(fingerprint).filter(mark => announced?.has(markKey(mark)) !== true);
     if (marks.length > 0) this._announce(fingerprint, marks);
   }
 
   private _announce(fingerprint: string, marks: readonly PoisonMark[]): void {
-    this._noteAnnounced(fingerprint, marks);
+    this._recordAnnounced(fingerprint, marks);
     void this._records.add(fingerprint, marks).then(isDone => {
       if (!isDone) this._announcer.announce(fingerprint, marks);
     });
@@ -189,10 +189,10 @@
       this._announce(fingerprint, this._cases.marks(fingerprint));
   }
 
-  private _noteAnnounced(fingerprint: string, marks: readonly PoisonMark[]): void {
+  private _recordAnnounced(fingerprint: string, marks: readonly PoisonMark[]): void {
     const nowMs = this._context.clock.nowMs();
-    const announced = this._announced.get(fingerprint) ?? { names: new Set<string>(), updatedMs: nowMs };
-    for (const mark of marks) announced.names.add(markKey(mark));
+    const announced = this._announced.get(fingerprint) ?? { markKeys: new Set<string>(), updatedMs: nowMs };
+    for (const mark of marks) announced.markKeys.add(markKey(mark));
     announced.updatedMs = nowMs;
     this._announced.set(fingerprint, announced);
   }
@@ -222,31 +222,31 @@
   /** Shares one check among all requests that break at the endpoint at about the same time. */
   private async _hasTerminated(endpoint: Endpoint): Promise<boolean> {
     const startId = endpoint.startId();
-    const known = this._endChecks.get(startId);
+    const known = this._terminationChecks.get(startId);
     if (known) return known;
     const check = endpoint.replaced.aborted
       ? Promise.resolve(true)
       : this._client.hasTerminated(endpoint.info());
-    this._endChecks.set(startId, check);
-    this._context.clock.after(END_CHECK_CACHE_MS, () => this._endChecks.delete(startId));
+    this._terminationChecks.set(startId, check);
+    this._context.clock.after(TERMINATION_CHECK_CACHE_MS, () => this._terminationChecks.delete(startId));
     return check;
   }
 
-  /** A host stored a mark. */
+  /** Applies a mark that a host stored. */
   private _markWritten(key: string, value: string): void {
     const marked = parseMark(key, value);
     if (marked) this._applyMarks(marked.fingerprint, [marked.mark]);
     else this._context.log.warn('unreadable poison record', { key });
   }
 
-  /** A mark was removed, because the request was answered or the mark's lease expired. */
+  /** Drops a mark that was removed because the request was answered or the mark's lease expired. */
   private _markRemoved(key: string): void {
     const marked = parseMark(key);
     if (!marked) return;
     const { fingerprint, mark } = marked;
     if (mark.kind === 'trial') this._cases.trialDropped(fingerprint, mark.number);
     else this._cases.removeEnd(fingerprint, mark.startId);
-    this._announced.get(fingerprint)?.names.delete(markKey(mark));
+    this._announced.get(fingerprint)?.markKeys.delete(markKey(mark));
     if (this._cases.ends(fingerprint) === 0) this._announced.delete(fingerprint);
   }
 
@@ -258,7 +258,7 @@
   }
 
   private _applyMarks(fingerprint: string, marks: readonly PoisonMark[]): void {
-    this._noteAnnounced(fingerprint, marks);
+    this._recordAnnounced(fingerprint, marks);
     const before = this._cases.ends(fingerprint);
     for (const mark of marks) {
       if (mark.kind === 'trial') this._cases.trialStarted(fingerprint, mark.number, mark.endsBefore);
--- a/packages/gateway/src/poisonRecords.ts
+++ b/packages/gateway/src/poisonRecords.ts
@@ -46,7 +46,7 @@
   private readonly _pending = new Map<string, PendingWrite>();
   private _lease: { readonly id: string; readonly grantedMs: number } | undefined;
   private _lastWrite: Promise<void> = Promise.resolve();
-  /** The last write failed and is being retried. */
+  /** True while a failed write is being retried. */
   private _isStoreUnavailable = false;
 
   constructor(context: GatewayContext, store: RevisionedStore) {
@@ -169,7 +169,7 @@
 }
 
 /**
- * Parses the mark stored at a key. Returns undefined for unknown keys, which a later program version may write. Without a
+ * Parses the mark stored at a key. Returns undefined for unknown keys of later program versions. Without a
  * `value`, the mark of a trial has zero `endsBefore`.
  */
 export function parseMark(key: string, value = '{}'): MarkedRequest | undefined {
--- a/packages/gateway/src/ports.ts
+++ b/packages/gateway/src/ports.ts
@@ -62,8 +62,8 @@
 export type NotRunReason = 'unreachable' | 'refused' | 'other-instance';
 
 /**
- * The result of sending a request to an endpoint, up to the head of the answer. After `not-run` the request certainly did
- * not run; after `broken` it may have run.
+ * The result of sending a request to an endpoint, up to the head of the answer. After `not-run` the request certainly
+ * did not run; after `broken` it may have run.
  */
 export type EndpointReply =
   | { readonly kind: 'answered'; readonly answer: EndpointAnswer }
@@ -159,8 +159,8 @@
 }
 
 /**
- * How the platform answered a duty call. `busy`: retry later. `refused`: invalid in this form. `unreached`: certainly not
- * received. `unknown`: may have been received, or may still be.
+ * How the platform answered a duty call. `busy`: retry later. `refused`: invalid in this form. `unreached`: certainly
+ * not received. `unknown`: may have been received, or may still be.
  */
 export type DutyAnswer = 'accepted' | 'busy' | 'refused' | 'unreached' | 'unknown';
 
@@ -180,9 +180,9 @@
 /** Calls to the platform that only one host makes at a time. */
 export interface PlatformDuties {
   /** Repeating the same report is harmless; sending a different one for its window is not. */
-  reportUsage(act: DutyHolder, report: UsageReport, timeouts: DutyTimeouts): Promise<DutyAnswer>;
+  reportUsage(holder: DutyHolder, report: UsageReport, timeouts: DutyTimeouts): Promise<DutyAnswer>;
   /** `refused` if the platform has no more endpoints now. */
-  orderCapacity(act: DutyHolder, order: CapacityOrder, timeouts: DutyTimeouts): Promise<DutyAnswer>;
+  orderCapacity(holder: DutyHolder, order: CapacityOrder, timeouts: DutyTimeouts): Promise<DutyAnswer>;
 }
 
 /** Size and time limits for callers' requests. */
--- a/packages/gateway/src/reachabilityMonitor.ts
+++ b/packages/gateway/src/reachabilityMonitor.ts
@@ -1,11 +1,11 @@
 /**
  * Detects that this host is isolated from the store and from the hosts of all other failure domains.
  *
- * An isolated host reports that it is not ready, so that the load balancer sends its callers to other domains, whose hosts
- * take over its batches. If only the store is unreachable, the host remains ready, since other domains are affected as well.
+ * An isolated host reports not ready, so that the load balancer sends its callers to other domains, whose hosts take
+ * over its batches. If only the store is unreachable, the host remains ready, since other domains are affected as well.
  *
- * After a delay of the event loop, replies may have arrived that were not read. The monitor therefore reads pending I/O before
- * it considers the store or a round unanswered.
+ * After event loop lag, replies may have arrived without being read. Pending I/O is therefore read before the store or
+ * a round of probes counts as unanswered.
  */
 import { every, pendingIoRead } from '@fuchsiahitch/base';
 import type { GatewayContext } from './gatewayContext.js';
@@ -45,10 +45,10 @@
   private async _check(): Promise<void> {
     const isReached =
       (await this._isStoreReached()) || (await this._anyHostResponds()) || (await this._isStoreReached());
-    const wasCutOff = this.isIsolated();
+    const wasIsolated = this.isIsolated();
     this._failedRounds = isReached ? 0 : this._failedRounds + 1;
-    if (this.isIsolated() === wasCutOff) return;
-    const change = this.isIsolated() ? 'cut off' : 'connected';
+    if (this.isIsolated() === wasIsolated) return;
+    const change = this.isIsolated() ? 'isolated' : 'connected';
     this._context.log.warn('reach', {
       change,
       sinceStoreMs: Math.round(this._store.sinceReachedMs()),
--- a/packages/gateway/src/relayedStore.ts
+++ b/packages/gateway/src/relayedStore.ts
@@ -41,23 +41,23 @@
   relay(address: string, request: StoreRequest, timeoutMs: number): Promise<Result<StoreReply, CallError>>;
 }
 
-type Direct<T, E> = (deadline: Deadline) => Promise<Result<T, E>>;
+type DirectCall<T, E> = (deadline: Deadline) => Promise<Result<T, E>>;
 
 export class RelayedStore implements RevisionedStore {
   private readonly _context: GatewayContext;
   private readonly _direct: RevisionedStore;
   private readonly _pausedUntilMs = new Map<string, number>();
   private _peers: RelayPeers | undefined;
-  private _isFailing = false;
-  private _reachedMs: number;
+  private _isRelaying = false;
+  private _lastReachedMs: number;
 
   constructor(context: GatewayContext, direct: RevisionedStore) {
     this._context = context;
     this._direct = direct;
-    this._reachedMs = context.clock.nowMs();
+    this._lastReachedMs = context.clock.nowMs();
   }
 
-  /** Set after construction, since the peers are read from the store. */
+  /** Called after construction, since the peers are read from the store. */
   setPeers(peers: RelayPeers): void {
     this._peers = peers;
   }
@@ -65,12 +65,12 @@
   /** Serves store calls of peers with direct calls only: a relayed call is never relayed again. */
   serve(server: CallRegistry): void {
     server.handle(storeRelayCall, async request => this._serveRelay(request));
-    server.handle(reachCall, () => ({ isStoreReachable: !this._isFailing }));
+    server.handle(reachCall, () => ({ isStoreReachable: !this._isRelaying }));
   }
 
   /** Milliseconds since the store last answered, directly or through a peer. */
   sinceReachedMs(): number {
-    return this._context.clock.nowMs() - this._reachedMs;
+    return this._context.clock.nowMs() - this._lastReachedMs;
   }
 
   async get(key: string, deadline: Deadline): Promise<Result<StoredValue | undefined, StoreError>> {
@@ -143,21 +143,21 @@
 
   /** `waitMs`: how long the call waits at the store before it is answered. */
   private async _call<T, E extends StoreError | 'compacted'>(
-    direct: Direct<T, E>,
+    direct: DirectCall<T, E>,
     deadline: Deadline,
     toRequest: (timeoutMs: number) => StoreRequest,
     waitMs: number,
   ): Promise<Result<T, E | StoreError>> {
-    if (this._isFailing) return this._relay<T>(toRequest, deadline, waitMs);
+    if (this._isRelaying) return this._relay<T>(toRequest, deadline, waitMs);
     const limitMs = Math.min(deadline.remainingMs(), DIRECT_TIMEOUT_MS + waitMs) - waitMs;
     const result = await direct(deadline.atMost(DIRECT_TIMEOUT_MS + waitMs));
     if (result.ok || result.error === 'compacted') {
-      this._reachedMs = this._context.clock.nowMs();
+      this._lastReachedMs = this._context.clock.nowMs();
       return result;
     }
     // A call with a short time-out must not switch all calls of the host to relaying because the store is slow.
     const isConclusive = result.error !== 'unknown' || limitMs >= CONCLUSIVE_TIMEOUT_MS;
-    if (isConclusive) this._startFailing(result.error);
+    if (isConclusive) this._startRelaying(result.error);
     // Only a call that was certainly not executed is relayed at once; otherwise the caller decides.
     if (result.error === 'unknown') return result;
     return this._relay<T>(toRequest, deadline, waitMs);
@@ -173,15 +173,15 @@
     const timeoutMs = Math.min(deadline.remainingMs(), DIRECT_TIMEOUT_MS + waitMs);
     const reply = await this._peers.relay(address, toRequest(timeoutMs), timeoutMs + RELAY_SLACK_MS);
     if (!reply.ok) {
-      this._pause(address);
+      this._pausePeer(address);
       return err(reply.error.kind === 'not-sent' ? 'not-done' : 'unknown');
     }
     if (reply.value.ok) {
-      this._reachedMs = this._context.clock.nowMs();
+      this._lastReachedMs = this._context.clock.nowMs();
       // The peer made the same call, so the value has the type of that call.
       return { ok: true, value: reply.value.value as T };
     }
-    if (reply.value.error !== 'compacted') this._pause(address);
+    if (reply.value.error !== 'compacted') this._pausePeer(address);
     return err(reply.value.error as StoreError);
   }
 
@@ -193,13 +193,13 @@
     return available[this._context.random.below(Math.max(1, available.length))];
   }
 
-  private _pause(address: string): void {
+  private _pausePeer(address: string): void {
     this._pausedUntilMs.set(address, this._context.clock.nowMs() + PEER_PAUSE_MS);
   }
 
-  private _startFailing(error: string): void {
-    if (this._isFailing) return;
-    this._isFailing = true;
+  private _startRelaying(error: string): void {
+    if (this._isRelaying) return;
+    this._isRelaying = true;
     this._context.log.warn('store not directly reachable, relaying calls through peers', { error });
     this._probe();
   }
@@ -210,8 +210,8 @@
       if (stopped.aborted) return;
       void this._direct.get(PROBE_KEY, Deadline.after(clock, PROBE_TIMEOUT_MS)).then(result => {
         if (!result.ok) return this._probe();
-        this._isFailing = false;
-        this._reachedMs = clock.nowMs();
+        this._isRelaying = false;
+        this._lastReachedMs = clock.nowMs();
         this._context.log.info('store directly reachable again');
       });
     });
--- a/packages/gateway/src/retirement.ts
+++ b/packages/gateway/src/retirement.ts
@@ -1,7 +1,7 @@
 /**
  * Acknowledges an operator's request to drain a storage host.
  *
- * All durable data is in the platform's store, so that a storage host has nothing to drain and the request is completed at
+ * All durable data is in the platform's store, so a storage host has nothing to drain: the request is completed at
  * once.
  */
 import { Deadline, sleep, type Clock } from '@fuchsiahitch/base';
@@ -69,10 +69,13 @@
   private async _acknowledge(version: number): Promise<boolean> {
     const { statusKey, completedValue } = this._record;
     const put = { kind: 'put', key: statusKey, value: completedValue } as const;
-    const done = await this._store.transact([], [put], this._deadline());
-    this._log.info('retirement', { outcome: done.ok ? 'completed' : done.error, requestRevision: version });
-    if (done.ok) this._acknowledged.add(version);
-    return done.ok;
+    const result = await this._store.transact([], [put], this._deadline());
+    this._log.info('retirement acknowledgement', {
+      outcome: result.ok ? 'completed' : result.error,
+      requestRevision: version,
+    });
+    if (result.ok) this._acknowledged.add(version);
+    return result.ok;
   }
 
   private _deadline(): Deadline {
--- a/packages/gateway/src/sharedWatch.ts
+++ b/packages/gateway/src/sharedWatch.ts
@@ -1,8 +1,8 @@
 /**
  * Shares one store watch among the hosts of a failure domain, to bound the number of store calls in large fleets.
  *
- * The host with the lowest identifier watches the store. The other hosts follow it, with one call at a time for all prefixes.
- * A follower watches the store itself for a while if the watching host does not respond or has a stale view.
+ * The host with the lowest identifier watches the store. The other hosts follow it, with one call at a time for all
+ * prefixes. A follower watches the store itself for a while if the watching host does not respond or has a stale view.
  */
 import { sleep, type Deadline, type Result } from '@fuchsiahitch/base';
 import type { Changes, Snapshot, StoreError } from '@fuchsiahitch/clients';
@@ -72,7 +72,7 @@
 
   private _feed(prefix: string): WatchFeed {
     const feed = this._feeds.get(prefix);
-    if (!feed) throw new Error(`no watch of '${prefix}'`);
+    if (!feed) throw new Error(`prefix '${prefix}' is not a watched prefix`);
     return feed;
   }
 
@@ -98,7 +98,7 @@
     const timeoutMs = FOLLOW_WAIT_MS + FOLLOW_SLACK_MS;
     const reply = await this._hosts?.call(host.address, followCall, request, timeoutMs);
     if (reply?.ok && reply.value.kind === 'changes') {
-      this._setSource(host.hostId, 'watches the store');
+      this._setSource(host.hostId, 'that host watches the store');
       this._applyChanges(after, reply.value.changes);
       return true;
     }
@@ -180,7 +180,7 @@
   private _wakeFollowers(): void {
     const waiters = this._waiters;
     this._waiters = [];
-    for (const run of waiters) run();
+    for (const wake of waiters) wake();
   }
 
   /** Resolves on the next change, or after the time. */
--- a/packages/gateway/src/storeLease.ts
+++ b/packages/gateway/src/storeLease.ts
@@ -90,7 +90,7 @@
     while (!stopped.aborted && !this._isReleased) {
       const waitMs = this._leaseId === undefined ? this._holder.acquireDelayMs() : 0;
       if (waitMs > 0) {
-        await this._idle(waitMs);
+        await this._waitToAcquire(waitMs);
         continue;
       }
       const isHeld = this._leaseId === undefined ? await this._acquire() : await this._renew(this._leaseId);
@@ -99,7 +99,7 @@
   }
 
   /** Resolves after the time, on `recheck`, or when the process stops. */
-  private async _idle(waitMs: number): Promise<void> {
+  private async _waitToAcquire(waitMs: number): Promise<void> {
     const { clock, stopped } = this._context;
     await new Promise<void>(resolve => {
       const end = (): void => {
@@ -121,14 +121,14 @@
     const compares = this._isExclusive ? [{ key: this._key, version: 0 }] : [];
     const put = { kind: 'put', key: this._key, value: this._holder.value(), leaseId: lease.value } as const;
     const writes = [put, ...(this._holder.extraWrites?.() ?? [])];
-    const done = await this._store.transact(compares, writes, this._deadline());
-    if (!done.ok || !done.value.succeeded) {
+    const result = await this._store.transact(compares, writes, this._deadline());
+    if (!result.ok || !result.value.succeeded) {
       // The write may have succeeded although its answer was lost: ending the lease removes the key.
       await this._store.endLease(lease.value, this._deadline());
       return false;
     }
     this._leaseId = lease.value;
-    this._token = done.value.version;
+    this._token = result.value.version;
     this._holder.held(this._token, sentMs);
     return true;
   }
--- a/packages/gateway/src/storeMirror.ts
+++ b/packages/gateway/src/storeMirror.ts
@@ -1,8 +1,8 @@
 /**
  * Local copy of one prefix of the store, updated by a watch.
  *
- * Every watch has a time-out. The prefix is read completely if the store has compacted the changes since the last revision.
- * The last view is retained while the store is unreachable.
+ * Every watch has a time-out. The prefix is read completely if the store has compacted the changes since the last
+ * revision. The last view is retained while the store is unreachable.
  */
 import { Deadline, sleep } from '@fuchsiahitch/base';
 import type { RevisionedStore, StoredValue } from '@fuchsiahitch/clients';
--- a/packages/gateway/src/storeRelayMessages.ts
+++ b/packages/gateway/src/storeRelayMessages.ts
@@ -4,9 +4,9 @@
 import { defineCall } from '@fuchsiahitch/protocol';
 import * as z from 'zod';
 
-const count = z.number().int().min(0);
+const nonNegativeInteger = z.number().int().min(0);
 
-const compareSchema = z.strictObject({ key: z.string(), version: count }).readonly();
+const compareSchema = z.strictObject({ key: z.string(), version: nonNegativeInteger }).readonly();
 const writeSchema = z.discriminatedUnion('kind', [
   z
     .strictObject({
@@ -28,7 +28,7 @@
   z.strictObject({
     call: z.literal('changes'),
     prefix: z.string(),
-    afterRevision: count,
+    afterRevision: nonNegativeInteger,
     waitMs: z.number(),
     timeoutMs,
   }),
@@ -68,16 +68,16 @@
 
 /** Requests the changes under each prefix after its revision from the host that watches the store for a domain. */
 export const followRequestSchema = z
-  .strictObject({ after: z.record(z.string(), count).readonly(), waitMs: z.number() })
+  .strictObject({ after: z.record(z.string(), nonNegativeInteger).readonly(), waitMs: z.number() })
   .readonly();
 export type FollowRequest = z.infer<typeof followRequestSchema>;
 
 const watchEventSchema = z
-  .strictObject({ key: z.string(), value: z.string().optional(), version: count })
+  .strictObject({ key: z.string(), value: z.string().optional(), version: nonNegativeInteger })
   .transform(event => ({ ...event, value: event.value }))
   .readonly();
 const changesSchema = z
-  .strictObject({ events: z.array(watchEventSchema).readonly(), revision: count })
+  .strictObject({ events: z.array(watchEventSchema).readonly(), revision: nonNegativeInteger })
   .readonly();
 
 /** `not-watching`: the host follows another host, its view is stale, or it no longer retains the requested changes. */
--- a/packages/gateway/src/usageRecords.ts
+++ b/packages/gateway/src/usageRecords.ts
@@ -1,8 +1,8 @@
 /**
  * Store records of the usage reports: the content of each window and the progress of the reports.
  *
- * The content of a window is decided and stored before it is first sent, so that a successor of a failed reporter sends the
- * same content again.
+ * The content of a window is decided and stored before it is first sent, so that a successor of a failed reporter sends
+ * the same content again.
  */
 import { Deadline, err, ok, type Result } from '@fuchsiahitch/base';
 import { KEY_ROOT } from '@fuchsiahitch/batches';
@@ -60,8 +60,8 @@
   }
 
   /**
-   * Decides the content of a window if the progress is still at `revision`; returns the earlier decision if there is one. The
-   * check of the revision prevents a delayed write from deciding a settled window again.
+   * Decides the content of a window if the progress is still at `revision`; returns the earlier decision if there is
+   * one. The check of the revision prevents a delayed write from deciding a settled window again.
    */
   async decide(
     report: UsageReport,
@@ -73,9 +73,9 @@
       { key: SETTLED_KEY, version: revision },
     ];
     const put = { kind: 'put', key, value: JSON.stringify(report) } as const;
-    const done = await this._store.transact(compares, [put], this._deadline());
-    if (!done.ok) return err('out-of-reach');
-    if (done.value.succeeded) return ok(report);
+    const result = await this._store.transact(compares, [put], this._deadline());
+    if (!result.ok) return err('out-of-reach');
+    if (result.value.succeeded) return ok(report);
     const stored = await this._store.get(key, this._deadline());
     if (!stored.ok) return err('out-of-reach');
     const first = stored.value ? decodeUsageReport(stored.value.value) : undefined;
@@ -83,8 +83,8 @@
   }
 
   /**
-   * Stores undecided usage for a successor, since terminated processes and this one cannot resend theirs. Returns false if it
-   * could not be written.
+   * Stores undecided usage for a successor, since terminated processes and this one cannot resend theirs. Returns false
+   * if it could not be written.
    */
   async storePending(text: string, revision: number): Promise<boolean> {
     const compares = [{ key: SETTLED_KEY, version: revision }];
@@ -93,7 +93,7 @@
     return done.ok && done.value.succeeded;
   }
 
-  /** Stores the progress; `revision` is 0 for the first record. `progressed`: another reporter has stored progress since. */
+  /** Stores the progress; `revision` is 0 for the first record. `progressed`: another reporter stored it since. */
   async settle(window: number, revision: number): Promise<Result<number, 'progressed' | 'out-of-reach'>> {
     const compares = [{ key: SETTLED_KEY, version: revision }];
     const writes = [
--- a/packages/gateway/src/usageReporter.ts
+++ b/packages/gateway/src/usageReporter.ts
@@ -1,9 +1,9 @@
 /**
  * Duty that reports usage to the platform, once per window.
  *
- * The content of a window is decided when every recently busy host has marked the window final, or when only the time to send
- * the report is left. The report is sent with the same content until it is answered. Usage received after the decision is lost
- * and logged.
+ * The content of a window is decided when every recently busy host has marked the window final, or when only the time
+ * to send the report is left. The report is sent with the same content until it is answered. Usage received after the
+ * decision is lost and logged.
  */
 import type { Result } from '@fuchsiahitch/base';
 import type { RevisionedStore } from '@fuchsiahitch/clients';
@@ -81,7 +81,7 @@
   private _pausedUntilMs = -Infinity;
   private _isBusy = false;
   private _storedText = '';
-  private _storeAtMs = -Infinity;
+  private _nextStoreMs = -Infinity;
   private _failures = 0;
 
   constructor(context: GatewayContext, ports: UsagePorts, options: UsageReporterOptions) {
@@ -185,8 +185,8 @@
   /** Stores the undecided usage for a successor. If it is too large, stores only that of this process. */
   private async _storePending(revision: number): Promise<void> {
     const nowMs = this._context.clock.nowMs();
-    if (nowMs < this._storeAtMs) return;
-    this._storeAtMs = nowMs + STORE_INTERVAL_MS;
+    if (nowMs < this._nextStoreMs) return;
+    this._nextStoreMs = nowMs + STORE_INTERVAL_MS;
     const all = JSON.stringify(this._ledger.undecided());
     const text = all.length <= MAX_STORED_CHARS ? all : JSON.stringify(this._ownUsage());
     if (text === this._storedText || text.length > MAX_STORED_CHARS) return;
@@ -242,9 +242,9 @@
     const fencingToken = this._duty.token();
     if (fencingToken === undefined || !this._duty.canActOn(SUBJECT)) return 'not-holder';
     this._duty.recordActionOn(SUBJECT, this._context.clock.nowMs() + CONNECT_TIMEOUT_MS);
-    const act = { holder: this._context.hostId, fencingToken };
+    const dutyHolder = { holder: this._context.hostId, fencingToken };
     const timeouts = { connectMs: CONNECT_TIMEOUT_MS, answerMs: ANSWER_TIMEOUT_MS };
-    return this._ports.duties.reportUsage(act, report, timeouts);
+    return this._ports.duties.reportUsage(dutyHolder, report, timeouts);
   }
 
   private async _settle(window: number, revision: number): Promise<boolean> {
@@ -290,14 +290,14 @@
   }
 
   private _logSent(report: UsageReport, answer: DutyAnswer): void {
-    const lateMs = this._trueMs() - windowEndMs(report.window, this._options.windowMs);
+    const sinceEndMs = this._trueMs() - windowEndMs(report.window, this._options.windowMs);
     this._context.metrics.duties.inc({ duty: SUBJECT, answer });
     this._context.log.info('usage report', {
       window: report.window,
       answer,
       requests: totalOf(report.counts),
       accounts: Object.keys(report.counts).length,
-      sinceEndMs: Math.round(lateMs),
+      sinceEndMs: Math.round(sinceEndMs),
     });
   }
 
--- a/packages/gateway/src/usageSender.ts
+++ b/packages/gateway/src/usageSender.ts
@@ -1,9 +1,9 @@
 /**
  * Sends the usage counted by this host to the host that reports it to the platform.
  *
- * Idle hosts send nothing. New counts are sent within about a second, to limit the loss when a host fails, and each window is
- * marked final once it cannot grow, so that the reporter need not wait for this host. A message carries the complete counts of
- * its windows and may therefore be lost or repeated.
+ * Idle hosts send nothing. New counts are sent within about a second, to limit the loss when a host fails, and each
+ * window is marked final once it cannot grow, so that the reporter need not wait for this host. A message carries the
+ * complete counts of its windows and may therefore be lost or repeated.
  */
 import { err, ok, type CancelTimer, type Result } from '@fuchsiahitch/base';
 import { isSameOwner, type Owner } from '@fuchsiahitch/batches';
@@ -52,8 +52,8 @@
   private readonly _receiveLocally: ReceiveUsage;
   private readonly _pauses: PauseDetector;
   /** Time of the next message; Infinity if none is scheduled. */
-  private _dueMs = Infinity;
-  private _cancel: CancelTimer = () => undefined;
+  private _nextSendMs = Infinity;
+  private _cancelNextSend: CancelTimer = () => undefined;
   private _reporter: Owner | undefined;
   /** Outcome of the last failed attempt, so that repeated failures are logged once. */
   private _lastFailure: string | undefined;
@@ -122,11 +122,11 @@
   private _scheduleSend(delayMs: number): void {
     const { clock, stopped } = this._context;
     const dueMs = clock.nowMs() + Math.max(0, delayMs);
-    if (dueMs >= this._dueMs || this._isSending || stopped.aborted) return;
-    this._cancel();
-    this._dueMs = dueMs;
-    this._cancel = clock.after(Math.max(0, delayMs), () => {
-      this._dueMs = Infinity;
+    if (dueMs >= this._nextSendMs || this._isSending || stopped.aborted) return;
+    this._cancelNextSend();
+    this._nextSendMs = dueMs;
+    this._cancelNextSend = clock.after(Math.max(0, delayMs), () => {
+      this._nextSendMs = Infinity;
       void this._runSend();
     });
   }
--- a/packages/gateway/src/watchFeed.ts
+++ b/packages/gateway/src/watchFeed.ts
@@ -15,7 +15,7 @@
   readonly waitMs: number;
   /** Age of the last answer above which the buffer is not served to followers. */
   readonly validMs: number;
-  /** Extracts the part of a value that matters; writes that leave it unchanged are dropped. Default: the complete value. */
+  /** Extracts the significant part of a value; writes that don't change it are dropped. Default: the complete value. */
   readonly significantPart?: (value: string) => string;
 }
 
@@ -27,8 +27,8 @@
   /** `_events` holds all significant changes after `_fromRevision` up to `_revision`. */
   private _fromRevision = Infinity;
   private _revision = 0;
-  private _updatedMs = -Infinity;
-  private _changedMs = -Infinity;
+  private _lastAnswerMs = -Infinity;
+  private _lastChangeMs = -Infinity;
 
   constructor(watched: WatchedPrefix) {
     this.watched = watched;
@@ -41,20 +41,20 @@
 
   /** How long the buffer remains fresh; 0 or less if it is stale. */
   freshForMs(nowMs: number): number {
-    return this._updatedMs + this.watched.validMs - nowMs;
+    return this._lastAnswerMs + this.watched.validMs - nowMs;
   }
 
   /**
-   * How long the next watch may wait for a change. Excludes the time since the last answer, so that the spacing does not make
-   * the buffer stale.
+   * How long the next watch may wait for a change. Excludes the time since the last answer, so that the spacing does
+   * not make the buffer stale.
    */
   waitMs(nowMs: number): number {
-    return Math.max(MIN_WAIT_MS, this.watched.waitMs - Math.max(0, nowMs - this._updatedMs));
+    return Math.max(MIN_WAIT_MS, this.watched.waitMs - Math.max(0, nowMs - this._lastAnswerMs));
   }
 
   /** Remaining delay before the next call to the store. */
   spacingLeftMs(nowMs: number): number {
-    return this._changedMs + this.watched.spacingMs - nowMs;
+    return this._lastChangeMs + this.watched.spacingMs - nowMs;
   }
 
   /** Resets the buffer after a complete read of the prefix. */
@@ -62,7 +62,7 @@
     this._significantParts.clear();
     for (const { key, value } of items) this._isSignificant(key, value);
     this._resetTo(revision);
-    this._updatedMs = nowMs;
+    this._lastAnswerMs = nowMs;
   }
 
   /** Applies changes that follow a revision; returns true if any of them is significant. */
@@ -77,8 +77,8 @@
     const surplus = this._events.splice(0, Math.max(0, this._events.length - MAX_EVENTS));
     this._fromRevision = surplus.at(-1)?.version ?? this._fromRevision;
     this._revision = Math.max(previous, changes.revision);
-    this._updatedMs = nowMs;
-    if (changes.events.length > 0) this._changedMs = nowMs;
+    this._lastAnswerMs = nowMs;
+    if (changes.events.length > 0) this._lastChangeMs = nowMs;
     return significant.length > 0;
   }
 
--- a/packages/gateway/src/watchedPrefixes.ts
+++ b/packages/gateway/src/watchedPrefixes.ts
@@ -1,9 +1,9 @@
 /**
  * Store prefixes that every host watches, with their timing.
  *
- * Configuration changes and leaving endpoints must reach all hosts within two seconds, even if the watching host of a domain
- * fails or loses the store at that time: its followers notice after `validMs` and one request. The end of a host is learned from
- * a lease of two seconds, so that additional spacing is acceptable there.
+ * Configuration changes and leaving endpoints must reach all hosts within two seconds, even if the watching host of a
+ * domain fails or loses the store at that time: its followers notice after `validMs` and one request. The end of a host
+ * is learned from a lease of two seconds, so that additional spacing is acceptable there.
  */
 import { LIVE_PREFIX } from './hostDirectory.js';
 import type { RecordDecoder, RecordKeys } from './ports.js';
--- a/packages/gateway/src/weightOrders.ts
+++ b/packages/gateway/src/weightOrders.ts
@@ -1,7 +1,8 @@
 /**
  * Weight orders to the endpoints of one failure domain, sent by the host that holds the domain's lease.
  *
- * Each failure domain has its own lease, so that an isolated domain or a failed host stops the orders of one domain only.
+ * Each failure domain has its own lease, so that an isolated domain or a failed host stops the orders of one domain
+ * only.
  */
 import type { RevisionedStore } from '@fuchsiahitch/clients';
 import {
@@ -64,7 +65,7 @@
   private readonly _duty: DutyLease;
   private readonly _planners = new Map<string, SwapPlanner>();
   private readonly _windows = new Map<string, LoadWindow>();
-  private readonly _busy = new Set<string>();
+  private readonly _busyEndpoints = new Set<string>();
 
   /** `domain`: failure domain whose endpoints are ordered. */
   constructor(context: GatewayContext, ports: OrderPorts, domain: string, options: WeightOrdersOptions) {
@@ -128,9 +129,14 @@
   }
 
   /** Updates the planner of the model; returns the load states of the endpoints of its share. */
-  private _loadsOf(pool: string, model: string, named: number, share: readonly Endpoint[]): ModelLoads {
+  private _loadsOf(
+    pool: string,
+    model: string,
+    targetVersion: number,
+    share: readonly Endpoint[],
+  ): ModelLoads {
     const planner = this._planner(pool, model);
-    planner.setTarget({ pool, version: named, sequence: named, share: 1 });
+    planner.setTarget({ pool, version: targetVersion, sequence: targetVersion, share: 1 });
     for (const endpoint of share)
       if (endpoint.domain === this._domain) this._updatePlanner(planner, endpoint, model);
     for (const id of planner.dueForReadBack()) void this._readBack(id, model);
@@ -138,22 +144,22 @@
       id: endpoint.id,
       version: endpoint.expectedVersionOf(model),
       load: endpoint.stats.estimatedLoad(),
-      acceptsOrders: this._takesOrders(endpoint),
+      acceptsOrders: this._acceptsOrders(endpoint),
     }));
-    return { model, namedVersion: named, candidates };
+    return { model, namedVersion: targetVersion, candidates };
   }
 
   private _orderLoad(pool: string, load: DueLoad, token: number): void {
     const endpoint = this._ports.endpoints.get(load.id);
     if (endpoint?.domain !== this._domain) return;
     const planner = this._planner(pool, load.model);
-    const isUsable = !this._busy.has(endpoint.id);
+    const isUsable = !this._busyEndpoints.has(endpoint.id);
     for (const order of planner.next([{ id: endpoint.id, isUsable }], token))
       this._duty.track(this._sendOrder(order, load.model, planner));
   }
 
   /** Returns false for an endpoint that is loading, or whose domain has no holder that may order it now. */
-  private _takesOrders(endpoint: Endpoint): boolean {
+  private _acceptsOrders(endpoint: Endpoint): boolean {
     if (endpoint.isLoading()) return false;
     const { domain } = endpoint;
     return domain === this._domain
@@ -189,10 +195,10 @@
 
   private async _sendOrder(order: WeightOrder, model: string, planner: SwapPlanner): Promise<void> {
     const endpoint = this._ports.endpoints.get(order.endpointId);
-    if (!endpoint || this._busy.has(endpoint.id)) return;
-    this._busy.add(endpoint.id);
+    if (!endpoint || this._busyEndpoints.has(endpoint.id)) return;
+    this._busyEndpoints.add(endpoint.id);
     const answer = await this._tryOrder(endpoint, order, model);
-    this._busy.delete(endpoint.id);
+    this._busyEndpoints.delete(endpoint.id);
     const isSent = answer === 'accepted' || answer === 'unknown' || answer === 'refused';
     if (!isSent) this._pauseOrders(endpoint.id);
     this._context.metrics.orders.inc({ answer });
@@ -206,8 +212,8 @@
 
   /** Suspends orders to an endpoint that is busy or did not respond. */
   private _pauseOrders(endpointId: string): void {
-    this._busy.add(endpointId);
-    this._context.clock.after(ORDER_PAUSE_MS, () => this._busy.delete(endpointId));
+    this._busyEndpoints.add(endpointId);
+    this._context.clock.after(ORDER_PAUSE_MS, () => this._busyEndpoints.delete(endpointId));
   }
 
   /** Reads the endpoint's report first, since it may have the version already. */
@@ -242,10 +248,10 @@
 
   private async _readBack(endpointId: string, model: string): Promise<void> {
     const endpoint = this._ports.endpoints.get(endpointId);
-    if (!endpoint || this._busy.has(endpointId)) return;
-    this._busy.add(endpointId);
+    if (!endpoint || this._busyEndpoints.has(endpointId)) return;
+    this._busyEndpoints.add(endpointId);
     const report = await this._ports.client.report(endpoint.info(), REPORT_TIMEOUT_MS);
-    this._busy.delete(endpointId);
+    this._busyEndpoints.delete(endpointId);
     if (!report || !this._isSameStart(endpoint, report)) return;
     const version = report.versions.get(model);
     if (version !== undefined) this._onVersionSeen(endpoint, model, version);
--- a/tests/crashingEndpoints.ts
+++ b/tests/crashingEndpoints.ts
@@ -45,13 +45,13 @@
   readonly crashes: ReceivedRequest[] = [];
   /** Selects the calls that crash their endpoint. */
   isPoison: (call: { readonly target: string; readonly body: Buffer | undefined }) => boolean = () => false;
-  private readonly _world: CrashingEndpointsEnvironment;
+  private readonly _environment: CrashingEndpointsEnvironment;
   private readonly _byAddress = new Map<string, LiveEndpoint>();
   private _starts = 0;
 
-  constructor(world: CrashingEndpointsEnvironment) {
-    this._world = world;
-    const { client } = world;
+  constructor(environment: CrashingEndpointsEnvironment) {
+    this._environment = environment;
+    const { client } = environment;
     client.reply = (call, signal) => this._send(call, signal);
     client.ended = info => this._liveInstance(info) === undefined;
     client.runItem = (call, listener, signal) => this._runItem(call, listener, signal);
@@ -88,15 +88,15 @@
     const id = `e${this._starts}`;
     this._byAddress.set(address, { id, address, pool, running: new Set() });
     const record = { address, pool, slots: 6, domain: `domain-${this._starts % 3}` };
-    this._world.store.put(`${keys.endpointPrefix}${id}`, endpointRecord(record));
+    this._environment.store.put(`${keys.endpointPrefix}${id}`, endpointRecord(record));
   }
 
   private _crash({ id, address, pool, running }: LiveEndpoint, target: string): void {
-    const { clock, store } = this._world;
+    const { clock, store } = this._environment;
     if (this._byAddress.get(address)?.id !== id) return;
     this._byAddress.delete(address);
     this.crashes.push({ atMs: clock.nowMs(), target, endpointId: id });
-    for (const breakOff of [...running]) breakOff();
+    for (const breakRequest of [...running]) breakRequest();
     clock.after(RESTART_AFTER_MS, () => this._start(address, pool));
     clock.after(RECORD_EXPIRY_MS, () => store.remove(`${keys.endpointPrefix}${id}`));
   }
@@ -114,14 +114,14 @@
     signal: AbortSignal,
   ): Promise<'done' | 'broken' | 'cancelled'> {
     return new Promise(resolve => {
-      const end = (how: 'done' | 'broken' | 'cancelled'): void => {
+      const end = (outcome: 'done' | 'broken' | 'cancelled'): void => {
         cancel();
-        endpoint.running.delete(breakOff);
-        resolve(how);
+        endpoint.running.delete(breakRequest);
+        resolve(outcome);
       };
-      const breakOff = (): void => end('broken');
-      const cancel = this._world.clock.after(durationMs, () => end('done'));
-      endpoint.running.add(breakOff);
+      const breakRequest = (): void => end('broken');
+      const cancel = this._environment.clock.after(durationMs, () => end('done'));
+      endpoint.running.add(breakRequest);
       signal.addEventListener('abort', () => end('cancelled'));
     });
   }
@@ -134,15 +134,15 @@
     signal: AbortSignal,
   ): Promise<'done' | 'broken' | 'cancelled'> {
     this.received.push({
-      atMs: this._world.clock.nowMs(),
+      atMs: this._environment.clock.nowMs(),
       target: call.target,
       endpointId: endpoint.id,
     });
     if (!this.isPoison(call)) return this._run(endpoint, durationMs, signal);
-    const cancel = this._world.clock.after(CRASH_AFTER_MS, () => this._crash(endpoint, call.target));
-    const how = await this._run(endpoint, 2 * CRASH_AFTER_MS, signal);
+    const cancel = this._environment.clock.after(CRASH_AFTER_MS, () => this._crash(endpoint, call.target));
+    const outcome = await this._run(endpoint, 2 * CRASH_AFTER_MS, signal);
     cancel();
-    return how;
+    return outcome;
   }
 
   private async _send(call: EndpointCall, signal: AbortSignal): Promise<EndpointReply> {
@@ -151,9 +151,9 @@
       await this._pause(CONNECTION_REFUSED_MS);
       return { kind: 'not-run', reason: 'unreachable', load: undefined };
     }
-    const how = await this._runOrCrash(endpoint, call, ANSWER_AFTER_MS, signal);
-    if (how === 'broken') return { kind: 'broken', text: 'reset' };
-    return how === 'done' ? { kind: 'answered', answer: answer(200, 'whole') } : { kind: 'cancelled' };
+    const outcome = await this._runOrCrash(endpoint, call, ANSWER_AFTER_MS, signal);
+    if (outcome === 'broken') return { kind: 'broken', text: 'reset' };
+    return outcome === 'done' ? { kind: 'answered', answer: answer(200, 'whole') } : { kind: 'cancelled' };
   }
 
   private async _runItem(
@@ -167,9 +167,9 @@
       return { kind: 'not-run', reason: 'unreachable' };
     }
     if (!listener.began(1, undefined)) return { kind: 'cancelled' };
-    const how = await this._runOrCrash(endpoint, call, ANSWER_AFTER_MS, signal);
-    if (how === 'broken') return { kind: 'broken', text: 'reset' };
-    if (how === 'cancelled') return { kind: 'cancelled' };
+    const outcome = await this._runOrCrash(endpoint, call, ANSWER_AFTER_MS, signal);
+    if (outcome === 'broken') return { kind: 'broken', text: 'reset' };
+    if (outcome === 'cancelled') return { kind: 'cancelled' };
     for (let number = call.afterEvent + 1; number <= EVENTS_PER_ITEM; number++)
       if (!listener.event({ number, text: `${call.itemId}-${number}`, version: 1 }))
         return { kind: 'cancelled' };
@@ -178,7 +178,7 @@
 
   private async _pause(durationMs: number): Promise<void> {
     await new Promise<void>(resolve => {
-      this._world.clock.after(durationMs, resolve);
+      this._environment.clock.after(durationMs, resolve);
     });
   }
 }
--- a/tests/dutyStandIn.ts
+++ b/tests/dutyStandIn.ts
@@ -5,11 +5,14 @@
 import type { CapacityOrder, DutyHolder, DutyAnswer, PlatformDuties } from '@fuchsiahitch/gateway';
 import { totalOf, type UsageReport } from '@fuchsiahitch/metering';
 
-/** `late`: not answered, and executed seconds later, as the platform may do with any call. */
+/**
+ * How calls are answered. `away`: no connection. `silent`: neither executed nor answered. `lost`: executed, but not
+ * answered. `late`: not answered, and executed seconds later, as the platform may do with any call.
+ */
 export type DutyMode = 'well' | 'silent' | 'busy' | 'away' | 'lost' | 'late';
 
-const ANSWER_MS = 2;
-const SILENT_MS = 1500;
+const ANSWER_DELAY_MS = 2;
+const UNANSWERED_MS = 1500;
 
 interface Arrival extends DutyHolder {
   readonly hostId: string;
@@ -25,7 +28,7 @@
   readonly arrivals: Arrival[] = [];
   /** Violations of the rules of duties. */
   readonly broken: string[] = [];
-  /** No endpoints are left to order. */
+  /** Refuses all calls, as when no endpoints are left to order. */
   isSoldOut = false;
   lateMs = 3000;
   private readonly _clock: Clock;
@@ -39,8 +42,8 @@
   /** Returns the platform as seen from one host. */
   from(hostId: string): PlatformDuties {
     return {
-      reportUsage: (act, report) => this._call(hostId, act, () => this._recordReport(report)),
-      orderCapacity: (act, order) => this._call(hostId, act, () => this.orders.push(order)),
+      reportUsage: (holder, report) => this._call(hostId, holder, () => this._recordReport(report)),
+      orderCapacity: (holder, order) => this._call(hostId, holder, () => this.orders.push(order)),
     };
   }
 
@@ -48,23 +51,23 @@
     return [...this.reports.values()].reduce((sum, report) => sum + totalOf(report.counts), 0);
   }
 
-  private async _call(hostId: string, act: DutyHolder, execute: () => void): Promise<DutyAnswer> {
-    await sleep(this._clock, ANSWER_MS);
+  private async _call(hostId: string, holder: DutyHolder, execute: () => void): Promise<DutyAnswer> {
+    await sleep(this._clock, ANSWER_DELAY_MS);
     const mode = this.unreachableFrom.has(hostId) ? 'away' : this.mode;
     if (mode === 'away') return 'unreached';
     if (mode === 'late') return this._executeLate(execute);
-    this._checkRules({ ...act, hostId, atMs: this._clock.nowMs() });
+    this._checkRules({ ...holder, hostId, atMs: this._clock.nowMs() });
     if (mode === 'busy') return 'busy';
     if (this.isSoldOut) return 'refused';
     if (mode !== 'silent') execute();
     if (mode === 'well') return 'accepted';
-    await sleep(this._clock, SILENT_MS);
+    await sleep(this._clock, UNANSWERED_MS);
     return 'unknown';
   }
 
   private async _executeLate(execute: () => void): Promise<DutyAnswer> {
     this._clock.after(this.lateMs, execute);
-    await sleep(this._clock, SILENT_MS);
+    await sleep(this._clock, UNANSWERED_MS);
     return 'unknown';
   }
 
@@ -75,7 +78,7 @@
     this.reports.set(report.window, before ?? report);
   }
 
-  /** Checks that tokens never decrease and belong to one host, and that hosts don't alternate within the bound. */
+  /** Checks that tokens never decrease, belong to one host each, and that hosts don't alternate within the bound. */
   private _checkRules(arrival: Arrival): void {
     const { hostId, fencingToken, atMs } = arrival;
     const highest = Math.max(0, ...this.arrivals.map(other => other.fencingToken));
--- a/tests/eventLoopLag.spec.ts
+++ b/tests/eventLoopLag.spec.ts
@@ -152,7 +152,7 @@
   const items = Array.from({ length: 144 }, (_, i) => item(`x${i}`));
   await world.until(host.batches.submit(batch('b1', items), Deadline.after(world.clock, 1000)));
   // Each advance is one iteration of the event loop.
-  for (let turn = 0; turn < 10; turn++) await world.clock.advance(1);
+  for (let iteration = 0; iteration < 10; iteration++) await world.clock.advance(1);
   t.equal(streams.startedRuns, 144, 'without a noticeable delay');
   t.ok(mostInIteration <= 16, `${mostInIteration} in one iteration`);
   world.stop();
--- a/tests/eventLoopLagPeers.spec.ts
+++ b/tests/eventLoopLagPeers.spec.ts
@@ -199,8 +199,8 @@
 await tap.test(
   'should accept a connection with a delayed handshake and send no expired call on it',
   async t => {
-    // Guards against a connection time-out that takes effect before an arrived handshake is read, and against sending calls
-    // whose deadline has passed.
+    // Guards against a connection time-out that takes effect before an arrived handshake is read, and against sending
+    // calls whose deadline has passed.
     const clock = new VirtualClock();
     const peer = new Peer(clock);
     const link = await peer.open();
--- a/tests/gateway.spec.ts
+++ b/tests/gateway.spec.ts
@@ -272,7 +272,7 @@
   world.store.put(`${keys.versionPrefix}m`, JSON.stringify({ model: 'm', version }));
 }
 
-await tap.test('should delay its first order until the former holder’s right has expired', async t => {
+await tap.test('should delay its first order until the previous holder’s lease has expired', async t => {
   // Guards against conflicting orders: a holder whose key was revoked may order until its lease would have expired.
   const world = await startOrders();
   publishVersion(world, 2);
@@ -353,7 +353,7 @@
   world.stop.abort();
 });
 
-await tap.test('should let one host of a failure domain hold the right to order', async t => {
+await tap.test('should let one host of a failure domain hold the lease on its orders', async t => {
   const first = await startOrders();
   await first.clock.advance(1000);
   const second = await startOrders(first.store, first.clock, 'b');
@@ -369,8 +369,8 @@
 });
 
 await tap.test('should resume most orders at once after a planned shutdown', async t => {
-  // Guards against steps without new weights after a planned restart. The hand-over record lists the endpoints that were
-  // ordered last, so the successor delays only their orders.
+  // Guards against steps without new weights after a planned restart. The hand-over record lists the endpoints that
+  // were ordered last, so the successor delays only their orders.
   const first = await startOrders();
   await first.clock.advance(6000);
   publishVersion(first, 2);
@@ -402,8 +402,8 @@
   second.stop.abort();
 });
 
-await tap.test('should not order again after releasing the right to order', async t => {
-  // Guards against a lease renewal whose response arrives after the release and restores the right to order.
+await tap.test('should not order again after releasing its lease', async t => {
+  // Guards against a lease renewal whose response arrives after the release and restores the lease.
   for (let phaseMs = 0; phaseMs < 500; phaseMs += 50) {
     const world = await startOrders();
     await world.clock.advance(6000);
@@ -506,7 +506,7 @@
   stop.abort();
 });
 
-await tap.test('should consider itself cut off only if no other failure domain responds', async t => {
+await tap.test('should consider itself isolated only if no other failure domain responds', async t => {
   // Guards against all hosts being unready during a store outage.
   const { clock, own, peer, store, stop } = startRelay();
   const context = testContext(clock);
--- a/tests/lookupRequests.ts
+++ b/tests/lookupRequests.ts
@@ -1,5 +1,5 @@
 /**
- * Lookup requests for gateway fleets, and the bounds that hosts must keep for poison requests.
+ * Lookup requests for gateway fleets, and the limits that hosts must observe for poison requests.
  */
 import { setMaxListeners } from 'node:events';
 import type { CallerRequest } from '@fuchsiahitch/gateway';
@@ -7,7 +7,7 @@
 
 /** Connected hosts must receive a terminated endpoint's mark within this time. */
 export const ANNOUNCEMENT_BOUND_MS = 3000;
-/** Sends of a request allowed later than that after its third terminated endpoint. */
+/** Maximum number of sends of a request later than `ANNOUNCEMENT_BOUND_MS` after its third terminated endpoint. */
 export const MAX_LATER_SENDS = 3;
 export const LOOKUP_ROUTE = route({
   run: 'idempotent',
--- a/tests/poisonCost.spec.ts
+++ b/tests/poisonCost.spec.ts
@@ -48,14 +48,14 @@
     for (let i = 0; i < 12; i++) endpoints.add('storefront');
     await fleet.start();
     await fleet.clock.advance(SETTLE_MS);
-    const sound = await costs(fleet);
+    const baseline = await costs(fleet);
     endpoints.isPoison = () => true;
-    const deadly = await costs(fleet);
+    const poisoned = await costs(fleet);
     fleet.stop();
-    const calls = deadly.storeCalls - sound.storeCalls;
-    const bytesAHost = deadly.peerBytes / hosts / MEASURED_S;
+    const calls = poisoned.storeCalls - baseline.storeCalls;
+    const bytesPerHost = poisoned.peerBytes / hosts / MEASURED_S;
     t.equal(endpoints.crashes.length, 3);
     t.ok(calls <= 10 + 6 * domains, `${calls} calls to the store`);
-    t.ok(bytesAHost <= 2000, `${Math.round(bytesAHost)} bytes a host and second`);
+    t.ok(bytesPerHost <= 2000, `${Math.round(bytesPerHost)} bytes a host and second`);
   });
 }
--- a/tests/poisonRequests.spec.ts
+++ b/tests/poisonRequests.spec.ts
@@ -59,7 +59,7 @@
     await fleet.clock.advance(1300);
   }
   const later = laterSends(endpoints, POISON_TARGET);
-  t.ok(later <= MAX_LATER_SENDS, `${later} sends too late, ${endpoints.crashes.length} ends in all`);
+  t.ok(later <= MAX_LATER_SENDS, `${later} late sends, ${endpoints.crashes.length} crashes in total`);
   fleet.stop();
 });
 
@@ -74,14 +74,14 @@
   await fleet.clock.advance(30_000);
   t.equal((await submitted)?.kind, 'accepted');
   const later = laterSends(endpoints, '/run/deadly');
-  t.ok(later <= MAX_LATER_SENDS, `${later} sends too late, ${endpoints.crashes.length} ends in all`);
+  t.ok(later <= MAX_LATER_SENDS, `${later} late sends, ${endpoints.crashes.length} crashes in total`);
   const read = await owner?.gateway.batches.read('b1', 0, 0);
   t.equal(read?.kind === 'page' && read.page.results.length, 6, 'the other items are complete');
   fleet.stop();
 });
 
 await tap.test('should serve other requests while a poison request crashes endpoints', async t => {
-  // Guards against refusing lookups while an endpoint lives, because refused connections count as attempts.
+  // Guards against refusing lookups although an endpoint runs, because refused connections count as attempts.
   const world = await startWorld();
   const { fleet, endpoints } = world;
   const outcomes: ForwardOutcome['kind'][] = [];
@@ -117,8 +117,8 @@
     endpoints.crashAll('storefront');
   }
   await fleet.clock.advance(1500);
-  const isAway = (atMs: number): boolean => endsMs.some(endMs => atMs > endMs - 100 && atMs < endMs + 2500);
-  const refused = outcomes.filter(({ atMs, kind }) => kind !== 'answered' && !isAway(atMs));
+  const isDown = (atMs: number): boolean => endsMs.some(endMs => atMs > endMs - 100 && atMs < endMs + 2500);
+  const refused = outcomes.filter(({ atMs, kind }) => kind !== 'answered' && !isDown(atMs));
   t.equal(endpoints.crashes.length, 12);
   t.same(refused, [], 'half a second after the restarts');
   fleet.stop();
@@ -196,7 +196,7 @@
     void send(world, turn, lookupRequest(`r${turn}`, POISON_TARGET));
     await fleet.clock.advance(1100);
   }
-  t.ok(endpoints.crashes.length <= 3, `${endpoints.crashes.length} endpoints ended`);
+  t.ok(endpoints.crashes.length <= 3, `${endpoints.crashes.length} endpoints crashed`);
   for (const host of fleet.hosts) host.storeClient.mode = 'well';
   await fleet.clock.advance(3000);
   const stored = fleet.store.keys('fuchsiahitch/live/poison/');
@@ -221,11 +221,11 @@
     else void forwarder?.stream(request, { ...LOOKUP_ROUTE, run: 'stream' }, sink, NEVER_ABORTED);
     await fleet.clock.advance(700);
   }
-  t.ok(endpoints.crashes.length <= 3, `${endpoints.crashes.length} endpoints ended`);
+  t.ok(endpoints.crashes.length <= 3, `${endpoints.crashes.length} endpoints crashed`);
   fleet.stop();
 });
 
-await tap.test('should keep a poison item’s marks when its owner dies', async t => {
+await tap.test('should keep a poison item’s marks when its owner is killed', async t => {
   const world = await startWorld('gen-pool', 8);
   const { fleet, endpoints } = world;
   endpoints.isPoison = call => call.target === '/run/deadly';
@@ -254,7 +254,7 @@
     await fleet.clock.advance(1000);
   }
   const later = laterSends(endpoints, POISON_TARGET);
-  t.ok(later <= MAX_LATER_SENDS, `${later} sends too late, ${endpoints.crashes.length} ends in all`);
+  t.ok(later <= MAX_LATER_SENDS, `${later} late sends, ${endpoints.crashes.length} crashes in total`);
   fleet.stop();
 });
 
--- a/tests/sockets.spec.ts
+++ b/tests/sockets.spec.ts
@@ -38,8 +38,8 @@
 await tap.test(
   'should not resend a request when a reused connection is reset after it was written',
   async t => {
-    // Guards against implicit retries in the HTTP library: the server ran the request before the reset, so a resend would
-    // run it twice.
+    // Guards against implicit retries in the HTTP library: the server ran the request before the reset, so a resend
+    // would run it twice.
     const server = await rawServer((run, socket) => {
       if (run === 1) socket.write(OK_ANSWER);
       else socket.resetAndDestroy();
