--- a/packages/gateway/src/configurationService.ts
+++ b/packages/gateway/src/configurationService.ts
@@ -20,6 +20,7 @@
  * that the caller may retry at another host, instead of denied, which is final.
  */
 const MAX_DENIAL_AGE_MS = 3000;
+/** Signals of state conditions, which the operators' rules don't have. */
 const noSignals = (): number => 0;
 
 export interface RoutedRequest {
--- a/packages/gateway/src/hostDirectory.ts
+++ b/packages/gateway/src/hostDirectory.ts
@@ -54,6 +54,7 @@
   isTerminated(owner: Owner): boolean;
   /** Returns true for a host of this host's failure domain. */
   isOwnDomain(hostId: string): boolean;
+  /** Returns true if the key exists in the last view of the store. */
   isHeld(key: string): boolean;
   /** Runs a callback whenever the key's holder may have changed, and after each complete read of the live hosts. */
   onKeyChange(key: string, callback: () => void): void;
