--- a/packages/gateway/src/forwarder.ts
+++ b/packages/gateway/src/forwarder.ts
@@ -165,7 +165,7 @@
         return {
           kind: 'not-run',
           reason: 'held: endpoints terminated while running it',
-          retryAfterMs: verdict.leftMs,
+          retryAfterMs: verdict.remainingMs,
         };
       case 'condemned':
         return { kind: 'rejected', reason: 'poison request: endpoints terminate while running it' };
@@ -177,7 +177,7 @@
     this._context.log.info('poison request withheld', {
       requestId: request.id,
       verdict: verdict.kind,
-      leftMs: verdict.kind === 'held' ? Math.round(verdict.leftMs) : undefined,
+      leftMs: verdict.kind === 'held' ? Math.round(verdict.remainingMs) : undefined,
       ...this._poison.detailsOf(request),
     });
   }
--- a/packages/requests/src/keyClient.ts
+++ b/packages/requests/src/keyClient.ts
@@ -1,6 +1,4 @@
-/**
- * The entry host's side of idempotency keys: sends claims and results to the owner of a key.
- */
+/** The entry host's side of idempotency keys: sends claims and results to the owner of a key. */
 import type { Deadline } from '@fuchsiahitch/base';
 import type { Claim, ClaimReply, Finish } from './keyMessages.js';
 import { homeDomain } from './slotMap.js';
@@ -8,9 +6,11 @@
 /** `unreachable`: no reply arrived. */
 export type ClaimResult = ClaimReply | { readonly kind: 'unreachable' };
 
-/** Transport to the owner of a key in a failure domain. */
+/** Sends messages to the owner of a key in a failure domain. */
 export interface KeyRoutes {
+  /** Resolves with undefined if no reply arrived. */
   claim(domain: string, claim: Claim, deadline: Deadline): Promise<ClaimReply | undefined>;
+  /** Resolves with true if the owner accepted the message. */
   finish(domain: string, finish: Finish): Promise<boolean>;
   /** Waits until this host may have received a newer slot map. */
   refresh(deadline: Deadline): Promise<void>;
@@ -20,7 +20,7 @@
 const MAX_FINISH_TRIES = 4;
 /** The maximum time that a resend waits for the first answer. */
 const MAX_WAIT_MS = 30_000;
-/** Reserved for returning the reply. */
+/** The part of the deadline that is reserved for returning the reply. */
 const RETURN_MARGIN_MS = 50;
 
 export class KeyClient {
