--- a/packages/gateway/src/reachabilityMonitor.ts
+++ b/packages/gateway/src/reachabilityMonitor.ts
@@ -1,11 +1,11 @@
 /**
  * Detects that this host is isolated from the store and from the hosts of all other failure domains.
  *
- * An isolated host reports that it is not ready, so that the load balancer sends its callers to other domains, whose hosts
- * take over its batches. If only the store is unreachable, the host remains ready, since other domains are affected as well.
+ * An isolated host reports not ready, so that the load balancer sends its callers to other domains, whose hosts take
+ * over its batches. If only the store is unreachable, the host remains ready, since other domains are affected as well.
  *
- * After a delay of the event loop, replies may have arrived that were not read. The monitor therefore reads pending I/O before
- * it considers the store or a round unanswered.
+ * After event loop lag, replies may have arrived without being read. Pending I/O is therefore read before the store or
+ * a round of probes counts as unanswered.
  */
 import { every, pendingIoRead } from '@fuchsiahitch/base';
 import type { GatewayContext } from './gatewayContext.js';
@@ -38,17 +38,17 @@
     every(this._context.clock, CHECK_INTERVAL_MS, this._context.stopped, () => this._check());
   }
 
-  isCutOff(): boolean {
+  isIsolated(): boolean {
     return this._failedRounds >= MAX_FAILED_ROUNDS;
   }
 
   private async _check(): Promise<void> {
     const isReached =
       (await this._isStoreReached()) || (await this._anyHostResponds()) || (await this._isStoreReached());
-    const wasCutOff = this.isCutOff();
+    const wasIsolated = this.isIsolated();
     this._failedRounds = isReached ? 0 : this._failedRounds + 1;
-    if (this.isCutOff() === wasCutOff) return;
-    const change = this.isCutOff() ? 'cut off' : 'connected';
+    if (this.isIsolated() === wasIsolated) return;
+    const change = this.isIsolated() ? 'isolated' : 'connected';
     this._context.log.warn('reach', {
       change,
       sinceStoreMs: Math.round(this._store.sinceReachedMs()),
