--- a/packages/entry/src/entryServices.ts
+++ b/packages/entry/src/entryServices.ts
@@ -125,7 +125,7 @@
       (sum, domain) => sum + services.membership.liveHostsOf(domain).length,
       0,
     );
-    services.budget.setHosts(hosts);
+    services.budget.setHostCount(hosts);
     await sleep(context.clock, BUDGET_SHARE_PERIOD_MS, context.stopped);
   }
 }
--- a/packages/entry/src/membershipService.ts
+++ b/packages/entry/src/membershipService.ts
@@ -5,7 +5,7 @@
 import {
   HostView,
   isWatcher,
-  LeavingEvidence,
+  LeavingEndpoints,
   memberDocumentSchema,
   type HostEntry,
   type LeavingNotice,
@@ -36,7 +36,7 @@
 
 export class MembershipService {
   readonly view: HostView;
-  readonly leaving: LeavingEvidence;
+  readonly leaving: LeavingEndpoints;
   private readonly _context: HostContext;
   private readonly _peers: PeerCaller;
   private readonly _list: MemberList;
@@ -49,7 +49,7 @@
   constructor(context: HostContext, peers: PeerCaller, list: MemberList, peersAddress: string) {
     const { hostId, incarnation, clock, random } = context;
     this.view = new HostView({ hostId, incarnation, address: peersAddress }, clock, random);
-    this.leaving = new LeavingEvidence(clock);
+    this.leaving = new LeavingEndpoints(clock);
     this._context = context;
     this._peers = peers;
     this._list = list;
@@ -136,7 +136,7 @@
       rulesRevision: this._revisionTracker?.rulesRevision() ?? 0,
       slotMapRevision: this._revisionTracker?.slotMapRevision() ?? 0,
       membersDigest: this._membersDigest,
-      leaving: this.leaving.recent().slice(0, 256),
+      leaving: this.leaving.recentNotices().slice(0, 256),
     };
   }
 
--- a/packages/gateway/src/usageReporter.ts
+++ b/packages/gateway/src/usageReporter.ts
@@ -9,7 +9,7 @@
 import type { RevisionedStore } from '@fuchsiahitch/clients';
 import { PauseDetector } from '@fuchsiahitch/duties';
 import {
-  ClockVote,
+  ClockEstimator,
   totalOf,
   UsageLedger,
   windowAt,
@@ -72,7 +72,7 @@
   private readonly _duty: DutyLease;
   private readonly _records: UsageRecords;
   private readonly _pauses: PauseDetector;
-  private readonly _clockVote = new ClockVote();
+  private readonly _clockEstimator = new ClockEstimator();
   private readonly _ledger = new UsageLedger();
   /** Progress of the reports; undefined until it was read from the store. */
   private _progress: { readonly settledUpTo: number; readonly revision: number } | undefined;
@@ -107,7 +107,7 @@
     if (!this._duty.isHolder()) return { kind: 'not-reporter' };
     this._checkPause();
     const { clock } = this._context;
-    this._clockVote.observe(update.hostId, update.wallMs, clock.nowMs());
+    this._clockEstimator.observe(update.hostId, update.wallMs, clock.nowMs());
     this._logLate(update);
     this._ledger.told(update);
     return { kind: 'taken', trueMs: this._trueMs(), decidedUpTo: this._decidedUpTo() };
@@ -305,11 +305,11 @@
   private _trueMs(): number {
     const { clock, hostId } = this._context;
     const nowMs = clock.nowMs();
-    this._clockVote.observe(hostId, clock.wallMs(), nowMs);
-    return nowMs + (this._clockVote.offsetMs(nowMs) ?? clock.wallMs() - nowMs);
+    this._clockEstimator.observe(hostId, clock.wallMs(), nowMs);
+    return nowMs + (this._clockEstimator.offsetMs(nowMs) ?? clock.wallMs() - nowMs);
   }
 
   private _checkPause(): void {
-    if (this._pauses.wasPaused()) this._clockVote.reset();
+    if (this._pauses.wasPaused()) this._clockEstimator.reset();
   }
 }
--- a/packages/membership/src/callBudget.ts
+++ b/packages/membership/src/callBudget.ts
@@ -18,7 +18,7 @@
   private readonly _clock: Clock;
   private readonly _random: Random;
   private readonly _options: CallBudgetOptions;
-  private _hosts = 1;
+  private _hostCount = 1;
   private _tokens: number;
   private _refilledMs: number;
   private _failures = 0;
@@ -32,9 +32,9 @@
     this._refilledMs = clock.nowMs();
   }
 
-  setHosts(count: number): void {
+  setHostCount(count: number): void {
     this._refill();
-    this._hosts = Math.max(1, count);
+    this._hostCount = Math.max(1, count);
   }
 
   /** Takes a token for one call, or returns the time until the next attempt. */
@@ -60,7 +60,7 @@
   }
 
   private _rate(): number {
-    return this._options.fleetPerSecond / this._hosts;
+    return this._options.fleetPerSecond / this._hostCount;
   }
 
   private _refill(): void {
--- a/packages/membership/src/index.ts
+++ b/packages/membership/src/index.ts
@@ -1,5 +1,5 @@
 export * from './callBudget.js';
 export * from './hostView.js';
-export * from './leavingEvidence.js';
+export * from './leavingEndpoints.js';
 export * from './memberDocument.js';
 export * from './watchRoles.js';
--- a/packages/membership/src/leavingEvidence.ts
+++ b/packages/membership/src/leavingEndpoints.ts
@@ -16,7 +16,7 @@
 /** How long notices are forwarded. Long enough for every peer to be pinged. */
 const FORWARD_DURATION_MS = 90_000;
 
-export class LeavingEvidence {
+export class LeavingEndpoints {
   private readonly _clock: Clock;
   private readonly _leaving = new Map<string, LeavingRecord>();
 
@@ -41,7 +41,7 @@
     return this._leaving.has(endpointId);
   }
 
-  recent(): readonly LeavingNotice[] {
+  recentNotices(): readonly LeavingNotice[] {
     const nowMs = this._clock.nowMs();
     return [...this._leaving.entries()]
       .filter(([, seen]) => nowMs - seen.sinceMs < FORWARD_DURATION_MS)
--- a/packages/metering/src/index.ts
+++ b/packages/metering/src/index.ts
@@ -1,5 +1,5 @@
 /** Metering of the requests that endpoints began, by client account and time window. */
-export * from './clockVote.js';
+export * from './clockEstimator.js';
 export * from './usageLedger.js';
 export * from './usageMessages.js';
 export * from './usageMeter.js';
--- a/tests/metering.spec.ts
+++ b/tests/metering.spec.ts
@@ -3,11 +3,11 @@
  */
 import tap from 'tap';
 import { SeededRandom } from '@fuchsiahitch/base';
-import { ClockVote, UsageLedger, UsageMeter } from '@fuchsiahitch/metering';
+import { ClockEstimator, UsageLedger, UsageMeter } from '@fuchsiahitch/metering';
 import { reporterOf, SMALL_FLEET, startedFleet, WINDOW_MS } from './usageFleet.js';
 
 await tap.test('should estimate true time by the median clock when some clocks jump', t => {
-  const vote = new ClockVote();
+  const vote = new ClockEstimator();
   t.equal(vote.offsetMs(0), undefined);
   for (const [i, skewMs] of [0, 5, -5, 2000, 2000].entries())
     vote.observe(`h${i}`, 1_000_000 + 100 + skewMs, 100);
--- a/tests/rules.spec.ts
+++ b/tests/rules.spec.ts
@@ -233,7 +233,7 @@
       basePauseMs: 50,
       maxPauseMs: 5000,
     });
-    budget.setHosts(330);
+    budget.setHostCount(330);
     return budget;
   });
   for (let i = 0; i < 100; i++) {
