--- a/packages/membership/src/callBudget.ts
+++ b/packages/membership/src/callBudget.ts
@@ -1,10 +1,11 @@
 /**
- * A token bucket that limits the calls of a host to its share of the rate that the platform's key-value service
- * allows the fleet. Random pauses after failures prevent a load spike when the service recovers.
+ * A token bucket that limits the calls of one host to its share of the fleet's call rate to the key-value service.
+ * Randomized backoff after failures prevents a load spike when the service recovers.
  */
 import type { Clock, Random } from '@fuchsiahitch/base';
 
 export interface CallBudgetOptions {
+  /** Calls per second of all hosts together. */
   readonly fleetPerSecond: number;
   /** Calls that may be made at once after an idle period. */
   readonly burst: number;
@@ -32,12 +33,13 @@
     this._refilledMs = clock.nowMs();
   }
 
+  /** Sets the number of hosts that share the fleet's rate. */
   setHostCount(count: number): void {
     this._refill();
     this._hostCount = Math.max(1, count);
   }
 
-  /** Takes a token for one call, or returns the time until the next attempt. */
+  /** Takes a token for one call. If none is granted, `waitMs` is the time until the next attempt. */
   take(): { readonly granted: boolean; readonly waitMs: number } {
     this._refill();
     const pauseMs = this._pausedUntilMs - this._clock.nowMs();
@@ -52,7 +54,7 @@
     this._failures = 0;
   }
 
-  /** Exponential backoff with full jitter. */
+  /** Pauses calls: exponential backoff with full jitter. */
   failed(): void {
     this._failures += 1;
     const ceilingMs = Math.min(this._options.maxPauseMs, this._options.basePauseMs * 2 ** this._failures);
--- a/packages/membership/src/hostView.ts
+++ b/packages/membership/src/hostView.ts
@@ -1,8 +1,8 @@
 /**
- * A host's view of the other hosts of its failure domain.
+ * A host's view of the other hosts of its failure domain, maintained by gossip.
  *
- * Each host pings one peer per second in a shuffled round, with updates piggybacked, so that its traffic does not
- * grow with the domain. Views may disagree: operations that must not happen twice are fenced by an epoch
+ * Each host pings one peer per second in shuffled order and piggybacks updates, so that its traffic does not grow with
+ * the domain. The views of hosts may differ: operations that must not happen twice are fenced by an epoch
  * (docs/design/keys.md).
  */
 import type { Clock, Random } from '@fuchsiahitch/base';
@@ -12,8 +12,8 @@
 export type MemberState = (typeof memberStates)[number];
 
 /**
- * `incarnation` identifies a process of the host. The host increments `refutation` when it learns that it is
- * considered suspect or dead.
+ * `incarnation` identifies a process of the host; later processes have higher ones. The host increments `refutation`
+ * when it leaves, and when it learns that peers consider it suspect or dead.
  */
 export const memberUpdateSchema = z
   .strictObject({
@@ -27,15 +27,16 @@
 export type MemberUpdate = z.infer<typeof memberUpdateSchema>;
 
 export interface Member extends MemberUpdate {
+  /** Monotonic time of the last change. */
   readonly sinceMs: number;
 }
 
 /** A suspect that does not refute within this time is considered dead. */
 export const SUSPECT_TIMEOUT_MS = 3000;
-/** Long enough for every host to receive the update first. */
+/** Long enough for every host to learn that the member is dead. */
 const REMOVE_DEAD_AFTER_MS = 120_000;
 const UPDATES_PER_MESSAGE = 6;
-/** How often an update is sent, for each doubling of the domain's size. */
+/** The number of times that an update is sent, per doubling of the domain's size. */
 const SENDS_PER_DOUBLING = 3;
 
 const STATE_RANK: Readonly<Record<MemberState, number>> = { live: 0, leaving: 1, suspect: 2, dead: 3 };
@@ -46,7 +47,7 @@
   private readonly _members = new Map<string, Member>();
   private readonly _sendsLeft = new Map<string, number>();
   private _self: MemberUpdate;
-  private _round: string[] = [];
+  private _pingQueue: string[] = [];
 
   constructor(self: { hostId: string; incarnation: number; address: string }, clock: Clock, random: Random) {
     this._self = { ...self, refutation: 0, state: 'live' };
@@ -58,7 +59,7 @@
     return this._self;
   }
 
-  /** A leaving host continues to answer, but gets no new duties. */
+  /** Marks this host as leaving: it continues to answer, but gets no new duties. */
   leave(): void {
     this._self = { ...this._self, state: 'leaving', refutation: this._self.refutation + 1 };
   }
@@ -67,7 +68,7 @@
     return [...this._members.values()];
   }
 
-  /** The sorted identifiers of the hosts that can take duties, including this host unless it is leaving. */
+  /** Returns the sorted identifiers of the hosts that can take duties, including this host unless it is leaving. */
   liveIds(): readonly string[] {
     const ids = this.members()
       .filter(member => member.state === 'live' || member.state === 'suspect')
@@ -80,15 +81,15 @@
     return this._members.get(hostId);
   }
 
-  /** Adds a host from the platform's list unless the view already has it. */
+  /** Adds a host from the platform's membership list unless the view already has it. */
   addListedHost(hostId: string, address: string): void {
     if (hostId === this._self.hostId || this._members.has(hostId)) return;
     this._store({ hostId, address, incarnation: 0, refutation: 0, state: 'live' });
-    // All hosts read the same list, so there is no update to send.
+    // All hosts read the same list, so the update need not be sent.
     this._sendsLeft.delete(hostId);
   }
 
-  /** Applies a peer's update. The newer incarnation wins, then the higher refutation, then the worse state. */
+  /** Applies an update. The higher incarnation takes precedence, then the higher refutation, then the worse state. */
   apply(update: MemberUpdate): void {
     if (update.hostId === this._self.hostId) {
       this._refute(update);
@@ -100,17 +101,18 @@
   }
 
   /**
-   * Returns the peer to ping next. Includes dead peers until they are removed: after a partition heals, both sides
-   * consider each other dead, and only pings correct this.
+   * Returns the peer to ping next. Includes dead peers until they are removed: after a partition, both sides consider
+   * each other dead, and only pings correct this.
    */
   nextPing(): Member | undefined {
     for (;;) {
-      if (this._round.length === 0 && !this._startRound()) return undefined;
-      const member = this._members.get(this._round.pop() ?? '');
+      if (this._pingQueue.length === 0 && !this._startRound()) return undefined;
+      const member = this._members.get(this._pingQueue.pop() ?? '');
       if (member) return member;
     }
   }
 
+  /** Records that a host answered a ping as this incarnation. */
   pingAnswered(hostId: string, incarnation: number): void {
     const current = this._members.get(hostId);
     if (!current) return;
@@ -119,12 +121,12 @@
         this._store({ ...current, incarnation, refutation: 0, state: 'live' });
       return;
     }
-    // A direct answer overrides gossip. No update is sent: the member refutes the suspicion itself.
+    // A direct answer overrides gossip. No update is sent, because the member refutes the suspicion itself.
     if (current.state === 'suspect' || current.state === 'dead')
       this._members.set(hostId, { ...current, state: 'live', sinceMs: this._clock.nowMs() });
   }
 
-  /** Called after direct and indirect pings were not answered. */
+  /** Marks a host as suspect after direct and indirect pings were not answered. */
   pingFailed(hostId: string): void {
     const current = this._members.get(hostId);
     if (current && (current.state === 'live' || current.state === 'leaving'))
@@ -142,7 +144,7 @@
     }
   }
 
-  /** The updates for the next message: that of this host, then those that were sent least often. */
+  /** Returns the updates for the next message: that of this host, then those with the most sends left. */
   updatesToSend(): readonly MemberUpdate[] {
     const pending = [...this._sendsLeft.entries()]
       .sort((a, b) => b[1] - a[1])
@@ -157,13 +159,13 @@
     return updates;
   }
 
-  /** The updates of all members, for a joining host. */
+  /** Returns the updates of all members, for a joining host. */
   allUpdates(): readonly MemberUpdate[] {
     return [this._self, ...this.members().map(updateOf)];
   }
 
   private _refute(update: MemberUpdate): void {
-    // The previous process had a higher incarnation because its wall clock was ahead. Supersede it.
+    // An earlier process of this host had a higher incarnation because its wall clock was ahead.
     if (update.incarnation > this._self.incarnation) {
       this._self = { ...this._self, incarnation: update.incarnation + 1, refutation: 0 };
       return;
@@ -187,12 +189,12 @@
   }
 
   private _startRound(): boolean {
-    this._round = this.members().map(member => member.hostId);
-    for (let i = this._round.length - 1; i > 0; i--) {
+    this._pingQueue = this.members().map(member => member.hostId);
+    for (let i = this._pingQueue.length - 1; i > 0; i--) {
       const j = this._random.below(i + 1);
-      [this._round[i], this._round[j]] = [this._round[j] ?? '', this._round[i] ?? ''];
+      [this._pingQueue[i], this._pingQueue[j]] = [this._pingQueue[j] ?? '', this._pingQueue[i] ?? ''];
     }
-    return this._round.length > 0;
+    return this._pingQueue.length > 0;
   }
 }
 
--- a/packages/membership/src/leavingEndpoints.ts
+++ b/packages/membership/src/leavingEndpoints.ts
@@ -1,6 +1,6 @@
 /**
- * Tracks which endpoints are leaving, from whichever source reports it first: the platform's list, answers of
- * endpoints or notices of peers. Leaving is final for one start of an endpoint.
+ * Tracks which endpoints are leaving, as reported by the endpoints themselves or by peers. An endpoint that is leaving
+ * stays so until it restarts.
  */
 import type { Clock } from '@fuchsiahitch/base';
 import * as z from 'zod';
@@ -13,7 +13,7 @@
   readonly sinceMs: number;
 }
 
-/** How long notices are forwarded. Long enough for every peer to be pinged. */
+/** How long notices are forwarded in pings. Long enough to ping every peer. */
 const FORWARD_DURATION_MS = 90_000;
 
 export class LeavingEndpoints {
@@ -24,27 +24,28 @@
     this._clock = clock;
   }
 
-  /** Returns true if the notice is new and should be sent to peers immediately. */
+  /** Records a notice. Returns true if it is new and should be sent to peers immediately. */
   note(notice: LeavingNotice): boolean {
     if (this._leaving.get(notice.endpointId)?.startId === notice.startId) return false;
     this._leaving.set(notice.endpointId, { startId: notice.startId, sinceMs: this._clock.nowMs() });
     return true;
   }
 
-  /** Removes the notice of an endpoint that reports a different start. */
+  /** Removes the record of an endpoint that has restarted since its notice. */
   observeStart(endpointId: string, startId: string): void {
-    const seen = this._leaving.get(endpointId);
-    if (seen && seen.startId !== startId) this._leaving.delete(endpointId);
+    const record = this._leaving.get(endpointId);
+    if (record && record.startId !== startId) this._leaving.delete(endpointId);
   }
 
   isLeaving(endpointId: string): boolean {
     return this._leaving.has(endpointId);
   }
 
+  /** Returns the notices to forward in pings. */
   recentNotices(): readonly LeavingNotice[] {
     const nowMs = this._clock.nowMs();
     return [...this._leaving.entries()]
-      .filter(([, seen]) => nowMs - seen.sinceMs < FORWARD_DURATION_MS)
-      .map(([endpointId, seen]) => ({ endpointId, startId: seen.startId }));
+      .filter(([, record]) => nowMs - record.sinceMs < FORWARD_DURATION_MS)
+      .map(([endpointId, record]) => ({ endpointId, startId: record.startId }));
   }
 }
--- a/packages/membership/src/memberDocument.ts
+++ b/packages/membership/src/memberDocument.ts
@@ -1,4 +1,4 @@
-/** The platform's membership list of one failure domain, which can lag. */
+/** Schemas of the platform's membership list of one failure domain. The list may be out of date. */
 import * as z from 'zod';
 
 const MAX_NAME_LENGTH = 63;
--- a/packages/membership/src/watchRoles.ts
+++ b/packages/membership/src/watchRoles.ts
@@ -1,10 +1,10 @@
 /**
- * Selects the hosts of a failure domain that read from the platform for the others, so that calls grow with the
- * number of domains instead of hosts.
+ * Selects the hosts of a failure domain that read from the platform on behalf of the others, so that the number of
+ * calls grows with the domains, not with the hosts.
  */
 import { rendezvous } from '@fuchsiahitch/base';
 
-/** Two, so that one still receives every change while the other is being replaced. */
+/** More than one, so that changes are received while one of them is being replaced. */
 export const WATCHERS_PER_DOMAIN = 2;
 
 /** Returns the hosts that watch `topic`. While views differ, more hosts may watch, at the cost of extra calls. */
--- a/packages/metering/src/clockEstimator.ts
+++ b/packages/metering/src/clockEstimator.ts
@@ -1,12 +1,10 @@
 /**
- * Estimates true time as the median of the hosts' wall clocks, some of which may be wrong or jump.
- *
- * Each clock is compared with the monotonic clock of this process. The error is bounded by half the difference of the median
- * clocks plus the transit time of a message.
+ * Estimates true time as the median of the hosts' wall clocks, some of which may be wrong or jump. Bounded error: half
+ * the difference between the two middle clocks, plus the transit time of a message.
  */
 
-/** Covers several messages of a host. */
-const VALID_MS = 15_000;
+/** Long enough to cover several messages of a host. */
+const SAMPLE_TTL_MS = 15_000;
 
 interface OffsetSample {
   /** Wall time of a host minus the monotonic time of this process. */
@@ -22,16 +20,16 @@
     this._samples.set(hostId, { offsetMs: wallMs - nowMs, observedMs: nowMs });
   }
 
-  /** Discards all votes, which are invalid after a pause of the process. */
+  /** Discards all samples. Must be called after a pause of the process, which invalidates them. */
   reset(): void {
     this._samples.clear();
   }
 
-  /** Median of the votes: true time minus the monotonic time of this process. Undefined without votes. */
+  /** Returns estimated true time minus the monotonic time of this process. Undefined without valid samples. */
   offsetMs(nowMs: number): number | undefined {
     for (const [hostId, sample] of this._samples)
-      if (nowMs - sample.observedMs > VALID_MS) this._samples.delete(hostId);
-    const offsets = [...this._samples.values()].map(vote => vote.offsetMs).sort((a, b) => a - b);
+      if (nowMs - sample.observedMs > SAMPLE_TTL_MS) this._samples.delete(hostId);
+    const offsets = [...this._samples.values()].map(sample => sample.offsetMs).sort((a, b) => a - b);
     const middle = Math.floor((offsets.length - 1) / 2);
     const [low, high] = [offsets[middle], offsets[offsets.length - 1 - middle]];
     return low === undefined || high === undefined ? undefined : (low + high) / 2;
--- a/packages/metering/src/index.ts
+++ b/packages/metering/src/index.ts
@@ -1,4 +1,4 @@
-/** Metering of the requests that endpoints began, by client account and time window. */
+/** Counts the requests that endpoints began to run, by client account and time window. */
 export * from './clockEstimator.js';
 export * from './usageLedger.js';
 export * from './usageMessages.js';
--- a/packages/metering/src/usageLedger.ts
+++ b/packages/metering/src/usageLedger.ts
@@ -1,10 +1,10 @@
 /**
- * Usage received from all hosts, at the host that reports it.
+ * Collects the usage counts of all hosts at the host that reports them.
  */
 import type { HostWindow, ProcessUsage } from './usageMessages.js';
 import { totalOf, type UsageCounts } from './usageWindow.js';
 
-/** A process that counted requests within this many preceding windows is waited for. */
+/** The report of a window waits for each process that counted requests within this many preceding windows. */
 const ACTIVE_WINDOWS = 2;
 
 /** One process of a host. */
@@ -16,14 +16,14 @@
 interface SourceWindows {
   readonly source: UsageSource;
   readonly windows: Map<number, HostWindow>;
-  /** Windows with counts, including recently decided ones. */
+  /** Windows with requests, including recently decided ones. */
   readonly busy: Set<number>;
 }
 
 export class UsageLedger {
   private readonly _sources = new Map<string, SourceWindows>();
 
-  /** Records the usage of a process. Counts of a window replace earlier, lower counts of the same window. */
+  /** Records the usage of a process. Counts of a window replace earlier counts of the same window. */
   told({ hostId, incarnation, windows }: ProcessUsage): void {
     const key = `${hostId}\n${incarnation}`;
     const entry: SourceWindows = this._sources.get(key) ?? {
@@ -39,7 +39,7 @@
     }
   }
 
-  /** Sums of the counts of all processes, ordered by account. */
+  /** Returns the counts of a window, summed over all processes and ordered by account. */
   countsOf(window: number): UsageCounts {
     const sums = new Map<string, number>();
     for (const { windows } of this._sources.values())
@@ -48,7 +48,7 @@
     return Object.fromEntries([...sums].sort(([a], [b]) => (a < b ? -1 : 1)));
   }
 
-  /** Recently busy processes that have not marked the window final. */
+  /** Returns the recently active processes that have not marked the window as final. */
   missing(window: number): readonly UsageSource[] {
     return [...this._sources.values()]
       .filter(entry => wasRecentlyBusy(entry, window))
@@ -56,14 +56,14 @@
       .map(entry => entry.source);
   }
 
-  /** Usage of windows that are not decided, by process. */
+  /** Returns the usage of undecided windows, by process. */
   undecided(): readonly ProcessUsage[] {
     return [...this._sources.values()]
       .filter(({ windows }) => windows.size > 0)
       .map(({ source, windows }) => ({ ...source, windows: [...windows.values()] }));
   }
 
-  /** Drops the usage of decided windows, up to and including this one. */
+  /** Drops the usage of decided windows, up to and including `upTo`. */
   dropThrough(upTo: number): void {
     for (const [key, entry] of this._sources) {
       for (const window of entry.windows.keys()) if (window <= upTo) entry.windows.delete(window);
@@ -73,7 +73,7 @@
   }
 }
 
-/** Detects reordered messages: counts only grow. */
+/** Detects messages that arrive out of order. Counts only grow, so a lower total is older. */
 function isOlder(received: HostWindow, known: HostWindow | undefined): boolean {
   return known !== undefined && totalOf(received.counts) < totalOf(known.counts);
 }
--- a/packages/metering/src/usageMessages.ts
+++ b/packages/metering/src/usageMessages.ts
@@ -42,14 +42,14 @@
     kind: z.literal('taken'),
     /** Estimate of true time. */
     trueMs: z.number(),
-    /** Last decided window; usage of decided windows that arrives later is lost. */
+    /** The last decided window. Usage that arrives after its window was decided is lost. */
     decidedUpTo: z.number().int(),
   }),
   z.strictObject({ kind: z.literal('not-reporter') }),
 ]);
 export type UsageUpdateReply = z.infer<typeof usageUpdateReplySchema>;
 
-/** Content of the report of one window, decided once. */
+/** The report of one window. It is written once and never changed. */
 export const usageReportSchema = z
   .strictObject({ window: z.number().int(), counts: countsSchema })
   .readonly();
@@ -57,7 +57,7 @@
 
 const processUsageListSchema = z.array(processUsageSchema).readonly();
 
-/** Returns an empty list for a damaged record, or one of another version. */
+/** Decodes a stored record. Returns an empty list if it is damaged or has another format. */
 export function decodeProcessUsages(text: string): readonly ProcessUsage[] {
   try {
     const parsed = processUsageListSchema.safeParse(JSON.parse(text));
@@ -67,7 +67,7 @@
   }
 }
 
-/** Returns undefined for a damaged record, or one of another version. */
+/** Decodes a stored report. Returns undefined if it is damaged or has another format. */
 export function decodeUsageReport(text: string): UsageReport | undefined {
   try {
     const parsed = usageReportSchema.safeParse(JSON.parse(text));
--- a/packages/metering/src/usageMeter.ts
+++ b/packages/metering/src/usageMeter.ts
@@ -1,40 +1,41 @@
 /**
- * Counts the requests that endpoints began for this host, by client account and window.
+ * Counts the requests of this host that endpoints began to run, by client account and window.
  */
 import { windowAt, windowEndMs } from './usageWindow.js';
 import type { HostWindow } from './usageMessages.js';
 
 export interface UsageMeterOptions {
   readonly windowMs: number;
-  /** Undelivered counts are retained for this time after their window, then dropped. */
+  /** Counts that were not delivered are dropped this long after the end of their window. */
   readonly keepMs: number;
 }
 
-/** Metering of one request that was sent to an endpoint. */
+/** A request that was sent to an endpoint. */
 export interface MeteredRequest {
-  /** `didBegin`: whether the endpoint ran the request, as far as this host can tell. */
+  /** Counts the request if `didBegin`: the endpoint began to run it, as far as this host can tell. */
   ended(didBegin: boolean): void;
 }
 
-/** A request that cannot be assigned to a window while the clock offset is unknown. */
+/** A request that has no window yet, because the clock offset is unknown. */
 interface UndatedRequest {
   readonly accountName: string;
   /** Monotonic time. */
   readonly atMs: number;
 }
 
-/** Number of empty windows reported after the last request, so that the reporter does not wait for this host. */
+/** The number of empty windows sent after the last request, so that the reporter does not wait for this host. */
 const IDLE_WINDOWS = 2;
 const MAX_UNDATED = 20_000;
-/** Bound on the difference of true time between hosts. */
+/** The maximum difference between the estimates of true time on two hosts. */
 const CLOCK_ERROR_MS = 100;
 
 export class UsageMeter {
   private readonly _options: UsageMeterOptions;
-  private readonly _windows = new Map<number, Map<string, number>>();
-  private readonly _final = new Set<number>();
+  private readonly _countsByWindow = new Map<number, Map<string, number>>();
+  /** Final windows that the reporter has received. */
+  private readonly _finalWindows = new Set<number>();
   private _undatedRequests: UndatedRequest[] = [];
-  /** True time minus monotonic time; undefined while it is not known. */
+  /** True time minus monotonic time, undefined while unknown. */
   private _offsetMs: number | undefined;
   private _lastWindow = -Infinity;
   private _decidedUpTo = -Infinity;
@@ -67,7 +68,7 @@
     for (const request of undated) this._count(request);
   }
 
-  /** Called after a pause of the process or a change of its wall clock. */
+  /** Forgets the clock offset, after a pause of the process or a change of its wall clock. */
   clearClockOffset(): void {
     this._offsetMs = undefined;
   }
@@ -76,70 +77,70 @@
     return this._offsetMs !== undefined;
   }
 
-  /** Returns true if counts have not been delivered to the reporter. */
+  /** Returns true if the reporter has not received all counts. */
   hasUnreported(): boolean {
     return this._undatedRequests.length > 0 || this._version > this._reportedVersion;
   }
 
-  /** Windows to send to the reporter; `told` must be called when it has received them. */
+  /** Returns the windows to send to the reporter. Call `told` once the reporter has received them. */
   nextUpdate(nowMs: number): { readonly windows: readonly HostWindow[]; readonly told: () => void } {
     const version = this._version;
     const windows: HostWindow[] = [];
-    for (const window of this._due(nowMs)) {
-      if (this._final.has(window)) continue;
-      const counts = Object.fromEntries(this._windows.get(window) ?? []);
+    for (const window of this._windowsToReport(nowMs)) {
+      if (this._finalWindows.has(window)) continue;
+      const counts = Object.fromEntries(this._countsByWindow.get(window) ?? []);
       const isFinal = this._isFinal(window, nowMs);
-      if (isFinal || this._windows.has(window)) windows.push({ window, counts, isFinal });
+      if (isFinal || this._countsByWindow.has(window)) windows.push({ window, counts, isFinal });
     }
     return {
       windows,
       told: () => {
         this._reportedVersion = Math.max(this._reportedVersion, version);
-        for (const { window, isFinal } of windows) if (isFinal) this._final.add(window);
+        for (const { window, isFinal } of windows) if (isFinal) this._finalWindows.add(window);
       },
     };
   }
 
-  /** Monotonic time at which the next window becomes final; undefined if no window is to be sent. */
+  /** Returns the monotonic time at which the next window becomes final, undefined if there is none to send. */
   nextFinalMs(nowMs: number): number | undefined {
     const offsetMs = this._offsetMs;
-    const [first] = this._due(nowMs).filter(window => !this._final.has(window));
+    const [first] = this._windowsToReport(nowMs).filter(window => !this._finalWindows.has(window));
     if (offsetMs === undefined || first === undefined) return undefined;
     return windowEndMs(first, this._options.windowMs) + CLOCK_ERROR_MS - offsetMs;
   }
 
-  /** Schedules all counts for sending to a new reporter. */
+  /** Schedules all counts to be sent again, to a new reporter. */
   reporterChanged(): void {
-    this._final.clear();
-    if (this._windows.size > 0) this._version += 1;
+    this._finalWindows.clear();
+    if (this._countsByWindow.size > 0) this._version += 1;
   }
 
-  /** Drops the counts of decided windows, up to and including this one. */
+  /** Drops the counts of decided windows, up to and including `upTo`. */
   markDecided(upTo: number): void {
     this._decidedUpTo = Math.max(this._decidedUpTo, upTo);
-    for (const window of this._windows.keys()) if (window <= upTo) this._windows.delete(window);
-    for (const window of this._final) if (window <= upTo) this._final.delete(window);
+    for (const window of this._countsByWindow.keys()) if (window <= upTo) this._countsByWindow.delete(window);
+    for (const window of this._finalWindows) if (window <= upTo) this._finalWindows.delete(window);
   }
 
   /** Removes and returns counts that are too old for any report. */
   takeExpired(nowMs: number): readonly HostWindow[] {
     if (this._offsetMs === undefined) return [];
-    const lost: HostWindow[] = [];
-    for (const [window, counts] of this._windows) {
+    const expired: HostWindow[] = [];
+    for (const [window, counts] of this._countsByWindow) {
       const ageMs = nowMs + this._offsetMs - windowEndMs(window, this._options.windowMs);
       if (ageMs <= this._options.keepMs) continue;
-      this._windows.delete(window);
-      this._final.delete(window);
-      lost.push({ window, counts: Object.fromEntries(counts), isFinal: true });
+      this._countsByWindow.delete(window);
+      this._finalWindows.delete(window);
+      expired.push({ window, counts: Object.fromEntries(counts), isFinal: true });
     }
-    return lost;
+    return expired;
   }
 
-  /** Windows with counts, and the empty ones that follow the last request. */
-  private _due(nowMs: number): readonly number[] {
+  /** Returns the windows with counts and the empty ones that follow the last request, in order. */
+  private _windowsToReport(nowMs: number): readonly number[] {
     if (this._offsetMs === undefined) return [];
     const current = windowAt(nowMs + this._offsetMs, this._options.windowMs);
-    const due = new Set(this._windows.keys());
+    const due = new Set(this._countsByWindow.keys());
     for (let window = this._lastWindow + 1; window <= this._lastWindow + IDLE_WINDOWS; window++)
       if (window <= current && window > this._decidedUpTo) due.add(window);
     return [...due].sort((a, b) => a - b);
@@ -158,10 +159,10 @@
       return;
     }
     const window = windowAt(request.atMs + this._offsetMs, this._options.windowMs);
-    const counts = this._windows.get(window) ?? new Map<string, number>();
+    const counts = this._countsByWindow.get(window) ?? new Map<string, number>();
     counts.set(request.accountName, (counts.get(request.accountName) ?? 0) + 1);
-    this._windows.set(window, counts);
-    this._final.delete(window);
+    this._countsByWindow.set(window, counts);
+    this._finalWindows.delete(window);
     this._lastWindow = Math.max(this._lastWindow, window);
     this._version += 1;
   }
--- a/packages/metering/src/usageWindow.ts
+++ b/packages/metering/src/usageWindow.ts
@@ -1,15 +1,16 @@
 /**
- * Time windows: window k begins k window lengths after the Unix epoch.
+ * Time windows, numbered from the Unix epoch.
  */
 
 /** Requests by client account. */
 export type UsageCounts = Readonly<Record<string, number>>;
 
+/** Returns the window that contains a point in true time. */
 export function windowAt(trueMs: number, windowMs: number): number {
   return Math.floor(trueMs / windowMs);
 }
 
-/** True time of the end of a window. */
+/** Returns the true time at which a window ends. */
 export function windowEndMs(window: number, windowMs: number): number {
   return (window + 1) * windowMs;
 }
--- a/tests/metering.spec.ts
+++ b/tests/metering.spec.ts
@@ -7,14 +7,14 @@
 import { reporterOf, SMALL_FLEET, startedFleet, WINDOW_MS } from './usageFleet.js';
 
 await tap.test('should estimate true time by the median clock when some clocks jump', t => {
-  const vote = new ClockEstimator();
-  t.equal(vote.offsetMs(0), undefined);
+  const estimator = new ClockEstimator();
+  t.equal(estimator.offsetMs(0), undefined);
   for (const [i, skewMs] of [0, 5, -5, 2000, 2000].entries())
-    vote.observe(`h${i}`, 1_000_000 + 100 + skewMs, 100);
-  t.equal(vote.offsetMs(100), 1_000_005);
-  vote.observe('h3', 1_000_200, 200);
-  t.equal(vote.offsetMs(200), 1_000_000);
-  t.equal(vote.offsetMs(60_000), undefined, 'expired votes are ignored');
+    estimator.observe(`h${i}`, 1_000_000 + 100 + skewMs, 100);
+  t.equal(estimator.offsetMs(100), 1_000_005);
+  estimator.observe('h3', 1_000_200, 200);
+  t.equal(estimator.offsetMs(200), 1_000_000);
+  t.equal(estimator.offsetMs(60_000), undefined, 'expired samples are ignored');
   t.end();
 });
 
