--- a/packages/entry/src/callerAccounts.ts
+++ b/packages/entry/src/callerAccounts.ts
@@ -13,7 +13,7 @@
 import { messageOf, strongDigest } from '@fuchsiahitch/base';
 import type { Logger } from '@fuchsiahitch/telemetry';
 
-/** An account as shown to operators. Keys appear only as short digests, which do not authenticate. */
+/** An account as shown to operators. Keys are replaced by short digests, which do not authenticate. */
 export interface AccountSummary {
   readonly name: string;
   readonly rank: number | undefined;
@@ -23,7 +23,7 @@
 const DIGEST_LENGTH = 8;
 const BEARER = /^bearer +(\S+)$/i;
 
-/** Parses the authorization header. A repeated header arrives joined and is unreadable. */
+/** Parses the authorization header. Repeated headers arrive joined by commas and count as unreadable. */
 export function credentialOf(header: string | undefined): Credential {
   if (header === undefined) return { kind: 'none' };
   const key = BEARER.exec(header.trim())?.[1];
@@ -42,11 +42,11 @@
     this._log = log;
   }
 
-  /** Loads the file. An invalid file leaves the current accounts in force; all problems are returned. */
+  /** Loads the file and returns all problems found. An invalid file leaves the current accounts in force. */
   async load(): Promise<readonly string[]> {
     if (this._path === '') return [];
     const problems = await this._read();
-    if (problems.length === 0) this._log.info('accounts', { accounts: this._accounts.length });
+    if (problems.length === 0) this._log.info('accounts loaded', { accounts: this._accounts.length });
     else
       this._log.error('accounts file rejected; previous accounts stay in force', {
         problems: problems.join('; '),
--- a/packages/entry/src/callersController.ts
+++ b/packages/entry/src/callersController.ts
@@ -16,13 +16,13 @@
 import { Metrics } from './metrics.js';
 import { reasonOf, RequestService, type CallerAnswer, type CallerRequest } from './requestService.js';
 
-/** Carries the revision of the rules that decided the request. */
+/** The revision of the rules under which the request was decided. */
 const REVISION_HEADER = 'fuchsiahitch-rules-revision';
 const CALLER_HEADER = 'fuchsiahitch-caller';
 const UNAUTHORIZED = 401;
 const MS_PER_SECOND = 1000;
 const SERVICE_PREFIX = '/svc/';
-/** Headers that are specific to one connection, or that this host sets itself. */
+/** Headers that apply to one connection only, or that this host sets itself. */
 const NON_FORWARDED_HEADERS = new Set([
   'host',
   'connection',
@@ -74,20 +74,20 @@
     }
     const access = this._checkAccess(reply, headers.value);
     if (!access) return;
-    const rest = request.url.slice(SERVICE_PREFIX.length);
-    const slash = rest.indexOf('/');
+    const poolAndPath = request.url.slice(SERVICE_PREFIX.length);
+    const slash = poolAndPath.indexOf('/');
     if (slash <= 0) {
       this._rejectBadRequest(reply, 'expected /svc/POOL/PATH');
       return;
     }
-    const pool = rest.slice(0, slash);
+    const pool = poolAndPath.slice(0, slash);
     const body = Buffer.isBuffer(request.body) && request.body.length > 0 ? request.body : undefined;
     const forwarded = Object.entries(request.headers).filter(([name]) => !NON_FORWARDED_HEADERS.has(name));
     const accountHeaders = accountHeadersFor(access);
     const work = {
       kind: 'service',
       method: request.method,
-      path: rest.slice(slash),
+      path: poolAndPath.slice(slash),
       headers: { ...withoutCredential(forwarded, access), ...accountHeaders },
       body,
     } as const;
@@ -122,12 +122,12 @@
   }
 }
 
-/** The account name, set by this host, for a plain service. */
+/** Returns the header that names the caller's account to a service. */
 function accountHeadersFor(access: Access): Readonly<Record<string, string>> {
   return access.kind === 'granted' ? { [CALLER_HEADER]: access.accountName } : {};
 }
 
-/** Removes the caller's credential before forwarding when accounts are managed. */
+/** Removes the caller's credential, unless accounts are disabled and the service may check it itself. */
 function withoutCredential(
   headers: readonly (readonly [string, unknown])[],
   access: Access,
@@ -214,8 +214,8 @@
 }
 
 /**
- * Streams a completion to the caller as server-sent events. Backpressure from a slow caller pauses the engine's
- * stream, so that no more than the socket's buffer is held here.
+ * Streams a completion to the caller as server-sent events. A slow caller pauses the engine's stream, so that this host
+ * buffers no more than the socket does.
  */
 class StreamedCompletion {
   private readonly _reply: FastifyReply;
--- a/packages/entry/src/dispatcher.ts
+++ b/packages/entry/src/dispatcher.ts
@@ -1,5 +1,5 @@
 /**
- * Assigns endpoints to requests: one queue per pool, customers before rollouts, preemption of rollouts.
+ * Assigns endpoints to requests. Each pool has a queue; customer requests precede rollouts and can preempt them.
  */
 import { every, type Deadline } from '@fuchsiahitch/base';
 import {
@@ -44,7 +44,7 @@
     endpoints.onCapacityChange(() => this.dispatchAll());
   }
 
-  /** Dispatches periodically as well, because a circuit breaker that closes by time emits no event. */
+  /** Dispatches periodically too, because a circuit breaker that closes after a timeout emits no event. */
   start(): void {
     every(this._context.clock, DISPATCH_PERIOD_MS, this._context.stopped, () => this.dispatchAll());
   }
@@ -53,26 +53,26 @@
     return this._queues.get(pool)?.size() ?? 0;
   }
 
-  /** The retry delay for a customer request that is refused now. */
+  /** Returns the delay to suggest to a customer whose request is refused now. */
   retryAfterMs(pool: string): number {
     const expectedMs = this._queues.get(pool)?.expectedWaitMs('customer') ?? 0;
     return Math.max(1000, Math.ceil(expectedMs));
   }
 
-  /** Free rollout slots in a pool, outside the customers' reserve. */
+  /** Returns the number of free slots of a pool that rollouts may use, excluding the customers' reserve. */
   freeRolloutSlots(pool: string, reserve: number): number {
-    let room = 0;
+    let freeSlots = 0;
     for (const endpoint of this._endpoints.pool(pool)) {
       if (endpoint.isLeaving || !endpoint.stats.isUsable()) continue;
-      const left = endpoint.limit.rolloutLimit(reserve) - endpoint.stats.rolloutInFlight();
-      if (left > 0 && hasRoom(endpoint, true, reserve)) room += left;
+      const available = endpoint.limit.rolloutLimit(reserve) - endpoint.stats.rolloutInFlight();
+      if (available > 0 && hasRoom(endpoint, true, reserve)) freeSlots += available;
     }
-    return room;
+    return freeSlots;
   }
 
   /**
-   * Waits for an endpoint and occupies one of its slots. `begin` is called first and returns false if the request
-   * has ended meanwhile. Aborting `signal` leaves the queue.
+   * Waits for an endpoint with a free slot and occupies the slot, unless `begin` returns false because the request has
+   * ended meanwhile. Aborting `signal` removes the request from the queue.
    */
   async acquire(
     request: DispatchRequest,
@@ -107,12 +107,13 @@
     });
   }
 
-  /** Frees the slot of a finished attempt. */
+  /** Frees the slot of an attempt that ended, and records its result. */
   ended(endpoint: CallableEndpoint, isRollout: boolean, isFailure: boolean): void {
     endpoint.stats.ended(isRollout, isFailure);
     this._dispatchQueue(this._queue(endpoint.pool));
   }
 
+  /** Frees the slot of a cancelled attempt, without effect on the endpoint's health. */
   cancelled(endpoint: CallableEndpoint, isRollout: boolean): void {
     endpoint.stats.cancelled(isRollout);
     this._dispatchQueue(this._queue(endpoint.pool));
@@ -136,7 +137,7 @@
     return picked && pool.find(endpoint => endpoint.id === picked.id);
   }
 
-  /** Preempts a rollout for a customer that finds no free slot, at the endpoint that the picker selects. */
+  /** Preempts a rollout for a customer request that finds no free slot. */
   private _preemptRollout(request: PickRequest): void {
     const pool = this._endpoints.pool(request.pool);
     const endpoint = this._picker.pickToPreempt(pool, request);
@@ -148,8 +149,8 @@
   }
 
   private _queue(pool: string): RequestQueue {
-    const known = this._queues.get(pool);
-    if (known) return known;
+    const existing = this._queues.get(pool);
+    if (existing) return existing;
     const queue = new RequestQueue(this._context.clock, QUEUE_LIMIT);
     this._queues.set(pool, queue);
     return queue;
@@ -160,7 +161,7 @@
   }
 }
 
-/** The reserve set by a rule, but at least the floor. */
+/** Returns the customers' reserve set by a rule, but at least the minimum. */
 export function effectiveReserve(configured: number | undefined): number {
   return Math.max(CUSTOMER_RESERVE_FLOOR, configured ?? CUSTOMER_RESERVE_FLOOR);
 }
--- a/packages/entry/src/endpointService.ts
+++ b/packages/entry/src/endpointService.ts
@@ -9,12 +9,12 @@
 import type { HostContext } from './hostContext.js';
 import type { MembershipService } from './membershipService.js';
 
-/** Polls one endpoint per interval, so that a host's polling traffic does not grow with its endpoints. */
+/** One endpoint is polled per interval, so that the traffic does not grow with the number of endpoints. */
 const REPORT_INTERVAL_MS = 400;
 /** Minimum time between two polls of the same endpoint. */
 const MIN_REPORT_PERIOD_MS = 2000;
 const REPORT_TIMEOUT_MS = 1000;
-/** Assumed number of hosts that share an endpoint while membership is unknown. */
+/** Number of hosts assumed to share an endpoint while none are known. */
 const MIN_HOSTS = 1;
 
 interface Endpoint {
@@ -51,12 +51,12 @@
     every(this._context.clock, REPORT_INTERVAL_MS, this._context.stopped, () => this._pollNextReport());
   }
 
-  /** Called when a limit or the set of endpoints changed, so that queued requests are dispatched. */
+  /** Sets the listener that is called when a limit or the set of endpoints has changed. */
   onCapacityChange(listener: () => void): void {
     this._notifyCapacityChange = listener;
   }
 
-  /** The endpoints of a pool that this host uses, in all failure domains. */
+  /** Returns the endpoints of a pool that this host uses, in all failure domains. */
   pool(pool: string): readonly CallableEndpoint[] {
     return this._views.get(pool) ?? [];
   }
@@ -65,13 +65,13 @@
     return [...this._views.keys()];
   }
 
-  /** All endpoints of this host's failure domain, including those outside its subset. */
+  /** Returns all endpoints of this host's failure domain, including those that it does not use. */
   ownDomain(): readonly EndpointEntry[] {
     const own = this._membership.documents().find(document => document.domain === this._context.domain);
     return own?.endpoints ?? [];
   }
 
-  /** Endpoints that this host uses, for operators. */
+  /** Returns all endpoints that this host uses. */
   all(): readonly CallableEndpoint[] {
     return [...this._views.values()].flat();
   }
@@ -87,13 +87,13 @@
     this._notifyCapacityChange();
   }
 
-  /** Marks an endpoint as leaving after one of its answers said so. */
+  /** Marks an endpoint as leaving after it said so in an answer. */
   markLeaving(endpointId: string): void {
     const startId = this._endpoints.get(endpointId)?.stats.report()?.startId ?? '';
     this._membership.announceLeaving({ endpointId, startId });
   }
 
-  /** The value of a signal for rule conditions. */
+  /** Returns the value of a signal that rules can refer to. */
   signal(signal: Signal, pool: string, queueSize: number): number {
     const views = this.pool(pool);
     switch (signal) {
@@ -161,7 +161,7 @@
     return endpoint;
   }
 
-  /** Polls the least recently polled engine among those of the own domain and those with requests in flight. */
+  /** Polls the least recently polled engine of those in this domain or with requests in flight. */
   private async _pollNextReport(): Promise<void> {
     const { clock, domain } = this._context;
     const nowMs = clock.nowMs();
@@ -169,7 +169,7 @@
       .filter(endpoint => endpoint.kind === 'engine')
       .filter(endpoint => endpoint.domain === domain || endpoint.stats.inFlight() > 0)
       .map(endpoint => ({ endpoint, requestedMs: this._reportRequestedMs.get(endpoint.id) ?? -Infinity }))
-      .filter(({ requestedMs: askedMs }) => nowMs - askedMs >= MIN_REPORT_PERIOD_MS);
+      .filter(({ requestedMs }) => nowMs - requestedMs >= MIN_REPORT_PERIOD_MS);
     if (due.length === 0) return;
     const { endpoint } = due.reduce((oldest, one) => (one.requestedMs < oldest.requestedMs ? one : oldest));
     this._reportRequestedMs.set(endpoint.id, nowMs);
@@ -178,7 +178,7 @@
   }
 }
 
-/** Estimated load relative to the slots of the given endpoints. */
+/** Returns the estimated load of the endpoints, divided by the number of their slots. */
 function relativeLoad(views: readonly CallableEndpoint[]): number {
   const limit = views.reduce((sum, view) => sum + view.slots, 0);
   const load = views.reduce((sum, view) => sum + view.stats.estimatedLoad(), 0);
--- a/packages/entry/src/operatorsController.ts
+++ b/packages/entry/src/operatorsController.ts
@@ -79,8 +79,8 @@
   explain(@Query() query: unknown, @Res() reply: FastifyReply): void {
     const facts = validate(query, factsSchema);
     if (!facts.ok) return this._rejectBadRequest(reply, facts.error);
-    const book = this._rules.evaluator();
-    void reply.send({ decision: book.decide(facts.value), rules: book.explain(facts.value) });
+    const evaluator = this._rules.evaluator();
+    void reply.send({ decision: evaluator.decide(facts.value), rules: evaluator.explain(facts.value) });
   }
 
   /** Reports which decisions a proposed list of rules would change for the given requests. */
--- a/packages/entry/src/requestService.ts
+++ b/packages/entry/src/requestService.ts
@@ -1,6 +1,6 @@
 /**
- * Runs customer requests: evaluates the rules once, executes non-repeatable requests at most once, and returns a
- * complete answer or an explicit outcome.
+ * Runs customer requests: evaluates the rules once per request, executes non-repeatable requests at most once, and
+ * returns a complete answer or an explicit outcome.
  */
 import { Deadline, digest, sleep } from '@fuchsiahitch/base';
 import type {
@@ -32,14 +32,16 @@
   readonly house: string;
   readonly priority: 'high' | 'normal' | 'low';
   readonly timeoutMs: number;
+  /** The idempotency key. */
   readonly key: string | undefined;
+  /** The caller's `traceparent` header. */
   readonly trace: string | undefined;
   /** Aborted when the caller disconnects. */
   readonly left: AbortSignal;
   readonly work: CallerWork;
 }
 
-/** The work of a request, by kind. */
+/** What a request asks an endpoint to do. */
 export type CallerWork =
   | {
       readonly kind: 'completion';
@@ -75,7 +77,7 @@
 const SERVER_ERROR = 500;
 const REPEATABLE_METHODS = new Set(['GET', 'HEAD', 'OPTIONS']);
 
-/** The end of one attempt. `again` and `again-after-pause` permit a retry. */
+/** How one attempt ended. `again` and `again-after-pause` permit a retry. */
 type AttemptEnd = 'ended' | 'again' | 'again-after-pause';
 
 export class RequestService {
@@ -86,7 +88,7 @@
   private readonly _dispatcher: Dispatcher;
   private readonly _engines: EngineClient;
   private readonly _services: ServiceClient;
-  private readonly _retries = new RetryBudget(RETRY_SHARE, RETRY_BURST);
+  private readonly _retryBudget = new RetryBudget(RETRY_SHARE, RETRY_BURST);
   private _inFlight = 0;
   private _isRefusingNew = false;
 
@@ -114,7 +116,7 @@
     return this._inFlight;
   }
 
-  /** Refuses new requests as not run. Called in the last phase of a shutdown. */
+  /** Refuses new requests, in the last phase of a shutdown. */
   refuseNew(): void {
     this._isRefusingNew = true;
   }
@@ -145,26 +147,26 @@
       return { ...base, outcome: run.refuse('refused-by-rule'), ruleText: action.refuse };
     }
     if (this._isRefusingNew) return { ...base, outcome: run.refuse('shutting-down') };
-    const work = new RunningRequest(
+    const running = new RunningRequest(
       request,
       decision,
       run,
       Deadline.after(this._context.clock, request.timeoutMs),
     );
-    if (request.key === undefined) return { ...base, ...(await this._runAttempts(work, pool)) };
-    return { ...base, ...(await this._runKeyed(work, pool, request.key)) };
+    if (request.key === undefined) return { ...base, ...(await this._runAttempts(running, pool)) };
+    return { ...base, ...(await this._runKeyed(running, pool, request.key)) };
   }
 
   /** Runs a request with an idempotency key after claiming the key from its owner. */
-  private async _runKeyed(work: RunningRequest, pool: string, key: string): Promise<RunResult> {
-    const { run, deadline, request } = work;
+  private async _runKeyed(running: RunningRequest, pool: string, key: string): Promise<RunResult> {
+    const { run, deadline, request } = running;
     const attemptId = this._context.random.id();
     const claimSpan = this._context.tracing.startSpan('peer', request.trace);
     const claim = await this._keys.client.claim(key, fingerprintOf(request), attemptId, deadline);
     claimSpan.end({ claim: claim.kind });
     switch (claim.kind) {
       case 'granted': {
-        const result = await this._runAttempts(work, pool);
+        const result = await this._runAttempts(running, pool);
         const isReleased = result.outcome.kind === 'not-run';
         const answer = result.answer ? { answer: result.answer } : {};
         const finish = { key, attemptId, end: isReleased ? 'released' : 'finished', ...answer } as const;
@@ -188,117 +190,121 @@
     }
   }
 
-  private async _runAttempts(work: RunningRequest, pool: string): Promise<RunResult> {
-    this._retries.requestStarted();
-    const { run, request, deadline } = work;
-    const onCallerLeft = (): void => work.cancel('caller-left');
+  private async _runAttempts(running: RunningRequest, pool: string): Promise<RunResult> {
+    this._retryBudget.requestStarted();
+    const { run, request, deadline } = running;
+    const onCallerLeft = (): void => running.cancel('caller-left');
     request.left.addEventListener('abort', onCallerLeft);
-    const cancelTimer = this._context.clock.after(deadline.remainingMs(), () => work.cancel('deadline'));
+    const cancelTimer = this._context.clock.after(deadline.remainingMs(), () => running.cancel('deadline'));
     try {
-      while (!run.outcome()) await this._runAttempt(work, pool);
+      while (!run.outcome()) await this._runAttempt(running, pool);
     } finally {
       cancelTimer();
       request.left.removeEventListener('abort', onCallerLeft);
     }
-    return { outcome: run.outcome() ?? run.refuse('too-late'), answer: work.answer };
+    return { outcome: run.outcome() ?? run.refuse('too-late'), answer: running.answer };
   }
 
-  private async _runAttempt(work: RunningRequest, pool: string): Promise<void> {
+  private async _runAttempt(running: RunningRequest, pool: string): Promise<void> {
     let attempt: number | undefined;
     const begin = (): boolean => {
-      attempt = work.run.send();
+      attempt = running.run.send();
       return attempt !== undefined;
     };
-    const dispatched = await this._dispatcher.acquire(this._dispatchRequest(work, pool), begin, work.signal);
+    const dispatched = await this._dispatcher.acquire(
+      this._dispatchRequest(running, pool),
+      begin,
+      running.signal,
+    );
     if (dispatched.kind !== 'acquired' || attempt === undefined) {
-      this._handleNotDispatched(work, dispatched);
+      this._handleNotDispatched(running, dispatched);
       return;
     }
-    const endpointSpan = this._context.tracing.startSpan('endpoint', work.request.trace);
-    const end = await this._send(work, dispatched.endpoint, attempt, endpointSpan.traceparent);
+    const endpointSpan = this._context.tracing.startSpan('endpoint', running.request.trace);
+    const end = await this._send(running, dispatched.endpoint, attempt, endpointSpan.traceparent);
     endpointSpan.end({ endpoint: dispatched.endpoint.id, attempt, end });
     if (end === 'ended') return;
-    work.attempts += 1;
-    work.tried.add(dispatched.endpoint.id);
-    // Once every endpoint has been tried, allow all of them again.
-    if (this._endpoints.pool(pool).every(endpoint => work.tried.has(endpoint.id))) work.tried.clear();
-    await this._prepareRetry(work, pool, end);
+    running.attempts += 1;
+    running.tried.add(dispatched.endpoint.id);
+    // Once all endpoints have been tried, each may be tried again.
+    if (this._endpoints.pool(pool).every(endpoint => running.tried.has(endpoint.id))) running.tried.clear();
+    await this._prepareRetry(running, pool, end);
   }
 
-  private _handleNotDispatched(work: RunningRequest, result: DispatchResult): void {
+  private _handleNotDispatched(running: RunningRequest, result: DispatchResult): void {
     switch (result.kind) {
       case 'queue-full':
       case 'no-endpoint':
-        work.run.refuse(result.kind);
+        running.run.refuse(result.kind);
         return;
       case 'too-late':
-        work.cancel('deadline');
+        running.cancel('deadline');
         return;
       case 'left':
       case 'acquired':
-        work.cancel('caller-left');
+        running.cancel('caller-left');
     }
   }
 
-  /** Permits a retry within the rule's limit, the retry budget and the deadline; otherwise refuses the request. */
-  private async _prepareRetry(work: RunningRequest, pool: string, end: AttemptEnd): Promise<void> {
-    const allowed = work.decision.action.retries ?? DEFAULT_RETRIES;
-    const isAllowed = work.attempts <= allowed && this._retries.take();
+  /** Waits before a retry where needed, or refuses the request if the rule's limit or the retry budget is exhausted. */
+  private async _prepareRetry(running: RunningRequest, pool: string, end: AttemptEnd): Promise<void> {
+    const allowed = running.decision.action.retries ?? DEFAULT_RETRIES;
+    const isAllowed = running.attempts <= allowed && this._retryBudget.take();
     if (!isAllowed) {
-      work.run.refuse('endpoint-refused');
+      running.run.refuse('endpoint-refused');
       return;
     }
     this._context.metrics.retries.inc({ pool });
     if (end === 'again') return;
-    const pauseMs = backoffMs(BACKOFF_BASE_MS, BACKOFF_MAX_MS, work.attempts, n =>
+    const pauseMs = backoffMs(BACKOFF_BASE_MS, BACKOFF_MAX_MS, running.attempts, n =>
       this._context.random.below(n),
     );
-    await sleep(this._context.clock, Math.min(pauseMs, work.deadline.remainingMs()), work.signal);
+    await sleep(this._context.clock, Math.min(pauseMs, running.deadline.remainingMs()), running.signal);
   }
 
   private async _send(
-    work: RunningRequest,
+    running: RunningRequest,
     endpoint: CallableEndpoint,
     attempt: number,
     trace: string | undefined,
   ): Promise<AttemptEnd> {
-    const { work: callerWork } = work.request;
+    const { work: callerWork } = running.request;
     const end =
       callerWork.kind === 'completion'
-        ? await this._generate(work, callerWork, endpoint, attempt, trace)
-        : await this._callService(work, callerWork, endpoint, attempt, trace);
+        ? await this._generate(running, callerWork, endpoint, attempt, trace)
+        : await this._callService(running, callerWork, endpoint, attempt, trace);
     this._context.metrics.attempts.inc({ pool: endpoint.pool, end });
     return end;
   }
 
   private async _generate(
-    work: RunningRequest,
+    running: RunningRequest,
     completion: Extract<CallerWork, { kind: 'completion' }>,
     endpoint: CallableEndpoint,
     attempt: number,
     trace: string | undefined,
   ): Promise<AttemptEnd> {
-    const { run } = work;
+    const { run } = running;
     const generation = {
       url: endpoint.url,
       requestId: this._context.random.id(),
       prompt: completion.prompt,
       maxTokens: completion.maxTokens,
       priority: 'high' as const,
-      resumeText: work.text,
-      resumeTokens: work.tokens,
+      resumeText: running.text,
+      resumeTokens: running.tokens,
       trace,
     };
     const onChunks = async (chunks: readonly GenerationChunk[]): Promise<void> => {
       if (run.phase() === 'sent') run.answerStarted(attempt);
       if (run.phase() !== 'answering') return;
       for (const chunk of chunks) {
-        work.text += chunk.text;
-        work.tokens += chunk.tokens;
+        running.text += chunk.text;
+        running.tokens += chunk.tokens;
       }
       await completion.onChunks(chunks);
     };
-    const end = await this._engines.generate(generation, onChunks, work.signal);
+    const end = await this._engines.generate(generation, onChunks, running.signal);
     this._releaseEndpoint(endpoint, end);
     switch (end.kind) {
       case 'done':
@@ -311,26 +317,26 @@
         run.provenNotRun(attempt);
         return 'again';
       case 'failed':
-        if (end.status >= SERVER_ERROR) return this._handleBroken(work, attempt, true);
+        if (end.status >= SERVER_ERROR) return this._handleBroken(running, attempt, true);
         if (run.phase() === 'sent') run.answerStarted(attempt);
         run.answered(attempt, end.status, true);
         return 'ended';
       case 'broken':
-        // A generation has no side effects, so another endpoint resumes it after the tokens already sent.
-        return this._handleBroken(work, attempt, true);
+        // A generation has no side effects, so another endpoint can resume it after the tokens already sent.
+        return this._handleBroken(running, attempt, true);
       case 'cancelled':
         return 'ended';
     }
   }
 
   private async _callService(
-    work: RunningRequest,
+    running: RunningRequest,
     serviceCall: Extract<CallerWork, { kind: 'service' }>,
     endpoint: CallableEndpoint,
     attempt: number,
     trace: string | undefined,
   ): Promise<AttemptEnd> {
-    const { run } = work;
+    const { run } = running;
     const headers = { ...serviceCall.headers, ...(trace === undefined ? {} : { traceparent: trace }) };
     const call = {
       url: endpoint.url,
@@ -339,37 +345,37 @@
       headers,
       body: serviceCall.body,
     };
-    const end = await this._services.call(call, () => run.answerStarted(attempt), work.signal);
+    const end = await this._services.call(call, () => run.answerStarted(attempt), running.signal);
     this._releaseEndpoint(endpoint, end);
     switch (end.kind) {
       case 'answered':
-        this._serviceAnswered(work, endpoint, attempt, end);
+        this._serviceAnswered(running, endpoint, attempt, end);
         return 'ended';
       case 'not-run':
         if (end.isLeaving) this._endpoints.markLeaving(endpoint.id);
         run.provenNotRun(attempt);
         return 'again';
       case 'broken':
-        return this._handleBroken(work, attempt, REPEATABLE_METHODS.has(serviceCall.method));
+        return this._handleBroken(running, attempt, REPEATABLE_METHODS.has(serviceCall.method));
       case 'cancelled':
         return 'ended';
     }
   }
 
   private _serviceAnswered(
-    work: RunningRequest,
+    running: RunningRequest,
     endpoint: CallableEndpoint,
     attempt: number,
     end: Extract<ServiceResult, { kind: 'answered' }>,
   ): void {
     if (end.isLeaving) this._endpoints.markLeaving(endpoint.id);
-    if (!work.run.answered(attempt, end.status, end.status >= SERVER_ERROR)) return;
-    work.answer = { status: end.status, contentType: end.contentType, body: end.body.toString('utf8') };
+    if (!running.run.answered(attempt, end.status, end.status >= SERVER_ERROR)) return;
+    running.answer = { status: end.status, contentType: end.contentType, body: end.body.toString('utf8') };
   }
 
-  private _handleBroken(work: RunningRequest, attempt: number, isRepeatable: boolean): AttemptEnd {
-    if (isRepeatable && work.run.brokenRetryable(attempt)) return 'again-after-pause';
-    work.run.broken(attempt);
+  private _handleBroken(running: RunningRequest, attempt: number, isRepeatable: boolean): AttemptEnd {
+    if (isRepeatable && running.run.brokenRetryable(attempt)) return 'again-after-pause';
+    running.run.broken(attempt);
     return 'ended';
   }
 
@@ -379,9 +385,9 @@
     if (end.kind === 'not-run' && !end.isUnreachable) endpoint.limit.refused();
   }
 
-  private _dispatchRequest(work: RunningRequest, pool: string): Parameters<Dispatcher['acquire']>[0] {
-    const { action } = work.decision;
-    const payload = work.request.work;
+  private _dispatchRequest(running: RunningRequest, pool: string): Parameters<Dispatcher['acquire']>[0] {
+    const { action } = running.decision;
+    const payload = running.request.work;
     return {
       pool,
       ownDomain: this._context.domain,
@@ -390,9 +396,9 @@
       reserve: effectiveReserve(action.reserve),
       prefix: payload.kind === 'completion' ? payload.prompt.slice(0, PREFIX_LENGTH) : '',
       version: action.pinVersion ?? '',
-      tried: work.tried,
-      queuePriority: queuePriorityOf(action.priority ?? work.request.priority),
-      deadline: work.deadline,
+      tried: running.tried,
+      queuePriority: queuePriorityOf(action.priority ?? running.request.priority),
+      deadline: running.deadline,
     };
   }
 
@@ -431,7 +437,7 @@
     return this._stop.signal;
   }
 
-  /** Ends the request in its state machine first, then aborts the work in progress. */
+  /** Ends the request in its state machine, then aborts the attempt in progress. */
   cancel(cause: 'deadline' | 'caller-left'): void {
     this.run.abandon(cause);
     this._stop.abort();
@@ -443,7 +449,7 @@
   return priority === 'normal' ? 'customer' : 'customer-low';
 }
 
-/** True if an end counts against the endpoint's health. A refusal for lack of capacity does not. */
+/** True if an attempt counts against the endpoint's health. A refusal for lack of capacity does not. */
 function isEndpointFault(end: GenerationResult | ServiceResult): boolean {
   if (end.kind === 'answered' || end.kind === 'failed') return end.status >= SERVER_ERROR;
   return end.kind === 'broken' || (end.kind === 'not-run' && end.isUnreachable);
@@ -459,7 +465,7 @@
   return digest(text);
 }
 
-/** The value of the reason header, empty for outcomes without a reason. */
+/** Returns the value of the reason header, empty for outcomes without a reason. */
 export function reasonOf(outcome: RequestOutcome): string {
   return outcome.kind === 'not-run' || outcome.kind === 'unknown' ? outcome.reason : '';
 }
--- a/packages/entry/src/trainersController.ts
+++ b/packages/entry/src/trainersController.ts
@@ -26,7 +26,7 @@
 
   @Post('/v1/steps')
   async open(@Req() request: FastifyRequest, @Res() reply: FastifyReply): Promise<void> {
-    const spec = this._read(reply, readJson(request.body, openRequestSchema));
+    const spec = this._valueOrReject(reply, readJson(request.body, openRequestSchema));
     if (!spec) return;
     const opened = await this._steps.open(spec);
     const status =
@@ -36,7 +36,7 @@
 
   @Post('/v1/steps/take')
   async take(@Req() request: FastifyRequest, @Res() reply: FastifyReply): Promise<void> {
-    const take = this._read(reply, readJson(request.body, takeRequestSchema));
+    const take = this._valueOrReject(reply, readJson(request.body, takeRequestSchema));
     if (!take) return;
     const taken = await this._steps.take(take);
     void reply.status(taken.kind === 'unknown-step' ? NOT_FOUND : OK_STATUS).send(taken);
@@ -44,9 +44,9 @@
 
   @Post('/v1/steps/abandon')
   async abandon(@Req() request: FastifyRequest, @Res() reply: FastifyReply): Promise<void> {
-    const step = this._read(reply, readJson(request.body, abandonRequestSchema));
-    if (!step) return;
-    const { abandoned } = await this._steps.abandon(step.key);
+    const abandonRequest = this._valueOrReject(reply, readJson(request.body, abandonRequestSchema));
+    if (!abandonRequest) return;
+    const { abandoned } = await this._steps.abandon(abandonRequest.key);
     void reply.status(abandoned ? OK_STATUS : UNAVAILABLE).send({ abandoned });
   }
 
@@ -62,14 +62,15 @@
 
   @Post('/v1/weights')
   async weights(@Req() request: FastifyRequest, @Res() reply: FastifyReply): Promise<void> {
-    const wanted = this._read(reply, readJson(request.body, weightsSchema));
-    if (!wanted) return;
-    const written = await this._orders.setTarget(wanted.pool, wanted.version);
+    const target = this._valueOrReject(reply, readJson(request.body, weightsSchema));
+    if (!target) return;
+    const written = await this._orders.setTarget(target.pool, target.version);
     if (written.ok) void reply.status(OK_STATUS).send(written.value);
     else void reply.status(UNAVAILABLE).send({ error: written.error });
   }
 
-  private _read<T>(reply: FastifyReply, read: Result<T, string>): T | undefined {
+  /** Returns the input, or sends a 400 and returns undefined. */
+  private _valueOrReject<T>(reply: FastifyReply, read: Result<T, string>): T | undefined {
     if (read.ok) return read.value;
     this._metrics.badInput.inc({ listener: 'trainers' });
     void reply.status(BAD_REQUEST).send({ error: read.error });
