--- a/packages/entry/src/budgetedStore.ts
+++ b/packages/entry/src/budgetedStore.ts
@@ -1,5 +1,5 @@
 /**
- * Rate-limits calls to the key-value service to this host's share of the fleet's budget.
+ * Limits the calls to the key-value service to this host's share of the fleet's call rate.
  */
 import { err, sleep, type Clock, type Deadline, type Result } from '@fuchsiahitch/base';
 import type { CallBudget } from '@fuchsiahitch/membership';
@@ -63,9 +63,9 @@
     onEvents: (events: readonly WatchEvent[]) => void,
     signal: AbortSignal,
   ): Promise<WatchEnd> {
-    const ticket = this._budget.take();
-    if (!ticket.granted) {
-      await sleep(this._clock, ticket.waitMs, signal);
+    const permit = this._budget.take();
+    if (!permit.granted) {
+      await sleep(this._clock, permit.waitMs, signal);
       return 'failed';
     }
     const end = await this._inner.watch(prefix, onEvents, signal);
@@ -73,17 +73,17 @@
     return end;
   }
 
-  /** Waits for budget within the deadline, and reports the result to the budget, which backs off after failures. */
+  /** Waits for a permit within the deadline, then makes the call. Failures make the budget back off. */
   private async _withinBudget<T>(
     deadline: Deadline,
     call: () => Promise<Result<T, StoreError>>,
   ): Promise<Result<T, StoreError>> {
-    for (let ticket = this._budget.take(); !ticket.granted; ticket = this._budget.take()) {
-      if (ticket.waitMs >= deadline.remainingMs()) {
+    for (let permit = this._budget.take(); !permit.granted; permit = this._budget.take()) {
+      if (permit.waitMs >= deadline.remainingMs()) {
         this._metrics.storeCalls.inc({ end: 'over-budget' });
         return err('over-budget');
       }
-      await sleep(this._clock, ticket.waitMs);
+      await sleep(this._clock, permit.waitMs);
     }
     const result = await call();
     this._isReachable = result.ok;
--- a/packages/entry/src/keyService.ts
+++ b/packages/entry/src/keyService.ts
@@ -1,6 +1,6 @@
 /**
- * Idempotency keys: connects this host's key holder to its peers, maintains the slot map in the store, and routes
- * claims to the owner of a key.
+ * Manages idempotency keys: connects this host's key holder to its peers, maintains the slot map in the store, and
+ * routes claims to the owners of keys.
  */
 import { Deadline, digest, every, sleep } from '@fuchsiahitch/base';
 import type { KeyValueStore } from '@fuchsiahitch/clients';
@@ -30,7 +30,7 @@
 import type { CallRegistry, PeerCaller } from './hostPorts.js';
 
 const PLAN_PERIOD_MS = 1000;
-/** Delay per rank in the list of live hosts, so that one host usually plans alone. */
+/** Delay per rank in the list of live hosts, so that usually only one host writes a new map. */
 const PLAN_STAGGER_MS = 2000;
 const COPY_TIMEOUT_MS = 1000;
 const SYNC_TIMEOUT_MS = 5000;
@@ -48,7 +48,7 @@
   private readonly _store: KeyValueStore;
   private readonly _domainsDigest: string;
   private _planDueSinceMs: number | undefined;
-  private _pulling: Promise<void> | undefined;
+  private _pendingPull: Promise<void> | undefined;
 
   constructor(context: HostContext, membership: MembershipService, peers: PeerCaller, store: KeyValueStore) {
     this._context = context;
@@ -81,12 +81,12 @@
     return this.holder.map()?.revision ?? 0;
   }
 
-  /** Fetches the map from a peer with a later revision. Concurrent calls share one fetch. */
+  /** Fetches the slot map from a peer with a later revision. Concurrent calls share one fetch. */
   async pullFrom(address: string): Promise<void> {
-    this._pulling ??= this._pull(address).finally(() => {
-      this._pulling = undefined;
+    this._pendingPull ??= this._pull(address).finally(() => {
+      this._pendingPull = undefined;
     });
-    await this._pulling;
+    await this._pendingPull;
   }
 
   private async _pull(address: string): Promise<void> {
@@ -134,15 +134,15 @@
 
   async claim(domain: string, claim: Claim, deadline: Deadline): Promise<ClaimReply | undefined> {
     if (domain === this._context.domain) return this._claimInDomain(claim, deadline.remainingMs());
-    const relay = this._membership.randomAddressOf(domain);
-    const reply = await this._peers.call(relay, calls.claimKey, claim, deadline.remainingMs());
+    const relayAddress = this._membership.randomAddressOf(domain);
+    const reply = await this._peers.call(relayAddress, calls.claimKey, claim, deadline.remainingMs());
     return reply.ok ? reply.value : undefined;
   }
 
   async finish(domain: string, finish: Finish): Promise<boolean> {
     if (domain === this._context.domain) return this._finishInDomain(finish);
-    const relay = this._membership.randomAddressOf(domain);
-    const reply = await this._peers.call(relay, calls.finishKey, finish, FINISH_TIMEOUT_MS);
+    const relayAddress = this._membership.randomAddressOf(domain);
+    const reply = await this._peers.call(relayAddress, calls.finishKey, finish, FINISH_TIMEOUT_MS);
     return reply.ok && reply.value.accepted;
   }
 
@@ -157,7 +157,7 @@
       { ...claim, relayed: true },
       claim.waitMs + COPY_TIMEOUT_MS,
     );
-    // Without a reply, the claim may have been granted; it must not be reported as refused.
+    // The claim may have been granted although no reply arrived, so it must not be reported as refused.
     return relayedReply ?? { kind: 'unknown', reason: 'key-unsettled' };
   }
 
@@ -171,8 +171,8 @@
   }
 
   private async _onFinish(finish: Finish): Promise<Accepted> {
-    const handled = await this.holder.finish(finish);
-    if (handled.accepted || finish.relayed) return handled;
+    const reply = await this.holder.finish(finish);
+    if (reply.accepted || finish.relayed) return reply;
     return { accepted: await this._finishInDomain(finish) };
   }
 
@@ -198,7 +198,7 @@
     return this._membership.view.find(hostId)?.incarnation ?? 0;
   }
 
-  /** Writes a new map when hosts joined or left. The store accepts one of several concurrent writers. */
+  /** Writes a new slot map after hosts joined or left. Of concurrent writers, the store accepts only the first. */
   private async _updateSlotMap(): Promise<void> {
     const { clock, hostId, domain } = this._context;
     if (!this._planFor(this.holder.map())) {
@@ -240,7 +240,7 @@
     });
   }
 
-  /** The holder identifier of a host's current process, undefined while its incarnation is unknown. */
+  /** Returns the holder identifier of a host's current process, undefined while its incarnation is unknown. */
   private _holderOf(hostId: string): string | undefined {
     if (hostId === this._context.hostId) return holderId(hostId, this._context.incarnation);
     const incarnation = this._incarnationOf(hostId);
--- a/packages/entry/src/keyValueRuleStore.ts
+++ b/packages/entry/src/keyValueRuleStore.ts
@@ -1,6 +1,6 @@
 /**
- * Stores rules in the key-value service as a head, a snapshot and one key per later edit, so that the cost of a
- * change does not grow with the number of rules.
+ * Stores rules in the key-value service as a head, a snapshot and one key per later edit, so that the cost of an edit
+ * does not grow with the number of rules.
  */
 import { Deadline, err, ok, type Clock, type Result } from '@fuchsiahitch/base';
 import type { KeyValueStore, StoredValue, Write } from '@fuchsiahitch/clients';
@@ -21,8 +21,8 @@
 const HEAD_KEY = 'rules/head';
 const SNAPSHOT_KEY = 'rules/snapshot';
 const EDITS_PREFIX = 'rules/edits/';
-/** Number of revisions between snapshots. A snapshot replaces the edits before it. */
-const SNAPSHOT_EVERY = 32;
+/** In revisions. A snapshot replaces the edits before it. */
+const SNAPSHOT_INTERVAL = 32;
 const MAX_VALUE_BYTES = 1_000_000;
 const CALL_TIMEOUT_MS = 3000;
 const REVISION_DIGITS = 12;
@@ -47,7 +47,7 @@
     document: RuleDocument,
     edit: Edit,
   ): Promise<Result<undefined, RuleStoreError>> {
-    const isSnapshot = document.revision % SNAPSHOT_EVERY === 0;
+    const isSnapshot = document.revision % SNAPSHOT_INTERVAL === 0;
     if (isSnapshot) return this.restore(headVersion, document);
     const editKey = EDITS_PREFIX + String(document.revision).padStart(REVISION_DIGITS, '0');
     return this._write(headVersion, [
@@ -77,7 +77,7 @@
   }
 }
 
-/** Applies the edits to the snapshot. */
+/** Builds the current rules by applying the stored edits to the snapshot. */
 function assemble(values: readonly StoredValue[]): StoredRules {
   const headVersion = values.find(value => value.key === HEAD_KEY)?.version ?? 0;
   const snapshot = values.find(value => value.key === SNAPSHOT_KEY);
--- a/packages/entry/src/keyValueStepStore.ts
+++ b/packages/entry/src/keyValueStepStore.ts
@@ -61,11 +61,11 @@
   ): Promise<Result<undefined, StepStoreError>> {
     const chunkKey = chunkPrefix(key) + String(chunk.chunk);
     const value = JSON.stringify(chunk);
-    return this._done(await this._write(key, headVersion, [{ kind: 'put', key: chunkKey, value }]));
+    return this._discardVersion(await this._write(key, headVersion, [{ kind: 'put', key: chunkKey, value }]));
   }
 
   async close(key: string, headVersion: number, head: StepHead): Promise<Result<undefined, StepStoreError>> {
-    return this._done(
+    return this._discardVersion(
       await this._write(key, headVersion, [
         { kind: 'delete-prefix', prefix: chunkPrefix(key) },
         { kind: 'put', key: headKey(key), value: JSON.stringify(head) },
@@ -73,7 +73,7 @@
     );
   }
 
-  private _done(written: Result<number, StepStoreError>): Result<undefined, StepStoreError> {
+  private _discardVersion(written: Result<number, StepStoreError>): Result<undefined, StepStoreError> {
     return written.ok ? ok(undefined) : written;
   }
 
--- a/packages/entry/src/membershipService.ts
+++ b/packages/entry/src/membershipService.ts
@@ -22,9 +22,9 @@
 const PULL_TIMEOUT_MS = 2000;
 const LIST_PERIOD_MS = 2000;
 const LIST_TIMEOUT_MS = 1500;
-/** Documents of other domains are read in every n-th round. */
-const OTHER_DOMAINS_READ_EVERY = 2;
-/** Peers that are requested to ping an unresponsive host before it is suspected. */
+/** The documents of other domains are read once in this many rounds. */
+const OTHER_DOMAINS_READ_ROUNDS = 2;
+/** The number of peers that are asked to ping an unresponsive host before it becomes suspect. */
 const INDIRECT_PEERS = 2;
 
 /** Supplies the revisions that a ping carries, and receives those of peers. */
@@ -55,7 +55,7 @@
     this._list = list;
   }
 
-  /** Called whenever a member document changed. */
+  /** Registers a listener that is called whenever a member document has changed. */
   onDocumentsChange(listener: () => void): void {
     this._listeners.push(listener);
   }
@@ -93,30 +93,30 @@
     return [...this._documents.values()];
   }
 
-  /** Hosts of a failure domain that the membership list shows as live. */
+  /** Returns the hosts of a failure domain that are live according to the membership list. */
   liveHostsOf(domain: string): readonly HostEntry[] {
     return (this._documents.get(domain)?.hosts ?? []).filter(host => host.state === 'live');
   }
 
-  /** The address of a random live host of a failure domain, empty if none is known. */
+  /** Returns the address of a random live host of a failure domain, empty if none is known. */
   randomAddressOf(domain: string): string {
     const hosts = this.liveHostsOf(domain);
     const host = hosts[this._context.random.below(Math.max(1, hosts.length))];
     return host?.peerAddress ?? '';
   }
 
-  /** The address of a host of this failure domain, empty if unknown. */
+  /** Returns the address of a host of this failure domain, empty if unknown. */
   addressOf(hostId: string): string {
     if (hostId === this._context.hostId) return this.view.self().address;
     return this.view.find(hostId)?.address ?? '';
   }
 
-  /** Peers of this failure domain that are not dead, including suspected ones. */
+  /** Returns the peers of this failure domain that are not dead, including suspects. */
   livePeers(): readonly Member[] {
     return this.view.members().filter(member => member.state !== 'dead');
   }
 
-  /** Records that an endpoint is leaving, and notifies peers if this was not recorded before. */
+  /** Records that an endpoint is leaving, and notifies the peers if this is new. */
   announceLeaving(notice: LeavingNotice): void {
     if (!this.leaving.note(notice)) return;
     this._context.log.info('endpoint is leaving', { endpoint: notice.endpointId });
@@ -146,8 +146,8 @@
     const [sender] = ping.updates;
     if (!sender) return;
     this._revisionTracker?.onPeerRevisions(sender.address, ping);
-    const isSame = ping.membersDigest === this._membersDigest || ping.membersDigest === '';
-    if (!isSame) void this._pullDocuments(sender.address);
+    const isUpToDate = ping.membersDigest === this._membersDigest || ping.membersDigest === '';
+    if (!isUpToDate) void this._pullDocuments(sender.address);
   }
 
   private async _pingNext(): Promise<void> {
@@ -195,12 +195,12 @@
     for (const document of reply.value.documents) this._applyDocument(document);
   }
 
-  /** Only watchers read the list after the first read; other hosts receive changes through pings. */
+  /** After the first read, only watchers read the list. Other hosts learn of changes through pings. */
   private async _readList(): Promise<void> {
     const { domain, domains, hostId } = this._context;
     const hasOwnDocument = this._documents.has(domain);
     if (hasOwnDocument && !isWatcher('members', hostId, this.view.liveIds())) return;
-    const includesOtherDomains = this._listRound % OTHER_DOMAINS_READ_EVERY === 0;
+    const includesOtherDomains = this._listRound % OTHER_DOMAINS_READ_ROUNDS === 0;
     this._listRound += 1;
     const domainsToRead = includesOtherDomains ? domains : [domain];
     await Promise.all(domainsToRead.map(name => this._readDomain(name)));
@@ -212,7 +212,7 @@
     const parsed = memberDocumentSchema.safeParse(raw);
     if (parsed.success) this._applyDocument(parsed.data);
     else
-      this._context.log.error('membership list is invalid', {
+      this._context.log.error('invalid membership list ignored', {
         domain,
         problem: messageOf(parsed.error),
       });
--- a/packages/entry/src/ordersService.ts
+++ b/packages/entry/src/ordersService.ts
@@ -53,7 +53,7 @@
   private _watch: AbortController | undefined;
   private _lastReadMs = -Infinity;
   /** For each endpoint, the fencing token under which its version was read. */
-  private readonly _versionReadUnder = new Map<string, number>();
+  private readonly _versionReadTokens = new Map<string, number>();
   private readonly _versionRequestedMs = new Map<string, number>();
   private _pollIndex = 0;
 
@@ -94,29 +94,29 @@
     return this._guard.token() !== undefined;
   }
 
-  /** The target of each pool and its progress, for operators. */
+  /** Returns the target of each pool and its progress, for operators. */
   status(): readonly {
     readonly target: WeightTarget;
     readonly isDone: boolean;
     readonly aside: readonly string[];
   }[] {
-    const lines = [];
+    const statuses = [];
     for (const [pool, planner] of this._planners) {
       const target = planner.target();
       if (!target) continue;
       const isDone = planner.isDone(this._swapCandidates(pool));
-      lines.push({ target, isDone, aside: planner.excludedEndpoints() });
+      statuses.push({ target, isDone, aside: planner.excludedEndpoints() });
     }
-    return lines;
+    return statuses;
   }
 
-  /** Endpoints that do not check fencing tokens, and therefore obey late orders of a former leader. */
+  /** Returns the endpoints that do not check fencing tokens, and so obey late orders of a former leader. */
   unfenced(): readonly string[] {
     const engines = this._endpoints.ownDomain().filter(entry => entry.kind === 'engine');
     return engines.filter(entry => !entry.checksFencing).map(entry => entry.id);
   }
 
-  /** Sets the target version of a pool. Idempotent: an equal or later target is not overwritten. */
+  /** Sets the target version of a pool. Idempotent: an equal or later target is kept and returned. */
   async setTarget(pool: string, version: number): Promise<Result<WeightTarget, TargetError>> {
     const key = WEIGHTS_PREFIX + pool;
     let mayBeWritten = false;
@@ -160,20 +160,20 @@
     this._context.log.info('orders lease acquired', { token: created.value.version });
   }
 
-  private async _renew(held: HeldLease): Promise<void> {
+  private async _renew(lease: HeldLease): Promise<void> {
     const sentMs = this._context.clock.nowMs();
-    if (sentMs - held.renewedMs < RENEW_PERIOD_MS) return;
-    const keptAlive = await this._store.keepLease(held.leaseId, this._deadline());
+    if (sentMs - lease.renewedMs < RENEW_PERIOD_MS) return;
+    const keptAlive = await this._store.keepLease(lease.leaseId, this._deadline());
     if (!keptAlive.ok) return;
     if (keptAlive.value) {
-      held.renewedMs = sentMs;
-      this._guard.renewed(held.token, sentMs);
+      lease.renewedMs = sentMs;
+      this._guard.renewed(lease.token, sentMs);
     } else {
       this._resign();
     }
   }
 
-  /** Deletes the lease's key, so that a successor need not wait for the lease to expire. */
+  /** Gives up leadership. Deletes the lease's key, so that a successor need not wait for the lease to expire. */
   private _resign(): void {
     if (!this._lease) return;
     const { token } = this._lease;
@@ -233,11 +233,11 @@
   }
 
   /**
-   * A new leader reads the version of each endpoint before it sends orders. Versions read under an earlier lease may
-   * be stale, and a redundant order would make an endpoint reload the weights that it has.
+   * True if the version of an endpoint was read under the current lease; starts reading it otherwise. An earlier
+   * reading may be stale, and a redundant order would make the endpoint reload the weights that it has.
    */
   private _isVersionRead(endpointId: string, token: number): boolean {
-    if (this._versionReadUnder.get(endpointId) === token) return true;
+    if (this._versionReadTokens.get(endpointId) === token) return true;
     const nowMs = this._context.clock.nowMs();
     if (nowMs - (this._versionRequestedMs.get(endpointId) ?? -Infinity) < VERSION_READ_RETRY_MS) return false;
     this._versionRequestedMs.set(endpointId, nowMs);
@@ -247,7 +247,7 @@
 
   private async _sendOrder(planner: SwapPlanner, order: WeightOrder): Promise<void> {
     const endpoint = this._endpoints.ownDomain().find(entry => entry.id === order.endpointId);
-    // Check the lease again right before sending: the process may have been paused since planning.
+    // The process may have been paused since planning, so check the lease again.
     if (!endpoint || this._guard.token() !== order.token) {
       planner.ended(order.endpointId, 'failed');
       return;
@@ -275,12 +275,12 @@
       Deadline.after(this._context.clock, ORDER_TIMEOUT_MS),
     );
     if (!report) return;
-    if (this._lease) this._versionReadUnder.set(entry.id, this._lease.token);
+    if (this._lease) this._versionReadTokens.set(entry.id, this._lease.token);
     this._planners.get(entry.pool)?.readBack(entry.id, report);
     this._endpoints.applyReport(entry.id, report);
   }
 
-  /** The live engines of a pool in swap order, limited to the share that a rule stages. */
+  /** Returns the live engines of a pool in swap order, limited to the share that the rules stage. */
   private _swapCandidates(pool: string): readonly { readonly id: string; readonly isUsable: boolean }[] {
     const { domain } = this._context;
     const facts = {
--- a/packages/entry/src/peerDirectory.ts
+++ b/packages/entry/src/peerDirectory.ts
@@ -1,5 +1,5 @@
 /**
- * Links to other hosts by address, created on first use.
+ * The connections to other hosts by address, created on first use.
  */
 import { Deadline, err, PROGRAM_VERSION, type Result } from '@fuchsiahitch/base';
 import { PeerLink, type CallDefinition, type CallError, type PeerIdentity } from '@fuchsiahitch/protocol';
@@ -26,7 +26,7 @@
     timeoutMs: number,
     trace?: string,
   ): Promise<Result<A, CallError>> {
-    if (address === '') return err({ kind: 'not-sent', text: 'no such host' });
+    if (address === '') return err({ kind: 'not-sent', text: 'the host has no known address' });
     const deadline = Deadline.after(this._context.clock, timeoutMs);
     return this._link(address).call(call, request, deadline, trace);
   }
@@ -36,8 +36,8 @@
   }
 
   private _link(address: string): PeerLink {
-    const known = this._links.get(address);
-    if (known) return known;
+    const existing = this._links.get(address);
+    if (existing) return existing;
     const { settings, clock, metrics } = this._context;
     const link = new PeerLink({
       address,
--- a/packages/entry/src/rulesService.ts
+++ b/packages/entry/src/rulesService.ts
@@ -1,6 +1,6 @@
 /**
- * Maintains the rules in force on this host. Watchers follow the store, other hosts receive edits from peers. Accepts
- * edits from operators.
+ * Maintains the rules in force on this host and accepts edits from operators. Watchers read changes from the store,
+ * other hosts receive them from peers.
  */
 import { every, sleep, type Result } from '@fuchsiahitch/base';
 import { isWatcher } from '@fuchsiahitch/membership';
@@ -32,7 +32,7 @@
 export class RulesService {
   private readonly _context: HostContext;
   private readonly _store: KeyValueStore;
-  private readonly _rules: RuleStore;
+  private readonly _ruleStore: RuleStore;
   private readonly _membership: MembershipService;
   private readonly _peers: PeerCaller;
   private readonly _signals: SignalReader;
@@ -40,7 +40,7 @@
   private readonly _editor: RuleEditor;
   private _evaluator: RuleEvaluator;
   private _hasRules = false;
-  private _pulling: Promise<void> | undefined;
+  private _pendingPull: Promise<void> | undefined;
 
   constructor(
     context: HostContext,
@@ -52,7 +52,7 @@
   ) {
     this._context = context;
     this._store = store;
-    this._rules = rules;
+    this._ruleStore = rules;
     this._membership = membership;
     this._peers = peers;
     this._signals = signals;
@@ -96,17 +96,17 @@
     return this._hasRules;
   }
 
-  /** Pulls the rules from a peer with a later revision. An equal revision confirms that this host's rules are current. */
+  /** Pulls the rules from a peer that has a later revision. An equal revision confirms the rules of this host. */
   async onPeerRevision(address: string, revision: number): Promise<void> {
     if (revision > this.revision()) await this.pullFrom(address);
     else if (revision === this.revision() && revision > 0) this._hasRules = true;
   }
 
   async pullFrom(address: string): Promise<void> {
-    this._pulling ??= this._pull(address).finally(() => {
-      this._pulling = undefined;
+    this._pendingPull ??= this._pull(address).finally(() => {
+      this._pendingPull = undefined;
     });
-    await this._pulling;
+    await this._pendingPull;
   }
 
   async readStore(): Promise<Result<StoredRules, RuleStoreError>> {
@@ -118,7 +118,7 @@
     return loaded;
   }
 
-  /** Submits an edit. An accepted one is applied here and pushed to peers; other domains receive it through watchers. */
+  /** Submits an edit. If accepted, it is applied here and pushed to peers. Watchers of other domains read it. */
   async submit(edit: Edit): Promise<EditOutcome> {
     const outcome = await this._editor.submit(edit);
     if (outcome.kind === 'accepted') {
@@ -154,7 +154,7 @@
     const ended = new AbortController();
     const stop = (): void => ended.abort();
     stopped.addEventListener('abort', stop);
-    // End the watch when this host is no longer a watcher: each open watch counts as a call to the store.
+    // End the watch when this host is no longer a watcher, because each open watch counts as a call to the store.
     every(clock, READ_PERIOD_MS, ended.signal, () => {
       if (!this._isWatcher()) stop();
     });
