--- a/packages/entry/src/rolloutService.ts
+++ b/packages/entry/src/rolloutService.ts
@@ -41,7 +41,7 @@
 const SCORE_TRIES = 4;
 const PREFIX_LENGTH = 64;
 const EXPIRE_PERIOD_MS = 60_000;
-/** Allows for several lost renewals before the owner reassigns a batch. */
+/** Short enough that several renewals may be lost before the owner reassigns a batch. */
 const RENEW_PERIOD_MS = 3000;
 const MIN_SHARE = 0.01;
 
@@ -64,10 +64,10 @@
   private readonly _scorer: Scorer | undefined;
   private readonly _offers = new Map<string, StepOffer>();
   private readonly _schedule = new FairSchedule();
-  /** For each step, the number of running slots of each batch. */
+  /** The number of running slots, by step and batch. */
   private readonly _batches = new Map<string, Map<number, number>>();
-  /** The next position to copy from another host's samples of a step. */
-  private readonly _copiedUpTo = new Map<string, number>();
+  /** The next position to copy from another host's sample buffer, by step, host and epoch. */
+  private readonly _copyPositions = new Map<string, number>();
   private readonly _copying = new Set<string>();
   private _running = 0;
   private _isDraining = false;
@@ -118,29 +118,29 @@
     return [...this._offers.values()];
   }
 
-  /** Handles an owner's announcement that a step has work, or is over. */
+  /** Handles the announcement of a step's owner that the step is open or over. */
   onOffer(offer: StepOffer): void {
     const known = this._offers.get(offer.key);
     if (known && known.epoch > offer.epoch) return;
     if (offer.isOver) {
       this._offers.delete(offer.key);
       this.sampleBuffer.removeStep(offer.key);
-      for (const position of this._copiedUpTo.keys())
-        if (position.startsWith(`${offer.key}@`)) this._copiedUpTo.delete(position);
+      for (const positionKey of this._copyPositions.keys())
+        if (positionKey.startsWith(`${offer.key}@`)) this._copyPositions.delete(positionKey);
     } else {
       this._offers.set(offer.key, offer);
     }
   }
 
-  /** Stops pulling work. Running slots continue. */
+  /** Stops pulling work. Samples in progress are completed. */
   drain(): void {
     this._isDraining = true;
   }
 
   private async _pullWork(): Promise<void> {
     if (this._isDraining) return;
-    const open = this.offers().filter(offer => offer.hasWork);
-    const servable = open.filter(offer => this._freeSlotsFor(offer) > 0);
+    const offersWithWork = this.offers().filter(offer => offer.hasWork);
+    const servable = offersWithWork.filter(offer => this._freeSlotsFor(offer) > 0);
     const offer = this._schedule.next(servable);
     if (!offer) return;
     const count = Math.min(MAX_SLOTS_PER_PULL, this._freeSlotsFor(offer));
@@ -155,11 +155,11 @@
     for (const assignment of assignments) void this._runSlot(offer, assignment, batch);
   }
 
-  /** Free rollout slots, less those that queued requests will take. */
+  /** Returns the number of free rollout slots, less one for each queued request. */
   private _freeSlotsFor(offer: StepOffer): number {
     const { pool, reserve, maxInFlight } = this._policyFor(offer);
-    const room = this._dispatcher.freeRolloutSlots(pool, reserve) - this._dispatcher.queueSize(pool);
-    return Math.min(room, maxInFlight - this._running);
+    const freeSlots = this._dispatcher.freeRolloutSlots(pool, reserve) - this._dispatcher.queueSize(pool);
+    return Math.min(freeSlots, maxInFlight - this._running);
   }
 
   private _policyFor(offer: StepOffer): {
@@ -207,8 +207,8 @@
 
   private _addRunningSlots(key: string, batch: number, change: number): void {
     const batches = this._batches.get(key) ?? new Map<number, number>();
-    const left = (batches.get(batch) ?? 0) + change;
-    if (left > 0) batches.set(batch, left);
+    const slotCount = (batches.get(batch) ?? 0) + change;
+    if (slotCount > 0) batches.set(batch, slotCount);
     else batches.delete(batch);
     if (batches.size > 0) this._batches.set(key, batches);
     else this._batches.delete(key);
@@ -251,7 +251,7 @@
     return { sampleId, slot, text: generated.text, spans: spans.value, score };
   }
 
-  /** Generates a sample. A broken or preempted stream is resumed from the tokens already generated. */
+  /** Generates a sample. A broken or preempted stream is resumed after the tokens already generated. */
   private async _generate(offer: StepOffer, assignment: Assignment): Promise<Generated | SampleFailure> {
     const recorder = new SpanRecorder();
     const deadline = Deadline.after(this._context.clock, Math.max(0, offer.deadlineInMs));
@@ -264,21 +264,21 @@
       }
     };
     while (!deadline.isOver() && breaks <= MAX_STREAM_BREAKS) {
-      const before = recorder.tokens();
-      const run = await this._runStream(offer, assignment, {
+      const tokensBefore = recorder.tokens();
+      const attempt = await this._runStream(offer, assignment, {
         text,
         tokens: recorder.tokens(),
         onChunks,
         deadline,
       });
-      if (run === undefined) return { kind: 'too-late' };
-      const { end, endpoint } = run;
+      if (attempt === undefined) return { kind: 'too-late' };
+      const { end, endpoint } = attempt;
       if (end.kind === 'done') return { recorder, text, tokens: end.tokens };
       if (end.kind === 'failed' && end.status < 500) return { kind: 'prompt' };
-      // If the prompt crashed the engine, a retry would crash the next one. The step's owner decides, because it
-      // receives the reports of all workers. A stream that generated tokens is not the cause.
-      const isFruitless = end.kind === 'broken' && recorder.tokens() === before;
-      if (isFruitless && (await this._hasTerminated(endpoint)))
+      // If the prompt crashed the engine, a retry would crash the next one. The step's owner decides whether to retry,
+      // because it receives the reports of all workers. A stream that generated tokens did not crash the engine.
+      const madeNoProgress = end.kind === 'broken' && recorder.tokens() === tokensBefore;
+      if (madeNoProgress && (await this._hasTerminated(endpoint)))
         return { kind: 'engine-ended', engine: endpoint.id };
       if (end.kind !== 'cancelled') breaks += 1;
       await sleep(this._context.clock, RETRY_PAUSE_MS);
@@ -286,7 +286,7 @@
     return { kind: 'engine' };
   }
 
-  /** True if the engine of a broken stream no longer answers. */
+  /** True if an engine no longer answers. */
   private async _hasTerminated(endpoint: CallableEndpoint): Promise<boolean> {
     const deadline = Deadline.after(this._context.clock, ENGINE_REPORT_TIMEOUT_MS);
     return (await this._engines.report(endpoint.url, deadline)) === undefined;
@@ -304,7 +304,7 @@
   ): Promise<EndedStream | undefined> {
     const policy = this._policyFor(offer);
     const stop = new AbortController();
-    const turn = await this._dispatcher.acquire(
+    const dispatched = await this._dispatcher.acquire(
       {
         pool: policy.pool,
         ownDomain: this._context.domain,
@@ -320,8 +320,8 @@
       () => true,
       stop.signal,
     );
-    if (turn.kind !== 'acquired') return undefined;
-    const { endpoint } = turn;
+    if (dispatched.kind !== 'acquired') return undefined;
+    const { endpoint } = dispatched;
     const removePreemptible = this._dispatcher.addPreemptible(endpoint.id, () => stop.abort());
     const endpointSpan = this._context.tracing.startSpan('endpoint', undefined);
     const end = await this._engines.generate(
@@ -359,8 +359,8 @@
   }
 
   /**
-   * Scores a sample by its identifier. After a lost answer it looks the score up first, so that no sample is scored
-   * twice. Returns undefined if the score remains unknown; the sample is then generated again under a new identifier.
+   * Scores a sample. If the answer is lost, the score is looked up first, so that no sample is scored twice. Returns
+   * undefined if the score remains unknown; the sample is then generated again under a new identifier.
    */
   private async _score(assignment: Assignment, text: string): Promise<number | undefined> {
     if (!this._scorer) return 0;
@@ -385,15 +385,15 @@
   }
 
   /**
-   * If this worker is also the step's owner, both copies of a sample would be lost with the host, and the step would
-   * generate it again. A peer therefore fetches a copy; it pulls, because ages count from the time of its request.
+   * Requests a peer to copy new samples if this host is both worker and owner of the step, so that the samples survive
+   * the loss of this host. The peer fetches them, because ages count from the time of its request.
    */
   private _requestCopy(offer: StepOffer): void {
     if (splitHolder(offer.owner).hostId !== this._context.hostId) return;
     const others = this._membership.livePeers().map(peer => peer.hostId);
-    const [copier] = rendezvous(offer.key, others);
-    if (copier === undefined) return;
-    const address = this._membership.addressOf(copier);
+    const [copyHostId] = rendezvous(offer.key, others);
+    if (copyHostId === undefined) return;
+    const address = this._membership.addressOf(copyHostId);
     void this._peers.call(address, calls.shelfGrew, { key: offer.key }, REPORT_TIMEOUT_MS);
   }
 
@@ -401,19 +401,19 @@
     const offer = this._offers.get(key);
     if (!offer) return;
     // A restarted host has an empty buffer; the later epoch of the step resets the position.
-    const position = `${key}@${hostId}@${offer.epoch}`;
-    if (this._copying.has(position)) return;
-    this._copying.add(position);
+    const positionKey = `${key}@${hostId}@${offer.epoch}`;
+    if (this._copying.has(positionKey)) return;
+    this._copying.add(positionKey);
     const source = {
       address: this._membership.addressOf(hostId),
       key,
-      from: this._copiedUpTo.get(position) ?? 0,
+      from: this._copyPositions.get(positionKey) ?? 0,
     };
-    const end = await fetchSamples(this._context, this._peers, source, ({ ageMs, ...sample }, askedMs) =>
-      this.sampleBuffer.keep(key, sample, askedMs - ageMs),
+    const end = await fetchSamples(this._context, this._peers, source, ({ ageMs, ...sample }, requestedMs) =>
+      this.sampleBuffer.keep(key, sample, requestedMs - ageMs),
     );
-    this._copiedUpTo.set(position, end);
-    this._copying.delete(position);
+    this._copyPositions.set(positionKey, end);
+    this._copying.delete(positionKey);
   }
 
   private async _reportDone(key: string, sampleId: string): Promise<void> {
--- a/packages/entry/src/sampleBuffer.ts
+++ b/packages/entry/src/sampleBuffer.ts
@@ -1,6 +1,6 @@
 /**
- * Retains finished samples until their step is over, so that a new owner of the step can recover them. Each sample
- * has two copies: the worker's and the owner's. If the worker is the owner, a peer fetches the second copy.
+ * Retains finished samples until their step is over, so that a new owner of the step can recover them. The worker and
+ * the owner each hold a copy of a sample. If they are the same host, a peer fetches a second copy.
  */
 import type { Clock } from '@fuchsiahitch/base';
 import type { Sample } from '@fuchsiahitch/steps';
@@ -15,7 +15,7 @@
   readonly byId: Map<string, BufferedSample>;
 }
 
-/** Samples of a step in order of arrival. */
+/** Consecutive samples of a step, in order of arrival. */
 export interface SamplePage {
   readonly samples: readonly Sample[];
   /** The position of the next page. */
@@ -23,9 +23,9 @@
   readonly hasMore: boolean;
 }
 
-/** Keeps a page with its texts below the maximum frame size. */
+/** Small enough to keep a page below the maximum frame size. */
 const PAGE_SIZE = 64;
-/** Retention of a step that was never reported as over. */
+/** For samples of steps that were never reported as over. */
 const RETENTION_MS = 3_600_000;
 
 export class SampleBuffer {
@@ -36,6 +36,7 @@
     this._clock = clock;
   }
 
+  /** Adds a sample unless the buffer already has it. */
   keep(key: string, sample: Omit<Sample, 'ageMs'>, createdMs: number): void {
     const step = this._steps.get(key) ?? { samples: [], byId: new Map<string, BufferedSample>() };
     this._steps.set(key, step);
@@ -45,13 +46,13 @@
     step.byId.set(sample.sampleId, added);
   }
 
-  /** The sample with its current age. */
+  /** Returns a sample with its current age. */
   sampleWithAge(key: string, sampleId: string): Sample | undefined {
     const found = this._steps.get(key)?.byId.get(sampleId);
     return found && this._toSample(found);
   }
 
-  /** One page of a step's samples, beginning at a position. */
+  /** Returns the page of a step's samples that begins at a position. */
   page(key: string, from: number): SamplePage {
     const samples = this._steps.get(key)?.samples ?? [];
     const page = samples.slice(from, from + PAGE_SIZE);
@@ -67,7 +68,7 @@
   removeExpired(): void {
     const nowMs = this._clock.nowMs();
     for (const [key, step] of this._steps) {
-      if (step.samples.every(one => nowMs - one.createdMs > RETENTION_MS)) this._steps.delete(key);
+      if (step.samples.every(sample => nowMs - sample.createdMs > RETENTION_MS)) this._steps.delete(key);
     }
   }
 
--- a/packages/entry/src/stepService.ts
+++ b/packages/entry/src/stepService.ts
@@ -26,13 +26,14 @@
 const CALL_TIMEOUT_MS = 10_000;
 const OFFER_TIMEOUT_MS = 2000;
 const OFFER_PERIOD_MS = 1000;
-/** Unchanged offers are repeated every n-th round, so that hosts that joined receive them. */
+/** Unchanged offers are repeated after this many rounds, for hosts that have joined since. */
 const OFFER_REPEAT_ROUNDS = 5;
+/** A call is relayed at most twice: to a host of the step's home domain, then to the owner. */
 const MAX_HOPS = 2;
 const RETRY_AFTER_MS = 500;
 const DEFAULT_HEDGE_SHARE = 0.05;
 const DEFAULT_SHARE = 0.5;
-/** Closed steps are retained to answer late calls without reading the store. */
+/** Closed steps are retained for this time, to answer late calls without reading the store. */
 const CLOSED_RETENTION_MS = 60_000;
 
 const NO_PROGRESS = { open: 0, assigned: 0, ready: 0, sealed: 0, delivered: 0, failed: 0 };
@@ -46,17 +47,17 @@
 
 interface OwnedStep {
   readonly owner: StepOwner;
-  lastOffer: string;
+  lastOfferState: string;
   closedMs: number | undefined;
 }
 
-/** Where the owner of a step is. */
+/** Where the owner of a step is. `moving`: the owner is being replaced, or is not reachable. */
 type StepLocation =
-  | { readonly kind: 'here'; readonly step: OwnedStep }
-  | { readonly kind: 'there'; readonly address: string }
+  | { readonly kind: 'local'; readonly step: OwnedStep }
+  | { readonly kind: 'remote'; readonly address: string }
   | { readonly kind: 'none' }
   | { readonly kind: 'moving' }
-  | { readonly kind: 'store-out' };
+  | { readonly kind: 'store-unavailable' };
 
 export class StepService {
   private readonly _context: HostContext;
@@ -122,52 +123,52 @@
 
   async open(spec: StepSpec, hops = 0): Promise<OpenReply> {
     const key = stepKey(spec.trainer, spec.step);
-    const place = await this._locate(key);
-    switch (place.kind) {
-      case 'here':
-        return openedReply(place.step.owner, spec);
+    const location = await this._locate(key);
+    switch (location.kind) {
+      case 'local':
+        return openedReply(location.step.owner, spec);
       case 'none':
         return this._create(key, spec);
-      case 'there':
-        return (await this._relay(place.address, calls.stepOpen, spec, hops)) ?? tryLater('owner-moving');
+      case 'remote':
+        return (await this._relay(location.address, calls.stepOpen, spec, hops)) ?? tryLater('owner-moving');
       case 'moving':
         return tryLater('owner-moving');
-      case 'store-out':
+      case 'store-unavailable':
         return tryLater('store-unavailable');
     }
   }
 
   async take(request: TakeRequest, hops = 0): Promise<TakeReply> {
-    const place = await this._locate(request.key);
-    switch (place.kind) {
-      case 'here':
-        return this._takeHere(place.step, request);
+    const location = await this._locate(request.key);
+    switch (location.kind) {
+      case 'local':
+        return this._takeLocally(location.step, request);
       case 'none':
         return { kind: 'unknown-step' };
-      case 'there':
-        return (await this._relay(place.address, calls.stepTake, request, hops)) ?? OWNER_MOVING;
+      case 'remote':
+        return (await this._relay(location.address, calls.stepTake, request, hops)) ?? OWNER_MOVING;
       case 'moving':
         return OWNER_MOVING;
-      case 'store-out':
+      case 'store-unavailable':
         return STORE_UNAVAILABLE;
     }
   }
 
   async abandon(key: string, hops = 0): Promise<{ readonly abandoned: boolean }> {
-    const place = await this._locate(key);
-    if (place.kind === 'there') {
-      return (await this._relay(place.address, calls.stepAbandon, { key }, hops)) ?? { abandoned: false };
+    const location = await this._locate(key);
+    if (location.kind === 'remote') {
+      return (await this._relay(location.address, calls.stepAbandon, { key }, hops)) ?? { abandoned: false };
     }
-    return { abandoned: place.kind === 'here' && (await place.step.owner.abandon()) };
+    return { abandoned: location.kind === 'local' && (await location.step.owner.abandon()) };
   }
 
   async progress(key: string, hops = 0): Promise<StepProgress> {
     const unknown = { known: false, progress: NO_PROGRESS, hedges: 0, duplicates: 0 };
-    const place = await this._locate(key);
-    if (place.kind === 'there')
-      return (await this._relay(place.address, calls.stepProgress, { key }, hops)) ?? unknown;
-    if (place.kind !== 'here') return unknown;
-    const { ledger } = place.step.owner;
+    const location = await this._locate(key);
+    if (location.kind === 'remote')
+      return (await this._relay(location.address, calls.stepProgress, { key }, hops)) ?? unknown;
+    if (location.kind !== 'local') return unknown;
+    const { ledger } = location.step.owner;
     return {
       known: true,
       progress: ledger.counts(),
@@ -176,7 +177,7 @@
     };
   }
 
-  private async _takeHere(step: OwnedStep, request: TakeRequest): Promise<TakeReply> {
+  private async _takeLocally(step: OwnedStep, request: TakeRequest): Promise<TakeReply> {
     const deliverySpan = this._context.tracing.startSpan('delivery', undefined);
     const reply = await step.owner.take(request);
     deliverySpan.end({ step: request.key, end: reply.kind });
@@ -196,52 +197,52 @@
     return reply.ok ? reply.value : undefined;
   }
 
-  /** Locates the owner of a step. Takes the step over if its owner is dead and this host is its successor. */
+  /** Locates the owner of a step. Takes the step over if its owner is dead and this host is the successor. */
   private async _locate(key: string): Promise<StepLocation> {
     const owned = this._owned.get(key);
-    if (owned && !owned.owner.isFenced()) return { kind: 'here', step: owned };
+    if (owned && !owned.owner.isFenced()) return { kind: 'local', step: owned };
     const trainer = key.slice(0, key.lastIndexOf('/'));
     const home = homeDomain(trainer, this._context.domains);
     if (home !== this._context.domain) return this._locateInDomain(home);
-    const offer = this._rollouts.offers().find(one => one.key === key);
+    const offer = this._rollouts.offers().find(candidate => candidate.key === key);
     const known = offer && this._liveAddress(offer.owner);
-    if (known) return { kind: 'there', address: known };
+    if (known) return { kind: 'remote', address: known };
     const [wanted = ''] = rendezvous(key, this._membership.view.liveIds());
     if (wanted !== this._context.hostId)
-      return { kind: 'there', address: this._membership.addressOf(wanted) };
-    const taking =
+      return { kind: 'remote', address: this._membership.addressOf(wanted) };
+    const takeover =
       this._takeovers.get(key) ?? this._loadOrTakeOver(key).finally(() => this._takeovers.delete(key));
-    this._takeovers.set(key, taking);
-    return taking;
+    this._takeovers.set(key, takeover);
+    return takeover;
   }
 
   private _locateInDomain(domain: string): StepLocation {
     const address = this._membership.randomAddressOf(domain);
-    return address === '' ? { kind: 'moving' } : { kind: 'there', address };
+    return address === '' ? { kind: 'moving' } : { kind: 'remote', address };
   }
 
-  /** The address of a holder, or empty if its process is not known to be running. */
+  /** Returns the address of a holder, empty if its process is not known to be running. */
   private _liveAddress(holder: string): string {
     const { hostId, incarnation } = splitHolder(holder);
     const member = this._membership.view.find(hostId);
-    const isSame = member?.incarnation === incarnation && member.state !== 'dead';
-    return isSame ? member.address : '';
+    const isRunning = member?.incarnation === incarnation && member.state !== 'dead';
+    return isRunning ? member.address : '';
   }
 
   private async _loadOrTakeOver(key: string): Promise<StepLocation> {
     const loaded = await this._store.load(key);
-    if (!loaded.ok) return { kind: 'store-out' };
+    if (!loaded.ok) return { kind: 'store-unavailable' };
     if (!loaded.value) return { kind: 'none' };
     const { head } = loaded.value;
-    if (head.state !== 'open') return { kind: 'here', step: this._add(key, loaded.value) };
+    if (head.state !== 'open') return { kind: 'local', step: this._add(key, loaded.value) };
     const address = this._liveAddress(head.owner);
-    if (address !== '') return { kind: 'there', address };
+    if (address !== '') return { kind: 'remote', address };
     const takenOver = await takeOver(this._store, key, loaded.value, this._selfHolderId());
-    if (!takenOver.ok) return { kind: takenOver.error === 'fenced' ? 'moving' : 'store-out' };
+    if (!takenOver.ok) return { kind: takenOver.error === 'fenced' ? 'moving' : 'store-unavailable' };
     this._context.log.info('step taken over', { step: key, epoch: takenOver.value.head.epoch });
     const step = this._add(key, takenOver.value);
     await this._adoptFromWorkers(step.owner);
-    return { kind: 'here', step };
+    return { kind: 'local', step };
   }
 
   private async _create(key: string, spec: StepSpec): Promise<OpenReply> {
@@ -261,12 +262,12 @@
     const options = { key, clock, random, store: this._store, hedgeShare: DEFAULT_HEDGE_SHARE };
     const isClosed = stored.head.state !== 'open';
     const owner = new StepOwner(stored, options);
-    const step: OwnedStep = { owner, lastOffer: '', closedMs: isClosed ? clock.nowMs() : undefined };
+    const step: OwnedStep = { owner, lastOfferState: '', closedMs: isClosed ? clock.nowMs() : undefined };
     this._owned.set(key, step);
     return step;
   }
 
-  /** Fetches the buffered samples of a step from all reachable workers. */
+  /** Recovers the buffered samples of a step from this host and all reachable workers. */
   private async _adoptFromWorkers(owner: StepOwner): Promise<void> {
     const others = this._context.domains.filter(domain => domain !== this._context.domain);
     const remote = others.flatMap(domain =>
@@ -278,10 +279,10 @@
   }
 
   private _adoptLocal(owner: StepOwner): void {
-    const askedMs = this._context.clock.nowMs();
+    const requestedMs = this._context.clock.nowMs();
     for (let from = 0, hasMore = true; hasMore;) {
       const page = this._rollouts.sampleBuffer.page(owner.key, from);
-      for (const sample of page.samples) owner.ledger.adopt(sample, askedMs);
+      for (const sample of page.samples) owner.ledger.adopt(sample, requestedMs);
       from = page.next;
       ({ hasMore } = page);
     }
@@ -289,8 +290,8 @@
 
   private async _adoptFrom(owner: StepOwner, address: string): Promise<void> {
     const source = { address, key: owner.key, from: 0 };
-    await fetchSamples(this._context, this._peers, source, (sample, askedMs) =>
-      owner.ledger.adopt(sample, askedMs),
+    await fetchSamples(this._context, this._peers, source, (sample, requestedMs) =>
+      owner.ledger.adopt(sample, requestedMs),
     );
   }
 
@@ -298,7 +299,7 @@
     const step = this._owned.get(key);
     if (!step) return 'unknown-step';
     const verdict = step.owner.sampleDone(sample);
-    // The attempt was assigned by a former owner. Fetch the sample, so that its age counts from a known time.
+    // A former owner assigned the attempt. Fetch the sample instead, so that its age counts from a known time.
     if (verdict === 'unknown-attempt') void this._adoptFrom(step.owner, this._workerAddress(worker));
     return verdict;
   }
@@ -327,14 +328,14 @@
     }
   }
 
-  /** Sends the offer to all hosts of the domain and one host per other domain if it changed or is due again. */
+  /** Offers the step to all hosts of this domain and one host per other domain, on changes and periodically. */
   private _publishOffer(step: OwnedStep): void {
     const { owner } = step;
     const hasWork = !owner.isOver() && owner.ledger.hasWork();
-    const state = `${hasWork}/${owner.isOver()}`;
+    const offerState = `${hasWork}/${owner.isOver()}`;
     const isDue = this._round % OFFER_REPEAT_ROUNDS === 0 && step.closedMs === undefined;
-    if (state === step.lastOffer && !isDue) return;
-    step.lastOffer = state;
+    if (offerState === step.lastOfferState && !isDue) return;
+    step.lastOfferState = offerState;
     const offer: StepOffer = {
       key: owner.key,
       house: owner.spec.house,
@@ -368,7 +369,7 @@
     return {};
   }
 
-  /** Releases a step after learning of a successor, for example when this host was paused past its ownership. */
+  /** Releases a step that another host has taken over, for example while this process was paused. */
   private _releaseStep(owner: StepOwner): void {
     owner.fence();
     this._owned.delete(owner.key);
