--- a/packages/entry/src/entryHost.ts
+++ b/packages/entry/src/entryHost.ts
@@ -71,10 +71,10 @@
     this.addresses = addresses;
   }
 
-  /** Starts a host and resolves once it listens. It becomes ready after it has received the rules. */
+  /** Starts a host and resolves once it listens. The host becomes ready when it has received the rules. */
   static async start(settings: EntrySettings, clock: Clock, random: Random): Promise<EntryHost> {
     const stop = new AbortController();
-    // Each service loop adds a listener; their number exceeds the default warning limit.
+    // Each service loop adds a listener, which would exceed the default limit and log a warning.
     setMaxListeners(0, stop.signal);
     const tracing = await Tracing.open(settings['trace-file'], settings['host-id']);
     const context = createContext(settings, clock, random, tracing, stop.signal);
@@ -115,8 +115,8 @@
   }
 
   /**
-   * Shuts down gracefully: reports not ready while still serving requests from the load balancer, then waits for
-   * requests in flight and hands over idempotency keys.
+   * Shuts down gracefully: reports not ready while it serves the requests that the load balancer still sends, waits for
+   * requests in flight, then hands over its idempotency keys.
    */
   async shutDown(): Promise<void> {
     const { settings, clock, log } = this._context;
@@ -136,7 +136,7 @@
     this._stop.abort();
     this._peers.close();
     await this._server.close();
-    log.info('ended', { isHandedOver, inFlight: requests.inFlight() + rollouts.running() });
+    log.info('shut down', { isHandedOver, inFlight: requests.inFlight() + rollouts.running() });
   }
 
   private async _waitForInFlight(deadline: Deadline): Promise<void> {
--- a/packages/entry/src/entryServices.ts
+++ b/packages/entry/src/entryServices.ts
@@ -118,7 +118,7 @@
   );
 }
 
-/** Keeps this host's share of the fleet's store calls in step with the number of listed hosts. */
+/** Periodically adapts this host's share of the store's call rate to the number of live hosts. */
 async function updateBudgetShare(context: HostContext, services: EntryServices): Promise<void> {
   while (!context.stopped.aborted) {
     const hosts = context.domains.reduce(
@@ -140,7 +140,7 @@
   membership.register(ports.registry);
   const revisionTracker = new DeferredRevisionTracker();
   await membership.start(revisionTracker);
-  // Joining raises the incarnation above any that peers have recorded, in case the wall clock went back.
+  // Joining may have raised the incarnation above that of an earlier process whose wall clock was ahead.
   const joined = { ...context, incarnation: membership.view.self().incarnation };
   const services = createServices(joined, ports, membership);
   revisionTracker.set(services);
@@ -149,7 +149,7 @@
   return services;
 }
 
-/** Pings start before the other services exist; until then they carry revision 0. */
+/** Reports revision 0 until the services exist, because pings start before them. */
 class DeferredRevisionTracker {
   private _services: EntryServices | undefined;
 
--- a/packages/entry/src/entrySettings.ts
+++ b/packages/entry/src/entrySettings.ts
@@ -6,7 +6,7 @@
 import * as z from 'zod';
 
 const MIN_SECRET_LENGTH = 16;
-const url = z.string().regex(/^http:\/\/\d+\.\d+\.\d+\.\d+:\d+$/, 'not a URL http://IP:port');
+const url = z.string().regex(/^http:\/\/\d+\.\d+\.\d+\.\d+:\d+$/, 'not a URL of the form http://IP:port');
 const optionalUrl = z.union([z.literal(''), url]);
 const nameList = z
   .string()
@@ -22,7 +22,7 @@
   domain: { schema: nameSchema, help: 'the failure domain of this host' },
   domains: {
     schema: nameList,
-    help: 'all failure domains of the deployment, separated by commas, alike on all hosts',
+    help: 'all failure domains of the deployment, separated by commas; must be the same on all hosts',
   },
   'callers-address': { schema: addressSchema, help: 'IP:port for callers', fallback: '127.0.0.1:0' },
   'trainers-address': { schema: addressSchema, help: 'IP:port for trainers', fallback: '127.0.0.1:0' },
@@ -36,12 +36,12 @@
   'members-url': { schema: url, help: "http://IP:port of the platform's membership list" },
   'scorer-url': {
     schema: optionalUrl,
-    help: 'http://IP:port of the scoring service; empty to give score 0',
+    help: 'http://IP:port of the scoring service; empty to score every sample 0',
     fallback: '',
   },
   seeds: {
     schema: addressList,
-    help: 'IP:port of peers to join by, besides the membership list',
+    help: 'IP:port of peers to join, in addition to those on the membership list, separated by commas',
     fallback: '',
   },
   'fleet-key': {
@@ -50,29 +50,33 @@
   },
   'operator-token': {
     schema: z.string().min(MIN_SECRET_LENGTH, `shorter than ${MIN_SECRET_LENGTH} characters`),
-    help: 'the token that operators send as a bearer token',
+    help: 'the bearer token that operators send',
   },
   'store-calls-per-second': {
     schema: integerSchema(10, 2000),
-    help: 'calls a second to the key-value service, for the whole fleet',
+    help: 'calls per second to the key-value service, for the whole fleet',
     fallback: '600',
   },
   'accounts-file': {
     schema: z.string(),
-    help: 'a YAML file of client accounts and their keys, read again at SIGHUP; empty to ask callers for none',
+    help: 'a YAML file of client accounts and their keys, reloaded on SIGHUP; empty to admit callers without a key',
     fallback: '',
   },
   'drain-ms': {
     schema: integerSchema(0, 600_000),
-    help: 'milliseconds to go on serving after SIGTERM, while the balancer still sends',
+    help: 'milliseconds to continue serving after SIGTERM, while the load balancer still sends requests',
     fallback: '3000',
   },
   'max-shutdown-ms': {
     schema: integerSchema(1000, 3_600_000),
-    help: 'milliseconds after SIGTERM by which the process ends, whatever is in flight',
+    help: 'milliseconds after SIGTERM by which the process exits, even with requests in flight',
     fallback: '120000',
   },
   'log-level': { schema: z.enum(logLevels), help: `one of ${logLevels.join(', ')}`, fallback: 'info' },
-  'trace-file': { schema: z.string(), help: 'a file for spans as JSON lines; empty for none', fallback: '' },
+  'trace-file': {
+    schema: z.string(),
+    help: 'a file to write spans to, as JSON lines; empty to write none',
+    fallback: '',
+  },
 };
 export type EntrySettings = SettingValues<typeof entrySettings>;
--- a/packages/entry/src/fleetStatus.ts
+++ b/packages/entry/src/fleetStatus.ts
@@ -31,7 +31,7 @@
   readonly store: BudgetedStore;
 }
 
-/** A listed host. `status` is undefined if the host did not answer. */
+/** A host on the membership list. `status` is undefined if the host did not answer. */
 export interface HostStatusEntry {
   readonly hostId: string;
   readonly domain: string;
@@ -52,7 +52,7 @@
     server.handle(calls.hostStatus, () => this.ownStatus());
   }
 
-  /** Makes the host report not ready, so that the load balancer stops sending. */
+  /** Makes the host report not ready, so that the load balancer stops sending requests. */
   drain(): void {
     this._isDraining = true;
   }
@@ -83,7 +83,7 @@
     };
   }
 
-  /** The status of all listed hosts, and the steps, endpoints and orders of this one. */
+  /** Reads the status of all listed hosts, and the steps, endpoints and orders of this one. */
   async read(): Promise<unknown> {
     const { steps, endpoints, orders } = this._sources;
     return {
--- a/packages/entry/src/hostPorts.ts
+++ b/packages/entry/src/hostPorts.ts
@@ -1,11 +1,11 @@
 /**
- * Interfaces between a host and the outside: implemented over sockets in the daemon, and by fakes in tests.
+ * Interfaces of a host to the network, implemented over sockets in the daemon and by fakes in tests.
  */
 import type { Result } from '@fuchsiahitch/base';
 import type { EngineClient, KeyValueStore, MemberList, Scorer, ServiceClient } from '@fuchsiahitch/clients';
 import type { CallContext, CallDefinition, CallError } from '@fuchsiahitch/protocol';
 
-/** Calls other hosts. An empty address stands for an unknown host. */
+/** Calls other hosts. An empty address stands for an unknown one: the call fails. */
 export interface PeerCaller {
   call<Q, A>(
     address: string,
--- a/packages/entry/src/main.ts
+++ b/packages/entry/src/main.ts
@@ -12,14 +12,14 @@
 
 const host = await EntryHost.start(settings.value, new SystemClock(), new SystemRandom());
 
-let isEnding = false;
-async function end(): Promise<void> {
-  if (isEnding) return;
-  isEnding = true;
+let isShuttingDown = false;
+async function shutDown(): Promise<void> {
+  if (isShuttingDown) return;
+  isShuttingDown = true;
   await host.shutDown();
   process.exit(0);
 }
 
 process.on('SIGHUP', () => void host.reload());
-process.on('SIGTERM', () => void end());
-process.on('SIGINT', () => void end());
+process.on('SIGTERM', () => void shutDown());
+process.on('SIGINT', () => void shutDown());
