--- a/packages/entry/src/callerAccounts.ts
+++ b/packages/entry/src/callerAccounts.ts
@@ -46,7 +46,7 @@
   async load(): Promise<readonly string[]> {
     if (this._path === '') return [];
     const problems = await this._read();
-    if (problems.length === 0) this._log.info('accounts loaded', { accounts: this._accounts.length });
+    if (problems.length === 0) this._log.info('accounts', { accounts: this._accounts.length });
     else
       this._log.error('accounts file rejected; previous accounts stay in force', {
         problems: problems.join('; '),
--- a/packages/entry/src/entryHost.ts
+++ b/packages/entry/src/entryHost.ts
@@ -136,7 +136,7 @@
     this._stop.abort();
     this._peers.close();
     await this._server.close();
-    log.info('shut down', { isHandedOver, inFlight: requests.inFlight() + rollouts.running() });
+    log.info('ended', { isHandedOver, inFlight: requests.inFlight() + rollouts.running() });
   }
 
   private async _waitForInFlight(deadline: Deadline): Promise<void> {
