--- a/packages/batches/src/records.ts
+++ b/packages/batches/src/records.ts
@@ -14,14 +14,14 @@
     items: z.number().int().min(0),
     /** The number of records of the submitted batch. */
     parts: z.number().int().min(1),
-    /** Determines when the records may be removed. */
+    /** Wall time of the acceptance. Records are removed some time after it. */
     acceptedWallMs: z.number(),
     takeovers: z.number().int().min(0),
   })
   .readonly();
 export type Claim = z.infer<typeof claimSchema>;
 
-/** Reports an owner's claim to the other hosts. `revision` is that of the record. */
+/** Announces an owner's claim to the other hosts. `revision` is the claim record's. */
 export const claimUpdateSchema = z
   .strictObject({ batchId: z.string(), claim: claimSchema, revision: z.number().int().min(0) })
   .readonly();
@@ -44,20 +44,20 @@
   readonly key: string;
 }
 
-export function readClaim(key: string, text: string): Result<Claim, RecordError> {
-  return parse(key, text, claimSchema);
+export function parseClaim(key: string, text: string): Result<Claim, RecordError> {
+  return parseRecord(key, text, claimSchema);
 }
 
-export function readResults(key: string, text: string): Result<readonly ItemResult[], RecordError> {
-  return parse(key, text, resultListSchema);
+export function parseResults(key: string, text: string): Result<readonly ItemResult[], RecordError> {
+  return parseRecord(key, text, resultListSchema);
 }
 
-export function readStep(key: string, text: string): Result<StepRecord, RecordError> {
-  return parse(key, text, stepRecordSchema);
+export function parseStep(key: string, text: string): Result<StepRecord, RecordError> {
+  return parseRecord(key, text, stepRecordSchema);
 }
 
-export function readProgress(key: string, text: string): Result<readonly ItemEvents[], RecordError> {
-  return parse(key, text, progressListSchema);
+export function parseProgress(key: string, text: string): Result<readonly ItemEvents[], RecordError> {
+  return parseRecord(key, text, progressListSchema);
 }
 
 /** Serializes the batch into parts that each fit one record. */
@@ -70,10 +70,10 @@
 }
 
 export function joinBatch(key: string, parts: readonly string[]): Result<Batch, RecordError> {
-  return parse(key, parts.join(''), batchSchema);
+  return parseRecord(key, parts.join(''), batchSchema);
 }
 
-/** The number of results that fit one record, at least one. */
+/** Returns how many of the first results fit one record; at least one if there are any. */
 export function countFitting(results: readonly ItemResult[]): number {
   let units = 0;
   let count = 0;
@@ -86,7 +86,7 @@
   return count;
 }
 
-function parse<T>(key: string, text: string, schema: z.ZodType<T>): Result<T, RecordError> {
+function parseRecord<T>(key: string, text: string, schema: z.ZodType<T>): Result<T, RecordError> {
   try {
     const parsed = schema.safeParse(JSON.parse(text));
     return parsed.success ? ok(parsed.data) : err({ kind: 'bad-record', key });
--- a/packages/entry/src/dispatcher.ts
+++ b/packages/entry/src/dispatcher.ts
@@ -4,7 +4,7 @@
 import { every, type Deadline } from '@fuchsiahitch/base';
 import {
   EndpointPicker,
-  hasRoom,
+  hasCapacity,
   RequestQueue,
   type PickRequest,
   type QueuePriority,
@@ -65,7 +65,7 @@
     for (const endpoint of this._endpoints.pool(pool)) {
       if (endpoint.isLeaving || !endpoint.stats.isUsable()) continue;
       const available = endpoint.limit.rolloutLimit(reserve) - endpoint.stats.rolloutInFlight();
-      if (available > 0 && hasRoom(endpoint, true, reserve)) freeSlots += available;
+      if (available > 0 && hasCapacity(endpoint, true, reserve)) freeSlots += available;
     }
     return freeSlots;
   }
--- a/packages/entry/src/stepService.ts
+++ b/packages/entry/src/stepService.ts
@@ -51,7 +51,7 @@
   closedMs: number | undefined;
 }
 
-/** Where the owner of a step is. `moving`: the owner is being replaced, or is not reachable. */
+/** Where the owner of a step is: `local` is this host, `moving` is between two owners or unreachable. */
 type StepLocation =
   | { readonly kind: 'local'; readonly step: OwnedStep }
   | { readonly kind: 'remote'; readonly address: string }
@@ -104,7 +104,7 @@
     server.handle(calls.sampleFailed, ({ key, sampleId, isOwnFault, endedEngine }) => {
       const ledger = this._owned.get(key)?.owner.ledger;
       if (endedEngine === undefined) ledger?.sampleFailed(sampleId, isOwnFault);
-      else ledger?.engineEnded(sampleId, endedEngine);
+      else ledger?.engineTerminated(sampleId, endedEngine);
       return {};
     });
   }
--- a/packages/requests/src/keySlot.ts
+++ b/packages/requests/src/keySlot.ts
@@ -1,15 +1,14 @@
-/**
- * The records of one slot at one host, as owner or as copy.
- */
+/** The records of one slot at one host, as owner or as copy. */
 import type { Clock } from '@fuchsiahitch/base';
 import type { StoredAnswer, KeyRecord } from './keyMessages.js';
 
-/** Counted from the last change of a key. Resends must arrive within it. */
+/** The time from the last change of a key until its record is removed. Resends must arrive within it. */
 export const KEY_RETENTION_MS = 600_000;
 /** Larger answers are not stored; their resends receive `unknown`. */
 export const MAX_STORED_ANSWER_BYTES = 16 * 1024;
 
-export interface HeldRecord {
+/** A stored record. Its form in messages is `KeyRecord`. */
+export interface SlotRecord {
   readonly key: string;
   readonly fingerprint: string;
   readonly attemptId: string;
@@ -21,7 +20,7 @@
 
 export class KeySlot {
   private readonly _clock: Clock;
-  private readonly _records = new Map<string, HeldRecord>();
+  private readonly _records = new Map<string, SlotRecord>();
   private _lastChange = 0;
   private _recordsLostUntilMs = 0;
   /** This host accepts no changes of earlier epochs. */
@@ -33,7 +32,7 @@
     this._clock = clock;
   }
 
-  find(key: string): HeldRecord | undefined {
+  find(key: string): SlotRecord | undefined {
     const record = this._records.get(key);
     if (!record || this._clock.nowMs() - record.changedMs <= KEY_RETENTION_MS) return record;
     this._records.delete(key);
@@ -41,8 +40,8 @@
   }
 
   /** Adds a record that is not confirmed by the copy yet. */
-  prepare(key: string, fingerprint: string, attemptId: string): HeldRecord {
-    const record: HeldRecord = {
+  prepare(key: string, fingerprint: string, attemptId: string): SlotRecord {
+    const record: SlotRecord = {
       key,
       fingerprint,
       attemptId,
@@ -56,14 +55,14 @@
     return record;
   }
 
-  finish(record: HeldRecord, answer: StoredAnswer | undefined): void {
+  finish(record: SlotRecord, answer: StoredAnswer | undefined): void {
     record.state = 'finished';
     record.answer = answer;
     this._touch(record);
   }
 
   /** Removes a record unless its key has a newer one. */
-  remove(record: HeldRecord): void {
+  remove(record: SlotRecord): void {
     if (this._records.get(record.key) === record) this._records.delete(record.key);
   }
 
@@ -94,7 +93,7 @@
     this.markRecordsLost(lostForMs);
   }
 
-  /** For this time, a key without a record may have run before. */
+  /** For `durationMs`, treats keys without a record as possibly granted before. */
   markRecordsLost(durationMs: number): void {
     if (durationMs > 0)
       this._recordsLostUntilMs = Math.max(this._recordsLostUntilMs, this._clock.nowMs() + durationMs);
@@ -117,13 +116,13 @@
     return this._records.size;
   }
 
-  toRecord(record: HeldRecord): KeyRecord {
+  toRecord(record: SlotRecord): KeyRecord {
     const { key, fingerprint, attemptId, state, answer, change } = record;
     const ageMs = this._clock.nowMs() - record.changedMs;
     return { key, fingerprint, attemptId, state, change, ageMs, ...(answer ? { answer } : {}) };
   }
 
-  private _touch(record: HeldRecord): void {
+  private _touch(record: SlotRecord): void {
     record.change = this.nextChange();
     record.changedMs = this._clock.nowMs();
   }
