--- a/tests/platform.spec.ts
+++ b/tests/platform.spec.ts
@@ -209,19 +209,19 @@
     socket.write(streamHead(request, 2) + chunk('id: 1\ndata: one\n\nid: 2\ndata: two\n\n') + LAST_CHUNK);
   };
   const headers = { host: 'h.example', 'request-id': 'r1', 'deadline-ms': '3000' };
-  const early = await host.send({ path: '/a/x', headers });
-  t.equal(early.status, 503, 'not 404 before a configuration is loaded');
-  t.ok(Number(early.headers['retry-after']) > 0);
+  const unconfigured = await host.send({ path: '/a/x', headers });
+  t.equal(unconfigured.status, 503, 'not 404 before a configuration is loaded');
+  t.ok(Number(unconfigured.headers['retry-after']) > 0);
 
-  // Other hosts recorded that three endpoints crashed while they ran this request, the last one in its trial.
+  // Records of other hosts: three endpoints crashed while they ran this request, the last one during its trial.
   const poisonRequest = { caller: 'key-1', host: 'h.example', method: 'POST', target: '/a/deadly' };
-  const marks = `fuchsiahitch/live/poison/${requestFingerprint({ ...poisonRequest, body: Buffer.from('body') })}`;
-  for (const end of ['end-i-7@0', 'end-i-8@0', 'end-i-9@0']) store.data.put(`${marks}/${end}`, '{}');
-  store.data.put(`${marks}/trial-1`, JSON.stringify({ hostId: 'edge-2', endsBefore: 2 }));
+  const casePrefix = `fuchsiahitch/live/poison/${requestFingerprint({ ...poisonRequest, body: Buffer.from('body') })}`;
+  for (const end of ['end-i-7@0', 'end-i-8@0', 'end-i-9@0']) store.data.put(`${casePrefix}/${end}`, '{}');
+  store.data.put(`${casePrefix}/trial-1`, JSON.stringify({ hostId: 'edge-2', endsBefore: 2 }));
   await host.configureAndStart(CONFIGURATION);
   t.ok(gateway.isReady());
-  const odd = { ...headers, 'content-type': 'not/a type;;', 'transfer-encoding': 'chunked' };
-  const served = await host.send({ method: 'POST', path: '/a/x?q=1', headers: odd }, 'body');
+  const unusualHeaders = { ...headers, 'content-type': 'not/a type;;', 'transfer-encoding': 'chunked' };
+  const served = await host.send({ method: 'POST', path: '/a/x?q=1', headers: unusualHeaders }, 'body');
   t.match(served, { status: 200, body: 'whole' });
   t.equal(served.headers['server-stamp'], 'proof');
   t.equal((await host.send({ path: '/none/', headers })).status, 404);
@@ -258,8 +258,8 @@
   t.equal((await host.send({ method: 'DELETE', path: '/v1/lots/b1', headers })).status, 200);
   t.equal((await host.send({ method: 'DELETE', path: '/v1/lots/b1', headers })).status, 200);
   store.failWithStatus = 503;
-  const unsure = await host.send({ path: '/v1/lots/other?after=0', headers });
-  t.equal(unsure.status, 503, 'not 404 when the store is unreachable');
+  const withoutStore = await host.send({ path: '/v1/lots/other?after=0', headers });
+  t.equal(withoutStore.status, 503, 'not 404 when the store is unreachable');
   host.drain();
   const leaving = await host.send({ path: '/a/x', headers: { ...headers, connection: 'keep-alive' } });
   t.equal(leaving.headers.connection, 'close');
--- a/tests/platformHost.ts
+++ b/tests/platformHost.ts
@@ -1,5 +1,5 @@
 /**
- * One host over sockets, with a store stand-in, one endpoint stand-in and an HTTP client for callers.
+ * A gateway host over sockets, with stand-ins for the store and one endpoint, and an HTTP client for callers.
  */
 import http from 'node:http';
 import { SystemClock, SystemRandom } from '@fuchsiahitch/base';
@@ -60,7 +60,7 @@
     return host;
   }
 
-  /** Creates a host that listens but has no configuration yet. Each of the pools contains the one endpoint. */
+  /** Creates a host that listens but has no configuration yet. Its endpoint is registered in each of the pools. */
   static async listen(pools: readonly string[]): Promise<PlatformHost> {
     const store = new StoreStandIn();
     const server = new WireServer();
@@ -72,14 +72,14 @@
     const context = makeContext(stop.signal);
     const { clock, metrics } = context;
     const identity = { hostId: 'edge-1', incarnation: '1', domain: 'tekapo', programVersion: '0' };
-    const link = { fleetKey: FLEET_KEY, identity, clock, counters: metrics };
-    const peers = new PeerServer({ address: '127.0.0.1:0', ...link });
+    const peerOptions = { fleetKey: FLEET_KEY, identity, clock, counters: metrics };
+    const peers = new PeerServer({ address: '127.0.0.1:0', ...peerOptions });
     const gateway = new Gateway(context, {
       store: new StoreClient(storeAddress, () => undefined),
       client: new PlatformEndpointClient(),
       keys: recordKeys,
       decoder: new PlatformRecordDecoder(),
-      hosts: { peers: new PeerLinks(link), address: await peers.listen() },
+      hosts: { peers: new PeerLinks(peerOptions), address: await peers.listen() },
       orders: { handoverMs: 3000 },
       domains: ['tekapo'],
       batchReadableMs: 120_000,
@@ -99,7 +99,7 @@
     });
   }
 
-  /** Starts draining: every caller is made to reconnect. */
+  /** Starts draining: connections are closed after their next response. */
   drain(): void {
     this._callers.startDraining();
   }
--- a/tests/platformStandIns.ts
+++ b/tests/platformStandIns.ts
@@ -15,14 +15,14 @@
 
 const POLL_MS = 5;
 
-/** Implements the HTTP interface of the platform's store. */
+/** A server with the HTTP interface of the platform's store. */
 export class StoreStandIn {
   readonly data = new FakeStore(new SystemClock());
   /** If set, every call fails with this status. */
   failWithStatus: number | undefined;
-  /** Calls are read but never answered. */
+  /** If set, calls are read but never answered. */
   isUnresponsive = false;
-  /** The next transaction is executed and its connection reset without a response. */
+  /** If set, the next transaction is executed, but its connection is reset instead of answered. */
   dropNextResponse = false;
   pageSize = 500;
   readonly paths: string[] = [];
@@ -180,7 +180,7 @@
   readonly body: Buffer;
 }
 
-/** Writes raw response bytes; it may write none, too many or a truncated response. */
+/** Writes the raw bytes of a response, which may be missing, truncated or followed by others. */
 export type WireHandler = (request: WireRequest, socket: net.Socket) => void;
 
 /** An endpoint whose responses a test controls byte by byte. */
--- a/tests/platformWire.spec.ts
+++ b/tests/platformWire.spec.ts
@@ -1,5 +1,5 @@
 /**
- * The clients for the platform's store and endpoints over sockets: wire format, error classification, connection faults.
+ * Clients of the platform's store and endpoints over sockets: wire format, error classification, connection faults.
  */
 import { setMaxListeners } from 'node:events';
 import tap from 'tap';
@@ -56,7 +56,7 @@
 
 await tap.test('should classify failed calls to the store', t =>
   withStore(async (store, client) => {
-    // Guards against reporting a write as not done when only its response was lost.
+    // Guards against reporting a write as not executed when only its response was lost.
     const put = { kind: 'put', key: 'k', value: 'v' } as const;
     for (const status of [503, 429]) {
       store.failWithStatus = status;
@@ -99,8 +99,7 @@
 );
 
 await tap.test('should answer a request to retire a storage host', async t => {
-  // Guards against taking a request that was seen for one that was answered, when the store is unreachable or compacts its
-  // history.
+  // Guards against losing a request that was read while the store was unreachable or compacted its history.
   const virtual = new VirtualClock();
   const store = new FakeStore(virtual);
   const client = store.client();
@@ -193,8 +192,11 @@
       'x-odd': 'Value',
     });
     t.equal(request?.headers['x-hop'], undefined);
-    const odd = await client.send(call(endpoint, { method: 'PROPFIND', body: undefined }), NEVER_ABORTED);
-    t.equal(odd.kind, 'answered');
+    const otherMethod = await client.send(
+      call(endpoint, { method: 'PROPFIND', body: undefined }),
+      NEVER_ABORTED,
+    );
+    t.equal(otherMethod.kind, 'answered');
   }),
 );
 
@@ -214,8 +216,11 @@
     t.match(await send(), { kind: 'answered' });
     server.answer = (_request, socket) => void socket.resetAndDestroy();
     t.match(await send(), { kind: 'broken' });
-    const nowhere = { ...endpoint, address: '127.0.0.1:1' };
-    t.match(await client.send(call(nowhere), NEVER_ABORTED), { kind: 'not-run', reason: 'unreachable' });
+    const unreachableEndpoint = { ...endpoint, address: '127.0.0.1:1' };
+    t.match(await client.send(call(unreachableEndpoint), NEVER_ABORTED), {
+      kind: 'not-run',
+      reason: 'unreachable',
+    });
   }),
 );
 
@@ -246,7 +251,7 @@
 
 await tap.test('should not match an extra response to the next request', t =>
   withServer(async (server, endpoint, client) => {
-    // Guards against matching responses by order only: a second response on a reused connection would reach another caller.
+    // Guards against matching responses by order only: an extra response on a connection would reach another caller.
     server.answer = (request, socket) => {
       const other = { ...request, headers: { ...request.headers, 'request-id': 'r0' } };
       socket.write(validResponse(other, 'of another'));
@@ -287,7 +292,7 @@
 
 await tap.test('should fail a close-delimited response when its connection is reset', t =>
   withServer(async (server, endpoint, client) => {
-    // Guards against undici's handling of a reset as the regular end: a truncated response would look complete.
+    // Guards against undici treating a reset as the regular end: a truncated response would look complete.
     let isReset = false;
     server.answer = (_request, socket) => {
       socket.write('HTTP/1.1 200 OK\r\nServer-Stamp: p\r\nConnection: close\r\n\r\nhalf');
@@ -338,7 +343,7 @@
 
 await tap.test('should close the connection of a cancelled request', t =>
   withServer(async (server, endpoint, client) => {
-    // Guards against endpoints that continue to work for disconnected callers.
+    // Guards against endpoints that keep working for disconnected callers.
     const abort = new AbortController();
     server.answer = () => abort.abort();
     t.match(await client.send(call(endpoint), abort.signal), { kind: 'cancelled' });
--- a/tests/startCost.spec.ts
+++ b/tests/startCost.spec.ts
@@ -4,7 +4,7 @@
 import { spawnSync } from 'node:child_process';
 import tap from 'tap';
 
-/** An output file of the bundler, with its sources and the files that it imports. */
+/** An output file in the bundler's metafile. */
 interface BundleFile {
   readonly bytes: number;
   readonly inputs: Readonly<Record<string, unknown>>;
@@ -26,7 +26,7 @@
   return JSON.parse(stdout) as Readonly<Record<string, BundleFile>>;
 }
 
-/** The files that are loaded at startup: all static imports, but no dynamic ones. */
+/** Returns the files that are loaded at startup: static imports, but no dynamic ones. */
 function loadedAtStart(files: Readonly<Record<string, BundleFile>>, program: string): readonly BundleFile[] {
   const seen = new Set([program]);
   for (const name of seen)
@@ -36,8 +36,7 @@
 }
 
 await tap.test('should not load rarely used libraries at startup', t => {
-  // Guards against slow restarts of a whole fleet: each start would compile the metrics server, the tracing library and
-  // the YAML parser, although few processes use them.
+  // Guards against slow restarts of a fleet: each start would compile libraries that few processes use.
   const files = bundle();
   const loaded = loadedAtStart(files, 'target/fuchsiahitch-edge.mjs');
   const inputs = loaded.flatMap(file => Object.keys(file.inputs));
--- a/tests/wireNames.spec.ts
+++ b/tests/wireNames.spec.ts
@@ -1,5 +1,5 @@
 /**
- * Names of the platform's protocol may appear only in the platform adapter.
+ * Keeps the platform's protocol within the platform adapter.
  */
 import fs from 'node:fs';
 import path from 'node:path';
