--- a/packages/clients/src/connectionProbe.ts
+++ b/packages/clients/src/connectionProbe.ts
@@ -8,25 +8,24 @@
 
 const LAST_PORT = 65_535;
 
-/** `inconclusive`: no answer in time, or another error than a refused connection. */
+/** `inconclusive`: a timeout, or an error other than a refused connection. */
 export type ProbeResult = 'connected' | 'refused' | 'inconclusive';
 
 /** Connects to `IP:port` and closes the connection without sending data. */
 export async function probeConnection(address: string, timeoutMs: number): Promise<ProbeResult> {
   const socket = new Socket();
-  const end = await attempt(socket, address, timeoutMs);
+  const result = await connect(socket, address, timeoutMs);
   socket.destroy();
-  return end;
+  return result;
 }
 
-async function attempt(socket: Socket, address: string, timeoutMs: number): Promise<ProbeResult> {
+async function connect(socket: Socket, address: string, timeoutMs: number): Promise<ProbeResult> {
   const { ip, port } = splitAddress(address);
-  // An invalid port means a malformed record and proves nothing about the process.
+  // An invalid port comes from a malformed record.
   if (port > LAST_PORT) return 'inconclusive';
   return new Promise(resolve => {
     timeoutAfterPendingIo(timeoutMs).addEventListener('abort', () => resolve('inconclusive'));
     socket.on('connect', () => resolve('connected'));
-    // Other errors, such as an unreachable host, don't show whether a process listens.
     socket.on('error', thrown => resolve(errorCode(thrown) === 'ECONNREFUSED' ? 'refused' : 'inconclusive'));
     socket.connect(port, ip);
   });
--- a/packages/clients/src/endpointPools.ts
+++ b/packages/clients/src/endpointPools.ts
@@ -7,9 +7,9 @@
 import { buildConnector, Pool, type Dispatcher } from 'undici';
 
 const CONNECT_TIMEOUT_MS = 600;
-/** Shorter than common server keep-alive timeouts, so that servers rarely close a connection that is being reused. */
+/** Shorter than common server keep-alive timeouts, so that reused connections are rarely closed by the server. */
 const KEEP_ALIVE_MS = 4000;
-/** Pools beyond this number are evicted, oldest first. */
+/** The oldest pool is evicted beyond this limit. */
 const MAX_POOLS = 2000;
 
 export class EndpointPools {
@@ -37,18 +37,18 @@
   replace(address: string): void {
     const pool = this._pools.get(address);
     this._pools.delete(address);
-    // `close` waits for running requests, whose results are handled by their callers.
+    // Resolves after the running requests, whose callers handle the results.
     void pool?.close();
   }
 
   private _trackResets(socket: Socket): void {
     socket.on('error', (thrown: unknown) => {
-      // A regular close surfaces as an undici error; only ECONNRESET from the operating system is a reset.
+      // For a regular close, undici reports an error with another code.
       if (errorCode(thrown) === 'ECONNRESET') this._resets.markReset();
     });
     socket.on('end', () => {
-      // A reset that arrives together with data is reported as a regular end, but leaves the socket without a peer
-      // address. `remoteAddress` must not be read earlier, since the socket caches it.
+      // A reset that arrives together with data is reported as a regular end, but without a peer address. The socket
+      // caches `remoteAddress`, so it must not be read earlier.
       if (socket.remoteAddress === undefined) this._resets.markReset();
     });
   }
--- a/packages/clients/src/engine.ts
+++ b/packages/clients/src/engine.ts
@@ -22,10 +22,7 @@
   readonly version: number | undefined;
 }
 
-/**
- * `not-run`: certainly not run; nothing was sent or the engine refused. `broken`: the stream ended early. `cancelled`: aborted
- * by the client.
- */
+/** `not-run`: nothing was sent, or the engine refused. `broken`: the stream ended early. `cancelled`: by the signal. */
 export type GenerationResult =
   | { readonly kind: 'done'; readonly tokens: number; readonly finishReason: string }
   | {
@@ -52,7 +49,7 @@
 export type OrderAnswer = 'accepted' | 'failed' | 'fenced' | 'unknown';
 
 export interface EngineClient {
-  /** `onChunks` receives all chunks of one read, in order; the next read waits for its promise. */
+  /** `onChunks` receives the chunks of one read, in order. The next read waits for its promise. */
   generate(
     request: GenerationRequest,
     onChunks: (chunks: readonly GenerationChunk[]) => Promise<void> | void,
--- a/packages/clients/src/etcdStore.ts
+++ b/packages/clients/src/etcdStore.ts
@@ -39,7 +39,7 @@
   header: z.object({ revision: z.string() }),
 });
 const leaseSchema = z.object({ ID: z.string() });
-const keepSchema = z.object({ result: z.object({ TTL: z.string().default('0') }) });
+const keepAliveSchema = z.object({ result: z.object({ TTL: z.string().default('0') }) });
 const watchSchema = z.object({
   result: z.object({
     canceled: z.boolean().default(false),
@@ -88,7 +88,7 @@
   }
 
   async keepLease(leaseId: string, deadline: Deadline): Promise<Result<boolean, StoreError>> {
-    const reply = await this._post('/v3/lease/keepalive', { ID: leaseId }, keepSchema, deadline);
+    const reply = await this._post('/v3/lease/keepalive', { ID: leaseId }, keepAliveSchema, deadline);
     return reply.ok ? ok(Number(reply.value.result.TTL) > 0) : reply;
   }
 
@@ -204,7 +204,7 @@
   return Buffer.from(text, 'base64').toString('utf8');
 }
 
-/** The exclusive upper bound of keys with the prefix. Prefixes must end in an ASCII character. */
+/** Returns the exclusive upper bound of the keys with a prefix, which must end in an ASCII character. */
 function prefixEnd(prefix: string): string {
   return prefix.slice(0, -1) + String.fromCharCode(prefix.charCodeAt(prefix.length - 1) + 1);
 }
--- a/packages/clients/src/headerPairs.ts
+++ b/packages/clients/src/headerPairs.ts
@@ -5,7 +5,7 @@
 /** A header's name and value, in the sender's spelling. */
 export type HeaderPair = readonly [name: string, value: string];
 
-/** Headers that apply to a single connection (RFC 9110, section 7.6.1), and the body's framing. */
+/** Headers of a single connection (RFC 9110, section 7.6.1) and of the body's framing. */
 const HOP_BY_HOP_HEADERS = new Set([
   'connection',
   'keep-alive',
@@ -32,13 +32,15 @@
   return headers.find(([key]) => key.toLowerCase() === name)?.[1];
 }
 
-/** Removes hop-by-hop headers, the headers that `Connection` lists, and the excluded ones (in lower case). */
+/** Removes hop-by-hop headers, those listed by `Connection`, and the excluded ones (in lower case). */
 export function endToEndHeaders(
   headers: readonly HeaderPair[],
   excluded: readonly string[] = [],
 ): HeaderPair[] {
-  const named = (headerValue(headers, 'connection') ?? '').split(',').map(name => name.trim().toLowerCase());
-  const dropped = new Set([...HOP_BY_HOP_HEADERS, ...named, ...excluded]);
+  const connectionOptions = (headerValue(headers, 'connection') ?? '')
+    .split(',')
+    .map(name => name.trim().toLowerCase());
+  const dropped = new Set([...HOP_BY_HOP_HEADERS, ...connectionOptions, ...excluded]);
   return headers.filter(([name]) => !dropped.has(name.toLowerCase()));
 }
 
@@ -47,7 +49,7 @@
   return headers.filter(([name]) => !dropped.includes(name.toLowerCase()));
 }
 
-/** Parses a numeric header; undefined if it is absent or not a finite number. */
+/** Returns undefined for a header that is absent or not a finite number. */
 export function parseNumber(text: string | undefined): number | undefined {
   const value = Number(text);
   return text === undefined || text === '' || !Number.isFinite(value) ? undefined : value;
--- a/packages/clients/src/httpEngineClient.ts
+++ b/packages/clients/src/httpEngineClient.ts
@@ -24,7 +24,7 @@
 const OK_STATUS = 200;
 const CONFLICT = 409;
 const SERVER_ERROR = 500;
-const DONE = '[DONE]';
+const FINAL_EVENT = '[DONE]';
 
 const eventSchema = z.object({
   choices: z
@@ -122,15 +122,15 @@
 }
 
 async function refusalOf(response: Dispatcher.ResponseData): Promise<GenerationResult> {
-  const isProven = firstHeaderValue(response.headers, NOT_RUN_HEADER) !== '';
+  const isNotRun = firstHeaderValue(response.headers, NOT_RUN_HEADER) !== '';
   const isLeaving = firstHeaderValue(response.headers, LEAVING_HEADER) !== '';
   const retryAfterMs = retryAfterMsOf(response.headers);
   await response.body.dump();
-  if (isProven) return { kind: 'not-run', isUnreachable: false, isLeaving, retryAfterMs };
+  if (isNotRun) return { kind: 'not-run', isUnreachable: false, isLeaving, retryAfterMs };
   return { kind: 'failed', status: response.statusCode };
 }
 
-/** Reads the stream to its end. A stream that ends without the final event is `broken`. */
+/** Returns `broken` for a stream that ends without the final event. */
 async function readStream(
   body: AsyncIterable<Buffer>,
   onChunks: (chunks: readonly GenerationChunk[]) => Promise<void> | void,
@@ -147,7 +147,7 @@
     const chunks: GenerationChunk[] = [];
     let isDone = false;
     for (const data of pendingEvents.splice(0)) {
-      if (data === DONE) {
+      if (data === FINAL_EVENT) {
         isDone = true;
         break;
       }
@@ -159,7 +159,7 @@
         chunks.push({ text: choice.text, tokens: event.tokens, version: event.weight_version });
       }
     }
-    // Batches all chunks of one read, so that the caller is not invoked per token.
+    // One call per read instead of per token.
     if (chunks.length > 0) await onChunks(chunks);
     if (isDone) return { kind: 'done', tokens, finishReason };
   }
--- a/packages/clients/src/httpTools.ts
+++ b/packages/clients/src/httpTools.ts
@@ -10,12 +10,12 @@
 /** Error codes that prove that no byte of the request was sent. */
 const NOT_SENT_CODES = new Set(['ECONNREFUSED', 'EHOSTUNREACH', 'ENETUNREACH', 'UND_ERR_CONNECT_TIMEOUT']);
 
-/** True if the error proves that the request was never sent. After any other error its outcome is unknown. */
+/** Returns true if the error proves that the request was never sent; otherwise its outcome is unknown. */
 export function isNotSentError(thrown: unknown): boolean {
   return NOT_SENT_CODES.has(errorCode(thrown));
 }
 
-/** Connections to endpoints, without pipelining: a connection reset affects at most one request. */
+/** Returns an agent for endpoints. Without pipelining, a connection reset affects at most one request. */
 export function endpointAgent(): Dispatcher {
   return new Agent({
     connect: { timeout: CONNECT_TIMEOUT_MS },
@@ -26,13 +26,13 @@
   });
 }
 
-/** Set by an endpoint that refused a request before running any of it. */
+/** Set by an endpoint that refused a request without running it. */
 export const NOT_RUN_HEADER = 'x-not-run';
 /** Set by an endpoint that is draining. */
 export const LEAVING_HEADER = 'x-leaving';
 const MS_PER_SECOND = 1000;
 
-/** The header's first value, or an empty string. */
+/** Returns the header's first value, or an empty string. */
 export function firstHeaderValue(
   headers: Readonly<Record<string, string | string[] | undefined>>,
   name: string,
@@ -41,7 +41,7 @@
   return Array.isArray(value) ? (value[0] ?? '') : (value ?? '');
 }
 
-/** The delay of a `Retry-After` header, converted to milliseconds; 0 if absent or invalid. */
+/** Returns the delay of a `Retry-After` header in milliseconds; 0 if absent or invalid. */
 export function retryAfterMsOf(headers: Readonly<Record<string, string | string[] | undefined>>): number {
   const seconds = Number(firstHeaderValue(headers, 'retry-after'));
   return Number.isFinite(seconds) ? Math.max(0, seconds) * MS_PER_SECOND : 0;
--- a/packages/clients/src/keyValueStore.ts
+++ b/packages/clients/src/keyValueStore.ts
@@ -21,10 +21,7 @@
   | { readonly kind: 'delete'; readonly key: string }
   | { readonly kind: 'delete-prefix'; readonly prefix: string };
 
-/**
- * `not-done`: certainly not executed. `unknown`: a write may have taken effect. `over-budget`: this host's share of calls is
- * used up, nothing was sent.
- */
+/** `not-done`: not executed. `unknown`: a write may have taken effect. `over-budget`: not sent, due to a rate limit. */
 export type StoreError = 'not-done' | 'unknown' | 'over-budget';
 
 /** `version` is the new version of every written key. */
@@ -73,10 +70,10 @@
   ): Promise<WatchEnd>;
 }
 
-/** A store whose watches start from a revision, so that no change is missed between a read and a watch. */
+/** Watches start from a revision, so that no change between a read and a watch is missed. */
 export interface RevisionedStore extends KeyValueStore {
   snapshot(prefix: string, deadline: Deadline): Promise<Result<Snapshot, StoreError>>;
-  /** Waits up to `waitMs` for changes after a revision. `compacted`: that history was removed, read a snapshot. */
+  /** Waits up to `waitMs` for changes after a revision. `compacted`: they were removed; read a snapshot instead. */
   changes(
     prefix: string,
     afterRevision: number,
--- a/packages/clients/src/memberList.ts
+++ b/packages/clients/src/memberList.ts
@@ -1,5 +1,5 @@
 /**
- * The platform's membership list: hosts and endpoints of a failure domain. It is eventually consistent.
+ * Client for the platform's eventually consistent list of the hosts and endpoints of a failure domain.
  */
 import type { Deadline } from '@fuchsiahitch/base';
 import { request, type Dispatcher } from 'undici';
--- a/packages/clients/src/resetInterceptor.ts
+++ b/packages/clients/src/resetInterceptor.ts
@@ -1,15 +1,13 @@
 /**
- * Interceptor that fails close-delimited responses whose connection was reset.
- *
- * Such a response ends when its connection closes, and undici takes a reset for that end, so a truncated body would look
- * complete. undici ends the response synchronously while the socket emits the reset; an end in that turn is an error.
+ * Interceptor that fails close-delimited responses whose connection was reset. undici treats the reset as the regular
+ * end, so a truncated body would look complete. It ends the response while the socket emits the reset.
  */
 import { DecoratorHandler, type Dispatcher } from 'undici';
 
 type Handler = Dispatcher.DispatchHandler;
 type Headers = Parameters<NonNullable<Handler['onResponseStart']>>[2];
 
-/** Whether a connection reset is being emitted in the current turn of the event loop. */
+/** Knows whether a socket is currently emitting a connection reset. */
 export class ResetTracker {
   private _isResetting = false;
 
@@ -17,7 +15,7 @@
     return this._isResetting;
   }
 
-  /** Must be called by the socket's first listener. The mark is cleared in a microtask, after the other listeners ran. */
+  /** Must be called by the socket's first listener. A microtask clears the mark after the other listeners have run. */
   markReset(): void {
     this._isResetting = true;
     queueMicrotask(() => {
@@ -26,8 +24,8 @@
   }
 }
 
-export function resetInterceptor(moment: ResetTracker): Dispatcher.DispatcherComposeInterceptor {
-  return dispatch => (options, handler) => dispatch(options, new ResetHandler(handler, moment));
+export function resetInterceptor(resets: ResetTracker): Dispatcher.DispatcherComposeInterceptor {
+  return dispatch => (options, handler) => dispatch(options, new ResetHandler(handler, resets));
 }
 
 class ResetHandler implements Handler {
@@ -35,9 +33,9 @@
   private readonly _resets: ResetTracker;
   private _hasLength = false;
 
-  constructor(handler: Handler, moment: ResetTracker) {
+  constructor(handler: Handler, resets: ResetTracker) {
     this._inner = new DecoratorHandler(handler);
-    this._resets = moment;
+    this._resets = resets;
   }
 
   onRequestStart(...[controller, context]: Parameters<NonNullable<Handler['onRequestStart']>>): void {
--- a/packages/clients/src/scorer.ts
+++ b/packages/clients/src/scorer.ts
@@ -1,6 +1,5 @@
 /**
- * Client for services that score samples. Scores are stored by sample identifier, so that a lost response can be looked up
- * instead of scoring the sample twice.
+ * Client for services that score samples. Scores are stored by sample, so that a lost response can be looked up.
  */
 import type { Deadline } from '@fuchsiahitch/base';
 import { request, type Dispatcher } from 'undici';
@@ -13,7 +12,7 @@
   readonly text: string;
 }
 
-/** `not-scored`: certainly no score exists. `unknown`: one may exist. */
+/** `not-scored`: no score exists. `unknown`: one may exist. */
 export type ScoreResult =
   | { readonly kind: 'scored'; readonly score: number }
   | { readonly kind: 'not-scored' }
--- a/packages/clients/src/serviceClient.ts
+++ b/packages/clients/src/serviceClient.ts
@@ -18,7 +18,7 @@
   readonly body: Buffer | undefined;
 }
 
-/** `answered`: a complete response. `not-run`: certainly not run. `broken`: may have run. */
+/** `not-run`: nothing was sent, or the service refused. `broken`: may have run. */
 export type ServiceResult =
   | {
       readonly kind: 'answered';
--- a/packages/clients/src/singleCall.ts
+++ b/packages/clients/src/singleCall.ts
@@ -1,8 +1,6 @@
 /**
- * A single HTTP call on a new connection.
- *
- * A call on a reused, unresponsive connection can be delivered when the link recovers, after the calls of a new duty
- * holder. A call on a new connection is never sent if the connection isn't established in time.
+ * A single HTTP call on a new connection. On a reused, unresponsive connection, the call could be delivered late, after
+ * the calls of a new duty holder.
  */
 import { Client } from 'undici';
 import { isNotSentError } from './httpTools.js';
@@ -14,13 +12,13 @@
   readonly json: unknown;
 }
 
-/** `connectMs`: nothing is sent if no connection is established by then. `answerMs` counts from the same start. */
+/** Both count from the start of the call. Nothing is sent if no connection is established within `connectMs`. */
 export interface SingleCallTimeouts {
   readonly connectMs: number;
   readonly answerMs: number;
 }
 
-/** `unreached`: certainly not sent. `unknown`: it may have been executed, or may still be. */
+/** `unreached`: not sent. `unknown`: it may have been executed, or may still be. */
 export type SingleCallResult =
   | { readonly kind: 'answered'; readonly status: number }
   | { readonly kind: 'unreached' }
--- a/packages/clients/src/timeoutAfterPendingIo.ts
+++ b/packages/clients/src/timeoutAfterPendingIo.ts
@@ -1,8 +1,6 @@
 /**
- * Timeout that expires only after pending I/O was read.
- *
- * After an event loop stall, timers run before I/O. With a plain timeout, a call whose response has already arrived would
- * fail with an unknown outcome; repeated store writes then cost a host its lease.
+ * Timeout that expires only after pending I/O was read. After an event loop stall, timers run before I/O, so a plain
+ * timeout would fail calls whose response has already arrived.
  */
 
 /** Returns a signal that aborts after the delay and one more I/O poll. The timer is unreferenced. */
--- a/packages/clients/src/watchByChanges.ts
+++ b/packages/clients/src/watchByChanges.ts
@@ -5,7 +5,7 @@
 import type { RevisionedStore, WatchEnd, WatchEvent } from './keyValueStore.js';
 
 const LONG_POLL_MS = 5000;
-/** Added to the poll duration; after it the connection counts as unresponsive. */
+/** Time beyond the poll duration after which the connection counts as unresponsive. */
 const REPLY_MARGIN_MS = 1000;
 
 /** Reports changes under a prefix until the signal is aborted or the store fails. */
