--- a/packages/protocol/src/calls.ts
+++ b/packages/protocol/src/calls.ts
@@ -61,7 +61,7 @@
     updates: z.array(memberUpdateSchema).max(64).readonly(),
     rulesRevision: count,
     slotMapRevision: count,
-    /** Digest of the revisions of all member documents; they are compared if it differs. */
+    /** Digest of the revisions of all member documents. */
     membersDigest: z.string(),
     leaving: z.array(leavingNoticeSchema).max(256).readonly(),
   })
@@ -96,7 +96,7 @@
   .readonly();
 export type HostStatus = z.infer<typeof hostStatusSchema>;
 
-/** Wraps a trainer's call that is relayed to the step's owner. `hops` bounds loops between hosts with different views. */
+/** A trainer's request, relayed to the step's owner. `hops` bounds loops between hosts that disagree on the owner. */
 const relayed = <T extends z.ZodType>(
   request: T,
 ): z.ZodType<{ readonly hops: number; readonly request: z.infer<T> }> =>
--- a/packages/protocol/src/channel.ts
+++ b/packages/protocol/src/channel.ts
@@ -1,9 +1,9 @@
 /**
- * Types of the peer protocol: call definitions, identities, errors and envelopes. Client and server both validate what
- * they receive against the schemas of a call.
+ * Types of the peer protocol: call definitions, identities, errors and envelopes.
  */
 import type * as z from 'zod';
 
+/** The server validates requests and the client replies against these schemas. */
 export interface CallDefinition<Q, A> {
   readonly name: string;
   readonly request: z.ZodType<Q>;
@@ -26,7 +26,7 @@
   readonly programVersion: string;
 }
 
-/** `not-sent` proves that the peer did not execute the call; with the others it may have. */
+/** The peer may have executed the call, except after `not-sent`. */
 export type CallError =
   | { readonly kind: 'not-sent'; readonly text: string }
   | { readonly kind: 'timed-out' }
--- a/packages/protocol/src/envelope.ts
+++ b/packages/protocol/src/envelope.ts
@@ -30,12 +30,12 @@
 /** First frame, sent by the server. */
 export const challengeSchema = z.strictObject({ nonce: z.string().length(32) });
 
-/** Second frame, sent by the client: its identity, its nonce, and the proof over the server's nonce and that identity. */
+/** Second frame, sent by the client: its identity, its nonce, and a proof over the identity and the server's nonce. */
 export const helloSchema = z.strictObject({
   ...identityFields,
   nonce: z.string().length(32),
   proof: z.string().length(64),
 });
 
-/** Third frame, sent by the server: its identity and the proof over the client's nonce. */
+/** Third frame, sent by the server: its identity and a proof over the identity and the client's nonce. */
 export const welcomeSchema = z.strictObject({ ...identityFields, proof: z.string().length(64) });
--- a/packages/protocol/src/frameCodec.ts
+++ b/packages/protocol/src/frameCodec.ts
@@ -7,7 +7,7 @@
 const LENGTH_BYTES = 4;
 /** Frame size limit on authenticated connections. */
 export const MAX_FRAME_BYTES = 8 * 1024 * 1024;
-/** Frame size limit before authentication: bounds what an unauthenticated client can make a host buffer. */
+/** Frame size limit before authentication. */
 export const MAX_HELLO_BYTES = 1024;
 
 /** A framing error. It closes the connection. */
@@ -35,7 +35,6 @@
     this._limitBytes = limitBytes;
   }
 
-  /** Called after authentication to raise the limit. */
   setLimit(limitBytes: number): void {
     this._limitBytes = limitBytes;
   }
@@ -60,7 +59,7 @@
     return decodeBody(body);
   }
 
-  /** Joins chunks lazily: a large frame in many chunks is copied at most twice, for its length and when it is complete. */
+  /** Joins chunks only to read the length and when the frame is complete, so that it is copied at most twice. */
   private _joinChunks(): Buffer {
     const first = this._chunks[0];
     if (this._chunks.length === 1 && first) return first;
--- a/packages/protocol/src/peerLink.ts
+++ b/packages/protocol/src/peerLink.ts
@@ -18,10 +18,10 @@
 import type { ProtocolCounters } from './peerServer.js';
 import { isSameProof, newNonce, computeProof } from './proof.js';
 
-/** After a failed connect, calls fail immediately for this long, so that an unreachable peer does not delay every request. */
+/** Calls fail immediately for this long after a failed connect, so that an unreachable peer does not delay them. */
 const RECONNECT_PAUSE_MS = 300;
 const CONNECT_TIMEOUT_MS = 1500;
-/** A connection without received data for this long is dropped when a call on it times out. */
+/** A connection that received nothing for this long is dropped when a call on it times out. */
 const UNRESPONSIVE_MS = 1000;
 /** Limit on pending calls per link; further calls fail as `not-sent`. */
 const MAX_PENDING_CALLS = 20_000;
@@ -66,9 +66,9 @@
     deadline: Deadline,
     trace?: string,
   ): Promise<Result<A, CallError>> {
-    const connection = await this._connected();
+    const connection = await this._getConnection();
     if (!connection) return err({ kind: 'not-sent', text: `no connection to ${this._options.address}` });
-    // The connect timeout expires only after pending I/O was read, so the connection may come up after the deadline.
+    // The connection may have been established after the deadline.
     if (deadline.isOver()) return err({ kind: 'not-sent', text: 'deadline passed before the call was sent' });
     if (this._pending.size >= MAX_PENDING_CALLS)
       return err({ kind: 'not-sent', text: 'too many pending calls' });
@@ -106,10 +106,7 @@
     });
   }
 
-  /**
-   * Drops a connection that received nothing since a timed-out call was sent. A connection can become unresponsive without a
-   * reset while new ones work; every later call on it would time out too.
-   */
+  /** Drops a connection that received nothing since a timed-out call was sent: later calls would time out too. */
   private _dropIfUnresponsive(socket: net.Socket, sentMs: number): void {
     const idleMs = this._options.clock.nowMs() - this._lastReadMs;
     if (this._lastReadMs >= sentMs || idleMs < UNRESPONSIVE_MS || socket !== this._socket) return;
@@ -125,7 +122,7 @@
     pending.settle(result);
   }
 
-  private async _connected(): Promise<Connection | undefined> {
+  private async _getConnection(): Promise<Connection | undefined> {
     if (this._isClosed || this._options.clock.nowMs() < this._reconnectAfterMs) return undefined;
     this._connection ??= this._connect();
     const connection = await this._connection;
@@ -212,7 +209,7 @@
     return this._state === 'done';
   }
 
-  /** Handles one handshake frame. False if it is malformed or the server's proof is invalid. */
+  /** Handles a handshake frame. Returns false if it is malformed or the server's proof is invalid. */
   read(value: unknown): boolean {
     return this._state === 'challenge' ? this._answerChallenge(value) : this._verifyWelcome(value);
   }
--- a/packages/protocol/src/peerServer.ts
+++ b/packages/protocol/src/peerServer.ts
@@ -9,7 +9,7 @@
 import { isSameProof, newNonce, computeProof } from './proof.js';
 
 const HANDSHAKE_TIMEOUT_MS = 3000;
-/** Limit on buffered replies to a peer that does not read; beyond it the connection is closed. */
+/** Limit on buffered replies to a peer that does not read them. Beyond it, the connection is closed. */
 const MAX_UNREAD_BYTES = 4 * MAX_FRAME_BYTES;
 
 export interface CallContext {
@@ -46,7 +46,7 @@
     this._server = net.createServer(socket => this._accept(socket));
   }
 
-  /** Registers the handler of a call. A request that does not match the schema is refused before the handler runs. */
+  /** Registers the handler of a call. Requests that do not match the schema are refused. */
   handle<Q, A>(
     call: CallDefinition<Q, A>,
     handler: (request: Q, context: CallContext) => Promise<A> | A,
@@ -161,7 +161,6 @@
 
   private _send(value: unknown): void {
     if (this._socket.destroyed) return;
-    // Bounds the buffer for a peer that sends calls but does not read the replies.
     if (this._socket.writableLength > MAX_UNREAD_BYTES) return this._close('slow-reader');
     const frame = encodeFrame(value);
     this._options.counters.sent(frame.length);
--- a/packages/protocol/src/proof.ts
+++ b/packages/protocol/src/proof.ts
@@ -10,7 +10,7 @@
   return randomBytes(NONCE_BYTES).toString('hex');
 }
 
-/** The proof covers the role, the other side's nonce and the sender's identity. */
+/** Covers the sender's role and identity, and the receiver's nonce. */
 export function computeProof(
   fleetKey: string,
   role: 'client' | 'server',
--- a/tests/protocol.spec.ts
+++ b/tests/protocol.spec.ts
@@ -201,7 +201,7 @@
 });
 
 await tap.test('should use no worker thread and no io_uring', async t => {
-  // Neither is available on the hosts; logging and tracing libraries often start worker threads.
+  // Neither is available on the hosts, but logging and tracing libraries often start worker threads.
   const resources = process.getActiveResourcesInfo();
   t.notOk(resources.includes('Worker'));
   t.equal(process.env.UV_USE_IO_URING ?? '0', '0');
@@ -209,7 +209,7 @@
 });
 
 await tap.test('should replace an unresponsive connection by a new one', async t => {
-  // Guards against reusing a connection that became unresponsive without a reset: every later call would time out.
+  // Guards against reusing a connection that stopped responding without a reset: every later call would time out.
   const { server, address, counters } = await startPair();
   let isUnresponsive = false;
   const sockets: net.Socket[] = [];
