--- a/packages/ctl/src/main.ts
+++ b/packages/ctl/src/main.ts
@@ -20,18 +20,18 @@
 const PROGRAM = 'fuchsiahitchctl';
 
 const COMMANDS = `commands:
-  rules get                         the rules in force, as YAML
-  rules check FILE                  check a file, no host needed
-  rules apply FILE                  bring the rules in force to those of a file
-  rules edit add|replace FILE       one rule; --before ID or --after ID says where
-  rules edit remove ID
-  rules explain                     which rule decides: --kind --caller --house --pool --domain --priority
-  rules simulate FILE REQUESTS      what a file would change for requests in a JSON file
-  rules status                      where the rules are in force; --wait-ms, --revision
-  accounts                          client accounts, their keys by a short digest
-  accounts explain                  whose a key is: the key in FUCHSIAHITCH_ACCOUNT_KEY
+  rules get                         show the rules in force, as YAML
+  rules check FILE                  validate a file without contacting a host
+  rules apply FILE                  replace the rules in force by those of a file
+  rules edit add|replace FILE       add (at --before ID or --after ID) or replace one rule
+  rules edit remove ID              remove one rule
+  rules explain                     show the rule that applies: --kind --caller --house --pool --domain --priority
+  rules simulate FILE REQUESTS      show the decisions that a file would change for the requests of a JSON file
+  rules status                      show the hosts on which a revision is in force: --wait-ms --revision
+  accounts                          show client accounts, with digests of their keys
+  accounts explain                  show the account of the key in FUCHSIAHITCH_ACCOUNT_KEY
   hosts | steps | endpoints | orders
-exit codes: 0 done, 1 refused, 2 usage, 3 unknown or not everywhere yet, 4 no host answered`;
+exit codes: 0 done, 1 refused, 2 usage, 3 unknown or not yet on every host, 4 no host answered`;
 
 const text = z.string();
 const settings = {
@@ -40,51 +40,59 @@
       .string()
       .transform(value => value.split(',').filter(Boolean))
       .pipe(z.array(z.string().regex(/^http:\/\//, 'not a URL')).min(1)),
-    help: "operators' listeners of entry hosts, http://IP:port, separated by commas",
+    help: 'operator addresses of entry hosts, http://IP:port, separated by commas',
     fallback: 'http://127.0.0.1:9090',
   },
   'operator-token': { schema: text, help: 'the operator token', fallback: '' },
-  'account-key': { schema: text, help: 'the key to explain; better from the environment', fallback: '' },
-  json: { schema: z.enum(['yes', 'no']), help: 'yes: JSON for scripts', fallback: 'no' },
-  team: { schema: text, help: 'the team that edits', fallback: 'operators' },
-  before: { schema: text, help: 'the rule to stand before', fallback: '' },
-  after: { schema: text, help: 'the rule to stand after', fallback: '' },
+  'account-key': {
+    schema: text,
+    help: 'the key to explain; preferably set in the environment',
+    fallback: '',
+  },
+  json: { schema: z.enum(['yes', 'no']), help: 'yes for JSON output, no for text', fallback: 'no' },
+  team: { schema: text, help: 'the team that submits the edit', fallback: 'operators' },
+  before: { schema: text, help: 'ID of the rule to insert the new one before', fallback: '' },
+  after: { schema: text, help: 'ID of the rule to insert the new one after', fallback: '' },
   'edit-id': {
     schema: text,
-    help: 'the identifier of an edit whose fate is unknown, to send it again',
+    help: 'ID of an edit with an unknown outcome, to submit it again',
     fallback: '',
   },
   'wait-ms': {
     schema: integerSchema(0, 600_000),
-    help: 'milliseconds to wait until rules are in force',
+    help: 'maximum time in milliseconds to wait until the revision is in force on every host',
     fallback: '0',
   },
   revision: {
     schema: integerSchema(0, 1_000_000_000),
-    help: 'the revision to look for; 0 for the highest',
+    help: 'the revision to check; 0 for the highest known',
     fallback: '0',
   },
-  kind: { schema: text, help: 'completion, service or sample', fallback: 'completion' },
-  caller: { schema: text, help: 'the caller to explain', fallback: '' },
-  house: { schema: text, help: 'the house to explain', fallback: '' },
-  pool: { schema: text, help: 'the pool to explain', fallback: '' },
-  domain: { schema: text, help: 'the failure domain to explain', fallback: '' },
-  priority: { schema: text, help: 'the priority to explain', fallback: 'normal' },
+  kind: {
+    schema: text,
+    help: 'kind of the request to explain: completion, service or sample',
+    fallback: 'completion',
+  },
+  caller: { schema: text, help: 'caller of the request to explain', fallback: '' },
+  house: { schema: text, help: 'house of the request to explain', fallback: '' },
+  pool: { schema: text, help: 'pool of the request to explain', fallback: '' },
+  domain: { schema: text, help: 'failure domain of the request to explain', fallback: '' },
+  priority: { schema: text, help: 'priority of the request to explain', fallback: 'normal' },
 };
 
 const args = process.argv.slice(2);
 const firstFlag = args.findIndex(arg => arg.startsWith('-'));
-const words = firstFlag < 0 ? args : args.slice(0, firstFlag);
-const read = readSettings(PROGRAM, settings, firstFlag < 0 ? [] : args.slice(firstFlag), process.env);
-if (!read.ok) {
-  if (read.error.kind === 'help') process.stdout.write(`${COMMANDS}\n\n`);
-  exitWith(PROGRAM, PROGRAM_VERSION, read.error);
+const positionals = firstFlag < 0 ? args : args.slice(0, firstFlag);
+const parsed = readSettings(PROGRAM, settings, firstFlag < 0 ? [] : args.slice(firstFlag), process.env);
+if (!parsed.ok) {
+  if (parsed.error.kind === 'help') process.stdout.write(`${COMMANDS}\n\n`);
+  exitWith(PROGRAM, PROGRAM_VERSION, parsed.error);
 }
-const values = read.value;
+const values = parsed.value;
 const client = new OperatorClient(values.hosts, values['operator-token']);
 const random = new SystemRandom();
 
-async function runRules(verb: string, rest: readonly string[]): Promise<CommandResult> {
+async function runRulesCommand(verb: string, rest: readonly string[]): Promise<CommandResult> {
   const [first = '', second = ''] = rest;
   switch (verb) {
     case 'get':
@@ -110,11 +118,11 @@
   }
 }
 
-async function run(): Promise<CommandResult> {
-  const [command = '', verb = '', ...rest] = words;
+async function runCommand(): Promise<CommandResult> {
+  const [command = '', verb = '', ...rest] = positionals;
   switch (command) {
     case 'rules':
-      return runRules(verb, rest);
+      return runRulesCommand(verb, rest);
     case 'accounts':
       return verb === 'explain' ? explainKey(client, values['account-key']) : showAccounts(client);
     case 'hosts':
@@ -129,6 +137,6 @@
   }
 }
 
-const result = await run();
+const result = await runCommand();
 process.stdout.write(`${values.json === 'yes' ? JSON.stringify(result.data) : result.text}\n`);
 process.exit(result.exitCode);
--- a/packages/ctl/src/operatorClient.ts
+++ b/packages/ctl/src/operatorClient.ts
@@ -1,5 +1,5 @@
 /**
- * Client for the operators' HTTP interface of the entry hosts.
+ * Client for the operator API of the entry hosts.
  */
 import { err, ok, type Result } from '@fuchsiahitch/base';
 import { request } from 'undici';
@@ -12,7 +12,7 @@
   readonly host: string;
 }
 
-/** Why no host answered. `isSent`: a host may have executed the request. */
+/** The errors of all hosts. `isSent`: a host may have executed the request. */
 export interface Unreachable {
   readonly isSent: boolean;
   readonly problems: readonly string[];
--- a/packages/ctl/src/ruleCommands.ts
+++ b/packages/ctl/src/ruleCommands.ts
@@ -44,7 +44,7 @@
   return { text, data: { findings }, exitCode: hasErrors ? exitCodes.refused : exitCodes.done };
 }
 
-/** Applies a rule file by submitting one edit per difference from the rules in force. */
+/** Submits one edit per difference between a rule file and the rules in force. */
 export async function applyFile(
   client: OperatorClient,
   file: string,
@@ -68,15 +68,15 @@
 /** Submits one edit: `add FILE`, `replace FILE` or `remove ID`. Each file contains one rule. */
 export async function editRule(
   client: OperatorClient,
-  words: readonly string[],
+  args: readonly string[],
   options: { readonly team: string; readonly before: string; readonly after: string; readonly id: string },
 ): Promise<CommandResult> {
-  const operation = await makeOperation(client, words, options);
+  const operation = await makeOperation(client, args, options);
   if (!operation.ok) return operation.error;
   return submit(client, { id: options.id, team: options.team, operation: operation.value });
 }
 
-/** Shows which rule decides a request, and why earlier ones did not match. */
+/** Shows the rule that decides a request, and why earlier rules did not match. */
 export async function explain(client: OperatorClient, query: string): Promise<CommandResult> {
   const reply = await client.call('GET', `/v1/rules/explain?${query}`);
   if (!reply.ok) return unreachableResult(reply.error);
@@ -88,7 +88,7 @@
   if (!parsed.success) return refusedResult(reply.value.body);
   const rows = parsed.data.rules.map(line => [
     line.ruleId,
-    line.matched ? 'decides' : `not: ${line.failed.join(', ')}`,
+    line.matched ? 'decides' : `no match: ${line.failed.join(', ')}`,
   ]);
   const { ruleId, revision, action } = parsed.data.decision;
   const verdict = `revision ${revision}: ${ruleId ?? 'no rule, defaults'} ${JSON.stringify(action)}`;
@@ -120,21 +120,21 @@
 
 async function makeOperation(
   client: OperatorClient,
-  words: readonly string[],
+  args: readonly string[],
   options: { readonly before: string; readonly after: string },
 ): Promise<Result<Operation, CommandResult>> {
-  const [verb = '', subject = ''] = words;
+  const [verb = '', fileOrRuleId = ''] = args;
   if (verb === 'add') {
-    const rule = readOneRule(subject);
+    const rule = readOneRule(fileOrRuleId);
     if (!rule.ok) return rule;
     const place = options.before ? { before: options.before } : options.after ? { after: options.after } : {};
     return ok({ op: 'add', rule: rule.value, place });
   }
   if (verb !== 'replace' && verb !== 'remove')
     return err(usageError('expected: rules edit add|replace|remove'));
-  const wanted = verb === 'replace' ? readOneRule(subject) : undefined;
-  if (wanted && !wanted.ok) return wanted;
-  const ruleId = wanted?.value.id ?? subject;
+  const newRule = verb === 'replace' ? readOneRule(fileOrRuleId) : undefined;
+  if (newRule && !newRule.ok) return newRule;
+  const ruleId = newRule?.value.id ?? fileOrRuleId;
   const document = await readDocument(client);
   if (!document.ok) return err(unreachableResult(document.error));
   const current = document.value.rules.find(rule => rule.id === ruleId);
@@ -145,7 +145,7 @@
       exitCode: exitCodes.refused,
     });
   const base = ruleDigest(current);
-  return ok(wanted ? { op: 'replace', rule: wanted.value, base } : { op: 'remove', id: ruleId, base });
+  return ok(newRule ? { op: 'replace', rule: newRule.value, base } : { op: 'remove', id: ruleId, base });
 }
 
 /** Submits an edit, and resends it under the same identifier while its outcome is unknown. */
--- a/packages/ctl/src/statusCommands.ts
+++ b/packages/ctl/src/statusCommands.ts
@@ -50,7 +50,7 @@
               status.keyRecords,
               status.stepsOwned,
               status.inFlight,
-              status.isStoreReachable ? 'ok' : 'out',
+              status.isStoreReachable ? 'ok' : 'unreachable',
               status.programVersion,
             ]
           : [hostId, domain, 'no answer'],
@@ -59,13 +59,16 @@
   }));
 }
 
-export async function showList(client: OperatorClient, what: 'steps' | 'endpoints'): Promise<CommandResult> {
+export async function showList(
+  client: OperatorClient,
+  section: 'steps' | 'endpoints',
+): Promise<CommandResult> {
   return showStatus(client, state => {
-    const rows: readonly Readonly<Record<string, unknown>>[] = state[what];
+    const rows: readonly Readonly<Record<string, unknown>>[] = state[section];
     const head = Object.keys(rows[0] ?? {});
     const text =
       rows.length === 0
-        ? `no ${what} at this host`
+        ? `no ${section} at this host`
         : formatTable(
             head,
             rows.map(row => head.map(name => row[name])),
@@ -82,11 +85,11 @@
 export async function showRulesStatus(
   client: OperatorClient,
   waitMs: number,
-  wanted: number,
+  wantedRevision: number,
 ): Promise<CommandResult> {
   const endMs = performance.now() + waitMs;
   for (;;) {
-    const result = await showStatus(client, state => rulesStatus(state, wanted));
+    const result = await showStatus(client, state => rulesStatus(state, wantedRevision));
     if (result.exitCode === exitCodes.done || performance.now() >= endMs) return result;
     await new Promise<void>(resolve => setTimeout(resolve, POLL_MS));
   }
@@ -94,10 +97,10 @@
 
 function rulesStatus(
   state: FleetState,
-  wanted: number,
+  wantedRevision: number,
 ): Pick<CommandResult, 'text' | 'data'> & Partial<CommandResult> {
   const highest = Math.max(0, ...state.hosts.map(host => host.status?.rulesRevision ?? 0));
-  const revision = wanted > 0 ? wanted : highest;
+  const revision = wantedRevision > 0 ? wantedRevision : highest;
   const rows = state.hosts.map(({ hostId, domain, status }) => ({
     hostId,
     domain,
--- a/packages/telemetry/src/enableRoarr.ts
+++ b/packages/telemetry/src/enableRoarr.ts
@@ -1,5 +1,4 @@
 /**
- * Enables roarr, which reads this environment variable once when it is loaded and otherwise drops all lines. Must be
- * imported before roarr.
+ * Enables roarr, which reads this variable when it is loaded. Must be imported before roarr.
  */
 process.env.ROARR_LOG = 'true';
--- a/packages/telemetry/src/fileSpanRecorder.ts
+++ b/packages/telemetry/src/fileSpanRecorder.ts
@@ -48,7 +48,7 @@
   return `00-${traceId}-${spanId}-${traceFlags.toString(16).padStart(2, '0')}`;
 }
 
-/** Appends one line per span. Stops exporting if the file cannot be written, so that tracing never fails a request. */
+/** Appends one line per span. Stops exporting if the file cannot be written. */
 class FileExporter implements SpanExporter {
   private readonly _hostId: string;
   private readonly _stream: fs.WriteStream;
--- a/packages/telemetry/src/logger.ts
+++ b/packages/telemetry/src/logger.ts
@@ -18,7 +18,7 @@
 }
 
 const LEVEL_ORDER: Readonly<Record<LogLevel, number>> = { debug: 0, info: 1, warn: 2, error: 3 };
-/** Lines are dropped beyond this, so that a stalled log collector does not exhaust the memory of the process. */
+/** Lines are dropped beyond this, so that a stalled log collector does not exhaust the memory. */
 const MAX_PENDING_BYTES = 512 * 1024;
 const LINES_PER_SECOND = 300;
 const BURST_LINES = 2000;
@@ -58,7 +58,7 @@
     this._refilledMs = nowMs();
   }
 
-  /** Number of lines dropped since the last one written. */
+  /** Returns the number of lines dropped since the last one was written. */
   dropped(): number {
     return this._dropped;
   }
