--- a/packages/batches/src/pace.ts
+++ b/packages/batches/src/pace.ts
@@ -1,14 +1,14 @@
 /**
- * Estimates the time between two events of the streams of one endpoint, as a moving average.
+ * Estimates the pace of an endpoint, which is the time between two events of a stream, as a moving average.
  *
- * Events arrive in bursts, so that single intervals vary widely. The average is smooth enough not to move items between
+ * Events arrive in bursts, so single intervals vary widely. Without strong smoothing, items would move between
  * endpoints of equal speed.
  */
 
 const MIN_INTERVALS = 16;
 const NEWEST_INTERVAL_WEIGHT = 0.03;
 
-export class Pace {
+export class PaceEstimator {
   private _intervals = 0;
   private _meanMs = 0;
 
@@ -18,7 +18,7 @@
     this._meanMs += weight * (intervalMs - this._meanMs);
   }
 
-  /** Undefined until there are enough intervals. */
+  /** Undefined until `MIN_INTERVALS` intervals were added. */
   estimateMs(): number | undefined {
     return this._intervals >= MIN_INTERVALS ? this._meanMs : undefined;
   }
