--- a/packages/clients/src/engine.ts
+++ b/packages/clients/src/engine.ts
@@ -55,6 +55,7 @@
     onChunks: (chunks: readonly GenerationChunk[]) => Promise<void> | void,
     signal: AbortSignal,
   ): Promise<GenerationResult>;
+  /** Returns undefined if the engine does not answer with a valid report. */
   report(url: string, deadline: Deadline): Promise<EngineReport | undefined>;
   order(url: string, version: number, token: number, deadline: Deadline): Promise<OrderAnswer>;
 }
--- a/packages/clients/src/keyValueStore.ts
+++ b/packages/clients/src/keyValueStore.ts
@@ -49,6 +49,7 @@
   readonly revision: number;
 }
 
+/** `closed`: by the signal. `compacted`: changes were removed; read the prefix again. */
 export type WatchEnd = 'closed' | 'failed' | 'compacted';
 
 export interface KeyValueStore {
--- a/packages/protocol/src/proof.ts
+++ b/packages/protocol/src/proof.ts
@@ -28,6 +28,7 @@
   return createHmac('sha256', fleetKey).update(fields.join('\n')).digest('hex');
 }
 
+/** Compares in constant time. */
 export function isSameProof(left: string, right: string): boolean {
   const a = Buffer.from(left);
   const b = Buffer.from(right);
