--- a/packages/standins/src/engineStandIn.ts
+++ b/packages/standins/src/engineStandIn.ts
@@ -121,7 +121,7 @@
       await reply
         .status(503)
         .headers({ 'x-not-run': '1', ...leaving })
-        .send({ error: 'request refused before execution' });
+        .send({ error: 'not taken' });
       return;
     }
     let isClosed = false;
@@ -195,12 +195,12 @@
   private async _order(request: FastifyRequest, reply: FastifyReply): Promise<void> {
     const { version, token } = orderSchema.parse(request.body);
     if (this._options.checksFencing && token < this._highestFencingToken) {
-      await reply.status(409).send({ error: 'stale fencing token' });
+      await reply.status(409).send({ error: 'an order with a later fencing token came before' });
       return;
     }
     this._highestFencingToken = Math.max(this._highestFencingToken, token);
     if (this.faults.consume('failSwaps')) {
-      await reply.status(500).send({ error: 'weight load failed' });
+      await reply.status(500).send({ error: 'swap failed' });
       return;
     }
     void this._swap(version);
--- a/packages/standins/src/faults.ts
+++ b/packages/standins/src/faults.ts
@@ -58,7 +58,7 @@
       if (request.url === '/faults') return;
       if (this._faults.isDown) request.raw.socket.destroy();
       else if (this._faults.failStatus > 0)
-        await reply.status(this._faults.failStatus).send({ error: 'injected fault' });
+        await reply.status(this._faults.failStatus).send({ error: 'fault' });
       else if (this._faults.delayMs > 0) await pause(this._faults.delayMs);
     });
   }
--- a/packages/standins/src/serviceStandIn.ts
+++ b/packages/standins/src/serviceStandIn.ts
@@ -44,7 +44,7 @@
       await reply
         .status(503)
         .headers({ 'x-not-run': '1', ...leaving })
-        .send({ error: 'request refused before execution' });
+        .send({ error: 'not taken' });
       return;
     }
     const key = String(request.headers['idempotency-key'] ?? 'none');
--- a/packages/standins/src/weightStoreStandIn.ts
+++ b/packages/standins/src/weightStoreStandIn.ts
@@ -18,7 +18,7 @@
       this._recentLoadsMs = this._recentLoadsMs.filter(atMs => nowMs - atMs < MS_PER_SECOND);
       if (this._recentLoadsMs.length >= this._loadsPerSecond) {
         this._refused += 1;
-        return reply.status(429).send({ error: 'load rate limit exceeded' });
+        return reply.status(429).send({ error: 'over the rate' });
       }
       this._recentLoadsMs.push(nowMs);
       return reply.send({});
