--- a/packages/ctl/src/operatorClient.ts
+++ b/packages/ctl/src/operatorClient.ts
@@ -63,7 +63,7 @@
       signal: AbortSignal.timeout(TIMEOUT_MS),
     });
     const text = await response.body.text();
-    if (response.statusCode === UNAUTHORIZED) throw new Error('the host rejected the operator token');
+    if (response.statusCode === UNAUTHORIZED) throw new Error('the operator token is wrong');
     return { status: response.statusCode, body: JSON.parse(text) as unknown, host };
   }
 }
--- a/packages/entry/src/callerInput.ts
+++ b/packages/entry/src/callerInput.ts
@@ -14,10 +14,7 @@
 
 const name = z
   .string()
-  .regex(
-    /^[a-z0-9][a-z0-9:.-]*$/,
-    "expected lower-case letters, digits, ':', '.' or '-', with a letter or digit first",
-  )
+  .regex(/^[a-z0-9][a-z0-9:.-]*$/, 'not a lower-case name')
   .max(MAX_NAME_LENGTH);
 
 /** Rejects unknown fields, so that a misspelled one is not silently ignored. */
@@ -44,12 +41,12 @@
 
 /** Parses and validates a JSON body. The error names each invalid field. */
 export function readJson<T>(body: unknown, schema: z.ZodType<T>): Result<T, string> {
-  if (!Buffer.isBuffer(body)) return err('expected a JSON body, got none');
+  if (!Buffer.isBuffer(body)) return err('expected a JSON body');
   let value: unknown;
   try {
     value = JSON.parse(body.toString('utf8'));
   } catch {
-    return err('the body is not valid JSON');
+    return err('the body is not JSON');
   }
   return validate(value, schema);
 }
--- a/packages/rules/src/check.ts
+++ b/packages/rules/src/check.ts
@@ -35,7 +35,7 @@
         severity: 'error',
         kind: 'duplicate-id',
         ruleIds: [id],
-        text: `rule id '${id}' is used more than once`,
+        text: `rule id '${id}' stands twice`,
       });
     }
     seen.add(id);
@@ -69,7 +69,7 @@
     const isSameCondition = JSON.stringify(shadowing.when) === JSON.stringify(rule.when);
     const isDifferentAction = JSON.stringify(shadowing.then) !== JSON.stringify(rule.then);
     const kind = isSameCondition && isDifferentAction ? 'contradiction' : 'shadowed';
-    const text = `rule '${rule.id}' (team ${rule.team}) never decides: the earlier rule '${shadowing.id}' (team ${shadowing.team}) matches all its requests`;
+    const text = `rule '${rule.id}' (team ${rule.team}) never decides: '${shadowing.id}' (team ${shadowing.team}) comes first`;
     findings.push({ severity: 'warning', kind, ruleIds: [shadowing.id, rule.id], text });
   }
   return findings;
@@ -99,16 +99,16 @@
   const findings: Finding[] = [];
   for (const rule of rules) {
     if (rule.then.refuse !== undefined && refusesEveryCustomer(rule.when)) {
-      const text = `rule '${rule.id}' would refuse every customer-facing request: restrict it to callers, houses or a state`;
+      const text = `rule '${rule.id}' would refuse every customer-facing request: name callers, houses or a state`;
       findings.push({ severity: 'error', kind: 'refuses-customers', ruleIds: [rule.id], text });
     }
     const exceedsRolloutShare = (rule.then.share ?? 0) > 1 - CUSTOMER_RESERVE_FLOOR;
     if (exceedsRolloutShare) {
-      const text = `rule '${rule.id}' gives ${rule.then.share ?? 0} of a pool to rollouts, which includes capacity reserved for customers`;
+      const text = `rule '${rule.id}' gives ${rule.then.share ?? 0} of a pool to rollouts and eats into the customers' reserve`;
       findings.push({ severity: 'error', kind: 'reserve', ruleIds: [rule.id], text });
     }
     if (Object.keys(rule.then).length === 0) {
-      const text = `rule '${rule.id}' has no action, and prevents later rules from deciding the requests that it matches`;
+      const text = `rule '${rule.id}' decides nothing, and hides the rules after it`;
       findings.push({ severity: 'warning', kind: 'no-effect', ruleIds: [rule.id], text });
     }
   }
--- a/packages/rules/src/edit.ts
+++ b/packages/rules/src/edit.ts
@@ -7,7 +7,7 @@
 
 const placeSchema = z
   .strictObject({ before: z.string().optional(), after: z.string().optional() })
-  .refine(value => !(value.before && value.after), "expected at most one of 'before' and 'after'");
+  .refine(value => !(value.before && value.after), 'name a rule to stand before or after, not both');
 
 /** `base` is the digest of the rule that the author saw. If the rule has changed since, the operation is refused. */
 export const operationSchema = z.discriminatedUnion('op', [
