--- a/packages/demo/src/runningDeployment.ts
+++ b/packages/demo/src/runningDeployment.ts
@@ -42,17 +42,17 @@
 
   async start(): Promise<void> {
     const [store, members, scorer, weights] = await Promise.all(
-      ['key-value', 'members', 'scorer', 'weight-store'].map(kind => this._supervisor.standIn({ kind })),
+      ['key-value', 'members', 'scorer', 'weight-store'].map(kind => this._supervisor.startStandIn({ kind })),
     );
     this._storeUrl = `http://${store?.addresses ?? ''}`;
     this._membersUrl = `http://${members?.addresses ?? ''}`;
     this._scorerUrl = `http://${scorer?.addresses ?? ''}`;
     this._weightStoreUrl = `http://${weights?.addresses ?? ''}`;
     await Promise.all([this._startPool(this.plan.engines), this._startPool(this.plan.services)]);
-    const wanted = this.plan.domains.flatMap((domain, i) =>
+    const hosts = this.plan.domains.flatMap((domain, i) =>
       Array.from({ length: this.plan.hostsPerDomain[i] ?? 0 }, (_, n) => ({ domain, id: `${domain}-${n}` })),
     );
-    await Promise.all(wanted.map(({ domain, id }) => this._startHost(domain, id)));
+    await Promise.all(hosts.map(({ domain, id }) => this._startHost(domain, id)));
     await this._waitUntilReady();
   }
 
@@ -76,7 +76,7 @@
     return host.id;
   }
 
-  /** Kills an engine permanently and removes it from the membership list, which lags. */
+  /** Kills an engine permanently and removes it from the membership list. */
   async crashEngine(index: number): Promise<string> {
     const engine = this.endpoints.filter(endpoint => endpoint.pool.kind === 'engine')[index];
     if (!engine) return 'none';
@@ -85,7 +85,7 @@
     return engine.id;
   }
 
-  /** Drains an engine and marks it as leaving in the membership list, which lags. */
+  /** Drains an engine and marks it as leaving in the membership list. */
   async drainEngine(index: number): Promise<string> {
     const engine = this.endpoints.filter(endpoint => endpoint.pool.kind === 'engine')[index];
     if (!engine) return 'none';
@@ -94,13 +94,13 @@
     return engine.id;
   }
 
-  /** Executions of each idempotency key, summed over all services. */
+  /** Returns the number of executions per idempotency key, summed over all services. */
   async holdRuns(): Promise<ReadonlyMap<string, number>> {
     const services = this.endpoints.filter(endpoint => endpoint.pool.kind === 'service');
     return this._fetchRuns(services.map(service => `http://${service.started.addresses}/runs`));
   }
 
-  /** Number of times each sample was scored. */
+  /** Returns how often each sample was scored. */
   async scoreRuns(): Promise<ReadonlyMap<string, number>> {
     return this._fetchRuns([`${this._scorerUrl}/runs`]);
   }
@@ -116,19 +116,19 @@
   }
 
   private async _startPool(pool: PoolPlan): Promise<void> {
-    const wanted = this.plan.domains.flatMap((domain, i) =>
+    const endpoints = this.plan.domains.flatMap((domain, i) =>
       Array.from({ length: pool.perDomain[i] ?? 0 }, (_, n) => ({
         domain,
         id: `${domain}-${pool.name}-${n}`,
       })),
     );
-    await Promise.all(wanted.map(({ domain, id }) => this._startEndpoint(pool, domain, id)));
+    await Promise.all(endpoints.map(({ domain, id }) => this._startEndpoint(pool, domain, id)));
   }
 
   private async _startEndpoint(pool: PoolPlan, domain: string, id: string): Promise<void> {
     const engineFlags = { slots: String(ENGINE_SLOTS), 'weight-store-url': this._weightStoreUrl };
     const flags = { kind: pool.kind, id, ...(pool.kind === 'engine' ? engineFlags : {}) };
-    const endpoint = { id, domain, pool, started: await this._supervisor.standIn(flags) };
+    const endpoint = { id, domain, pool, started: await this._supervisor.startStandIn(flags) };
     this.endpoints.push(endpoint);
     await this._changeList({ endpoint: this._entryOf(endpoint) });
   }
@@ -152,7 +152,7 @@
   }
 
   private async _startEntry(domain: string, id: string): Promise<StartedProcess<EntryAddresses>> {
-    const started = await this._supervisor.entry({
+    const started = await this._supervisor.startEntry({
       'host-id': id,
       domain,
       domains: this.plan.domains.join(','),
@@ -176,18 +176,18 @@
     const endMs = performance.now() + READY_TIMEOUT_MS;
     while (performance.now() < endMs) {
       const { output, exitCode } = await this.ctl('hosts', '--json', 'yes');
-      if (exitCode === 0 && isSettled(JSON.parse(output) as HostLine[], this.hosts.length)) return;
+      if (exitCode === 0 && isSettled(JSON.parse(output) as HostStatusLine[], this.hosts.length)) return;
       await delay(POLL_MS);
     }
-    throw new Error(`${this.plan.name}: hosts were not ready in time`);
+    throw new Error(`${this.plan.name}: hosts did not become ready before the start timeout`);
   }
 }
 
-interface HostLine {
+interface HostStatusLine {
   readonly status?: { readonly isReady: boolean; readonly slotsOwned: number; readonly slotsSettled: number };
 }
 
-function isSettled(lines: readonly HostLine[], hosts: number): boolean {
+function isSettled(lines: readonly HostStatusLine[], hosts: number): boolean {
   const ready = lines.filter(({ status }) => status?.isReady === true && status.slotsOwned > 0);
   return ready.length === hosts && ready.every(({ status }) => status?.slotsSettled === status?.slotsOwned);
 }
--- a/packages/demo/src/supervisor.ts
+++ b/packages/demo/src/supervisor.ts
@@ -40,29 +40,30 @@
     process.on('exit', () => this.killAll());
   }
 
+  /** Number of running processes. */
   count(): number {
     return this._children.size;
   }
 
-  async standIn(flags: Readonly<Record<string, string>>): Promise<StartedProcess<string>> {
+  async startStandIn(flags: Readonly<Record<string, string>>): Promise<StartedProcess<string>> {
     const child = this._start('fuchsiahitch-standin.mjs', flags);
-    const addresses = await firstLine(child, line => {
+    const addresses = await firstMatchingLine(child, line => {
       const parsed = standInLineSchema.safeParse(line);
       return parsed.success ? parsed.data.address : undefined;
     });
     return { child, addresses };
   }
 
-  async entry(flags: Readonly<Record<string, string>>): Promise<StartedProcess<EntryAddresses>> {
+  async startEntry(flags: Readonly<Record<string, string>>): Promise<StartedProcess<EntryAddresses>> {
     const child = this._start('fuchsiahitch-entry.mjs', flags);
-    const addresses = await firstLine(child, line => {
+    const addresses = await firstMatchingLine(child, line => {
       const parsed = entryLineSchema.safeParse(line);
       return parsed.success ? parsed.data.context : undefined;
     });
     return { child, addresses };
   }
 
-  /** Runs `fuchsiahitchctl` and returns its output and exit code. */
+  /** Runs `fuchsiahitchctl` and returns its combined output and its exit code. */
   async ctl(args: readonly string[]): Promise<{ readonly output: string; readonly exitCode: number }> {
     const child = spawn(process.execPath, [`${this._binFolder}/fuchsiahitchctl.mjs`, ...args], {
       stdio: 'pipe',
@@ -104,12 +105,12 @@
   }
 }
 
-async function firstLine<T>(child: ChildProcess, read: (line: unknown) => T | undefined): Promise<T> {
+async function firstMatchingLine<T>(child: ChildProcess, read: (line: unknown) => T | undefined): Promise<T> {
   const { stdout } = child;
   if (!stdout) throw new Error('broken invariant: a started process has no stdout pipe');
   return new Promise((resolve, reject) => {
     const timer = setTimeout(
-      () => reject(new Error('process did not report its address in time')),
+      () => reject(new Error('process did not print its addresses before the start timeout')),
       START_TIMEOUT_MS,
     );
     child.once('exit', code => reject(new Error(`process exited with ${code ?? 'a signal'} during startup`)));
--- a/packages/measure/src/figure.ts
+++ b/packages/measure/src/figure.ts
@@ -1,5 +1,5 @@
 /**
- * Output of measurements: one JSON line per figure.
+ * Measurements and their output, one JSON line per figure.
  */
 
 export interface Figure {
@@ -10,21 +10,21 @@
   readonly bound?: string;
 }
 
-/** A measurement that terminates by itself. */
 export interface Measurement {
   readonly name: string;
-  readonly about: string;
+  readonly description: string;
   run(print: (figure: Figure) => void): Promise<void>;
 }
 
-const DIGITS = 4;
+const SIGNIFICANT_DIGITS = 4;
 
+/** Prints a figure as a JSON line, rounded to `SIGNIFICANT_DIGITS`. */
 export function printFigure(figure: Figure): void {
-  const value = Number(figure.value.toPrecision(DIGITS));
+  const value = Number(figure.value.toPrecision(SIGNIFICANT_DIGITS));
   process.stdout.write(`${JSON.stringify({ ...figure, value })}\n`);
 }
 
-/** Whether the value satisfies its bound, `<= x` or `>= x`. True without a bound. */
+/** Returns whether the value satisfies its bound, `<= x` or `>= x`. True without a bound. */
 export function isWithin(figure: Figure): boolean {
   const match = /^(<=|>=) ([\d.]+)$/.exec(figure.bound ?? '');
   if (!match) return true;
--- a/packages/measure/src/main.ts
+++ b/packages/measure/src/main.ts
@@ -22,12 +22,13 @@
 
 const names = process.argv.slice(2);
 if (names.includes('--list') || names.includes('--help')) {
-  for (const { name, about } of MEASUREMENTS) process.stdout.write(`${name.padEnd(12)} ${about}\n`);
+  for (const { name, description } of MEASUREMENTS)
+    process.stdout.write(`${name.padEnd(12)} ${description}\n`);
   process.exit(0);
 }
 const unknown = names.filter(name => !MEASUREMENTS.some(measurement => measurement.name === name));
 if (unknown.length > 0) {
-  process.stderr.write(`no measurement '${unknown.join("', '")}': see --list\n`);
+  process.stderr.write(`unknown measurement '${unknown.join("', '")}', see --list\n`);
   process.exit(2);
 }
 const missed: Figure[] = [];
@@ -38,5 +39,6 @@
 for (const measurement of MEASUREMENTS) {
   if (names.length === 0 || names.includes(measurement.name)) await measurement.run(print);
 }
-for (const figure of missed) process.stderr.write(`missed: ${figure.figure} ${figure.bound ?? ''}\n`);
+for (const figure of missed)
+  process.stderr.write(`out of bounds: ${figure.figure}, expected ${figure.bound ?? ''}\n`);
 process.exit(missed.length > 0 ? 1 : 0);
--- a/packages/standins/src/weightStoreStandIn.ts
+++ b/packages/standins/src/weightStoreStandIn.ts
@@ -26,6 +26,7 @@
     this.server.get('/counts', () => ({ refused: this._refused }));
   }
 
+  /** Number of refused loads. */
   get refused(): number {
     return this._refused;
   }
--- a/packages/testkit/src/simBackends.ts
+++ b/packages/testkit/src/simBackends.ts
@@ -1,5 +1,5 @@
 /**
- * Fakes of a deployment's back ends on a virtual clock. Each supports fault injection and records what it executed.
+ * Simulated back ends of a deployment on a virtual clock, with fault injection and records of executed calls.
  */
 import { err, ok, type Deadline, type Result } from '@fuchsiahitch/base';
 import type { MemberDocument } from '@fuchsiahitch/membership';
@@ -31,7 +31,7 @@
 const CALL_TIMEOUT_MS = 2000;
 const MS_PER_SECOND = 1000;
 
-/** Called when work reaches a stage, so that a test can inject a fault there. */
+/** Called when a request or sample reaches a stage, so that a test can inject a fault there. */
 export type StageListener = (stage: string) => void;
 
 interface Entry {
@@ -47,6 +47,7 @@
 
 export class SimStore {
   isDown = false;
+  /** Number of transactions that take effect but get no reply. */
   loseAnswers = 0;
   areWatchesSilent = false;
   calls = 0;
@@ -98,7 +99,7 @@
     return lease !== undefined;
   }
 
-  /** Expires all leases at once, as if their holders had been paused. */
+  /** Expires all leases at once, as if their holders had not renewed them. */
   expireLeases(): void {
     for (const lease of this._leases.values()) lease.untilMs = -1;
     this._expire();
@@ -204,7 +205,11 @@
     });
   }
 
-  private async _call<T>(deadline: Deadline, act: () => T, isWrite = false): Promise<Result<T, StoreError>> {
+  private async _call<T>(
+    deadline: Deadline,
+    execute: () => T,
+    isWrite = false,
+  ): Promise<Result<T, StoreError>> {
     const reply = await this._net.call(
       this._host,
       this._store.process,
@@ -212,7 +217,7 @@
       () => {
         this._store.calls += 1;
         if (this._store.isDown) return new Promise<{ readonly value: T }>(() => undefined);
-        const value = act();
+        const value = execute();
         if (isWrite && this._store.loseAnswers > 0) {
           this._store.loseAnswers -= 1;
           return new Promise<{ readonly value: T }>(() => undefined);
@@ -224,7 +229,7 @@
   }
 }
 
-/** An engine. Samples are checked against its record of tokens and versions. */
+/** An engine that records the weight version of each generated token. */
 export class SimEngine {
   readonly process: SimProcess;
   version = 1;
@@ -234,7 +239,7 @@
   /** Milliseconds per token. */
   tokenMs = 20;
   inFlight = 0;
-  /** Weight version that generated each token, by sample ID. */
+  /** Weight version of each generated token, by sample ID. */
   readonly made = new Map<string, number[]>();
   /** Time of the first token, by sample ID. */
   readonly firstTokenMs = new Map<string, number>();
@@ -261,7 +266,7 @@
     });
   }
 
-  /** Accepts an order and loads the version later. An injected swap failure drops the load without an error. */
+  /** Accepts an order and loads the version later. With `failSwaps`, the order is accepted but the load is dropped. */
   order(version: number, token: number): OrderAnswer {
     this.orders.push({ version, token });
     if (this.failSwaps > 0) {
@@ -280,10 +285,10 @@
   }
 }
 
-/** A process supervisor restarts a crashed engine after this time. */
+/** Delay after which a crashed engine is restarted. */
 const ENGINE_RESTART_MS = 2000;
 
-/** Number of tokens generated for a prompt; deterministic. */
+/** Returns the number of tokens generated for a prompt. Deterministic; a prompt that ends in `tail` gets 60 more. */
 export function completionLength(prompt: string): number {
   return 4 + (prompt.length % 3) + (prompt.endsWith('tail') ? 60 : 0);
 }
@@ -313,7 +318,7 @@
     signal: AbortSignal,
   ): Promise<GenerationResult> {
     const engine = this._engines.get(request.url);
-    if (!engine || !this._reaches(engine))
+    if (!engine || !this._isReachable(engine))
       return { kind: 'not-run', isUnreachable: true, isLeaving: false, retryAfterMs: 0 };
     if (engine.isLeaving) return { kind: 'not-run', isUnreachable: false, isLeaving: true, retryAfterMs: 0 };
     if (request.prompt.includes('poison')) return { kind: 'failed', status: 400 };
@@ -333,13 +338,13 @@
   async report(url: string): Promise<EngineReport | undefined> {
     const engine = this._engines.get(url);
     this._onStage('report');
-    if (!engine || !this._reaches(engine)) return undefined;
+    if (!engine || !this._isReachable(engine)) return undefined;
     return this._net.call(this._host, engine.process, CALL_TIMEOUT_MS, () => engine.report());
   }
 
   async order(url: string, version: number, token: number): Promise<OrderAnswer> {
     const engine = this._engines.get(url);
-    if (!engine || !this._reaches(engine)) return 'failed';
+    if (!engine || !this._isReachable(engine)) return 'failed';
     return (
       (await this._net.call(this._host, engine.process, CALL_TIMEOUT_MS, () =>
         engine.order(version, token),
@@ -347,7 +352,7 @@
     );
   }
 
-  private _reaches(engine: SimEngine): boolean {
+  private _isReachable(engine: SimEngine): boolean {
     return !engine.isCrashed && !this._net.isCut(this._host, engine.process);
   }
 
@@ -364,7 +369,7 @@
     for (let i = request.resumeTokens; i < length; i++) {
       await new Promise<void>(resolve => this._host.after(engine.tokenMs, resolve));
       if (signal.aborted) return { kind: 'cancelled' };
-      if (!this._reaches(engine) || engine.startId !== startId) return { kind: 'broken' };
+      if (!this._isReachable(engine) || engine.startId !== startId) return { kind: 'broken' };
       versions[i] = engine.version;
       if (!engine.firstTokenMs.has(request.requestId))
         engine.firstTokenMs.set(request.requestId, this._host.nowMs());
@@ -376,9 +381,9 @@
   }
 }
 
-/** A plain service, called without network faults, that counts the executions of each idempotency key. */
-export class SimServices implements ServiceClient {
-  readonly runs = new Map<string, number>();
+/** A plain service that counts executions per idempotency key. Calls do not go through the simulated network. */
+export class SimService implements ServiceClient {
+  readonly executionCounts = new Map<string, number>();
   refuse = 0;
   loseAnswers = 0;
   callMs = 5;
@@ -394,7 +399,7 @@
       return { kind: 'not-run', isUnreachable: false, isLeaving: false, retryAfterMs: 0 };
     }
     const key = service.headers['idempotency-key'] ?? service.path;
-    this.runs.set(key, (this.runs.get(key) ?? 0) + 1);
+    this.executionCounts.set(key, (this.executionCounts.get(key) ?? 0) + 1);
     await new Promise<void>(resolve => this._host.after(this.callMs, resolve));
     if (signal.aborted) return { kind: 'cancelled' };
     if (this.loseAnswers > 0) {
@@ -412,10 +417,10 @@
   }
 }
 
-/** Counts how often each sample was scored. */
+/** A scoring service that counts how often each sample was scored. */
 export class SimScorer {
   readonly process: SimProcess;
-  readonly runs = new Map<string, number>();
+  readonly scoreCounts = new Map<string, number>();
   loseAnswers = 0;
 
   constructor(process: SimProcess) {
@@ -440,7 +445,7 @@
   async score(sample: ScoreRequest, deadline: Deadline): Promise<ScoreResult> {
     this._onStage('scoring');
     return this._callScorer(deadline, () => {
-      this._scorer.runs.set(sample.sampleId, (this._scorer.runs.get(sample.sampleId) ?? 0) + 1);
+      this._scorer.scoreCounts.set(sample.sampleId, (this._scorer.scoreCounts.get(sample.sampleId) ?? 0) + 1);
       this._onStage('scored');
       return { kind: 'scored', score: 1 };
     });
@@ -448,13 +453,13 @@
 
   async find(sampleId: string, deadline: Deadline): Promise<ScoreResult> {
     return this._callScorer(deadline, () =>
-      this._scorer.runs.has(sampleId) ? { kind: 'scored', score: 1 } : { kind: 'not-scored' },
+      this._scorer.scoreCounts.has(sampleId) ? { kind: 'scored', score: 1 } : { kind: 'not-scored' },
     );
   }
 
-  private async _callScorer(deadline: Deadline, act: () => ScoreResult): Promise<ScoreResult> {
+  private async _callScorer(deadline: Deadline, execute: () => ScoreResult): Promise<ScoreResult> {
     const reply = await this._net.call(this._host, this._scorer.process, deadline.remainingMs(), () => {
-      const result = act();
+      const result = execute();
       if (this._scorer.loseAnswers === 0) return result;
       this._scorer.loseAnswers -= 1;
       return new Promise<ScoreResult>(() => undefined);
--- a/packages/testkit/src/simFleet.ts
+++ b/packages/testkit/src/simFleet.ts
@@ -32,7 +32,7 @@
   SimMemberListClient,
   SimScorer,
   SimScorerClient,
-  SimServices,
+  SimService,
   SimStore,
   SimStoreClient,
 } from './simBackends.js';
@@ -49,12 +49,13 @@
 
 type Handler = (body: unknown, context: CallContext) => unknown;
 
-/** A host. `services` is set once the host has joined the fleet. */
+/** A host that runs the daemon's services. */
 export class SimHost implements CallRegistry, PeerCaller {
   readonly id: string;
   readonly domain: string;
   readonly process: SimProcess;
   readonly handlers = new Map<string, Handler>();
+  /** Undefined until the services have started. */
   services: EntryServices | undefined;
   private readonly _fleet: SimFleet;
 
@@ -65,11 +66,12 @@
     this.process = new SimProcess(id, fleet.clock);
   }
 
-  /** Bytes of the peer protocol sent and received, without the host's calls to itself. */
+  /** Bytes sent and received on the peer protocol, without the host's calls to itself. */
   peerBytes = 0;
 
+  /** The services of a started host. Throws if the host has not started. */
   get ready(): EntryServices {
-    if (!this.services) throw new Error(`host ${this.id} has not started`);
+    if (!this.services) throw new Error(`services of host ${this.id} have not started`);
     return this.services;
   }
 
@@ -113,7 +115,7 @@
 }
 
 export interface SimFleetOptions {
-  /** Counts the encoded bytes of the peer protocol. */
+  /** Whether to count the encoded bytes of the peer protocol. */
   readonly countsBytes?: boolean;
   readonly seed: number;
   readonly domains: readonly string[];
@@ -131,11 +133,11 @@
   readonly scorer: SimScorer;
   readonly engines = new Map<string, SimEngine>();
   readonly hosts = new Map<string, SimHost>();
-  readonly services: SimServices;
+  readonly services: SimService;
   readonly options: SimFleetOptions;
   /** Called when a step, sample or write reaches a stage; tests inject faults here. */
   onStage: (stage: string) => void = () => undefined;
-  /** Number of load report requests. */
+  /** Number of requests for an engine's load report. */
   loadReportCalls = 0;
   private readonly _stop = new AbortController();
 
@@ -143,11 +145,11 @@
     this.options = options;
     setMaxListeners(0, this._stop.signal);
     this.random = new SeededRandom(options.seed);
-    this.net = new SimNet(this.clock, this.random, { maxDelayMs: 4, lossShare: 0 });
+    this.net = new SimNet(this.clock, this.random, { maxDelayMs: 4, lossRate: 0 });
     this.store = new SimStore(new SimProcess('store', this.clock));
     this.list = new SimMemberList(new SimProcess('list', this.clock));
     this.scorer = new SimScorer(new SimProcess('scorer', this.clock));
-    this.services = new SimServices(new SimProcess('service', this.clock));
+    this.services = new SimService(new SimProcess('service', this.clock));
     this.store.onPut.push(key => {
       if (key.includes('/chunk/')) this.onStage('sealed');
     });
@@ -187,19 +189,23 @@
     return fleet;
   }
 
-  /** Starts a host, or replaces its process by a new one. */
+  /** Starts a host, or replaces its process if it is already running. */
   async startHost(domain: string, id: string): Promise<void> {
     this.hosts.get(id)?.process.kill();
     const host = new SimHost(this, domain, id);
     this.hosts.set(id, host);
     const entry = { id, domain, peerAddress: id, state: 'live' as const };
-    this.list.change(domain, d => ({ ...d, hosts: [...d.hosts.filter(other => other.id !== id), entry] }), 0);
+    this.list.change(
+      domain,
+      document => ({ ...document, hosts: [...document.hosts.filter(other => other.id !== id), entry] }),
+      0,
+    );
     host.services = await startServices(this._contextOf(host), this._portsOf(host), id);
   }
 
   host(id: string): SimHost {
     const host = this.hosts.get(id);
-    if (!host) throw new Error(`no host ${id}`);
+    if (!host) throw new Error(`unknown host ${id}`);
     return host;
   }
 
@@ -211,10 +217,11 @@
 
   engine(url: string): SimEngine {
     const engine = this.engines.get(url);
-    if (!engine) throw new Error(`no engine ${url}`);
+    if (!engine) throw new Error(`unknown engine ${url}`);
     return engine;
   }
 
+  /** Whether every live host owns key slots and has settled all of them. */
   isSettled(): boolean {
     return this.liveHosts().every(host => {
       const { keys } = host.ready;
@@ -264,7 +271,11 @@
       checksFencing: false,
       state: 'live' as const,
     };
-    this.list.change(domain, (d: MemberDocument) => ({ ...d, endpoints: [...d.endpoints, entry] }), 0);
+    this.list.change(
+      domain,
+      (document: MemberDocument) => ({ ...document, endpoints: [...document.endpoints, entry] }),
+      0,
+    );
   }
 
   private _contextOf(host: SimHost): Parameters<typeof startServices>[0] {
--- a/tests/dutyStandIn.ts
+++ b/tests/dutyStandIn.ts
@@ -6,10 +6,10 @@
 import { totalOf, type UsageReport } from '@fuchsiahitch/metering';
 
 /**
- * How calls are answered. `away`: no connection. `silent`: neither executed nor answered. `lost`: executed, but not
- * answered. `late`: not answered, and executed seconds later, as the platform may do with any call.
+ * How calls are answered. `unreachable`: no connection. `silent`: neither executed nor answered. `lost`: executed, but
+ * not answered. `late`: not answered, and executed seconds later, as the platform may do with any call.
  */
-export type DutyMode = 'well' | 'silent' | 'busy' | 'away' | 'lost' | 'late';
+export type DutyMode = 'available' | 'silent' | 'busy' | 'unreachable' | 'lost' | 'late';
 
 const ANSWER_DELAY_MS = 2;
 const UNANSWERED_MS = 1500;
@@ -20,7 +20,7 @@
 }
 
 export class DutyStandIn {
-  mode: DutyMode = 'well';
+  mode: DutyMode = 'available';
   /** Hosts that cannot reach the stand-in. */
   readonly unreachableFrom = new Set<string>();
   readonly reports = new Map<number, UsageReport>();
@@ -53,14 +53,14 @@
 
   private async _call(hostId: string, holder: DutyHolder, execute: () => void): Promise<DutyAnswer> {
     await sleep(this._clock, ANSWER_DELAY_MS);
-    const mode = this.unreachableFrom.has(hostId) ? 'away' : this.mode;
-    if (mode === 'away') return 'unreached';
+    const mode = this.unreachableFrom.has(hostId) ? 'unreachable' : this.mode;
+    if (mode === 'unreachable') return 'unreached';
     if (mode === 'late') return this._executeLate(execute);
     this._checkRules({ ...holder, hostId, atMs: this._clock.nowMs() });
     if (mode === 'busy') return 'busy';
     if (this.isSoldOut) return 'refused';
     if (mode !== 'silent') execute();
-    if (mode === 'well') return 'accepted';
+    if (mode === 'available') return 'accepted';
     await sleep(this._clock, UNANSWERED_MS);
     return 'unknown';
   }
--- a/tests/keys.spec.ts
+++ b/tests/keys.spec.ts
@@ -386,7 +386,7 @@
     case 'heal':
       return fleet.net.heal();
     case 'loss':
-      fleet.net.lossShare = action.share;
+      fleet.net.lossRate = action.share;
       return;
     case 'store':
       fleet.store.isDown = action.isDown;
@@ -422,7 +422,7 @@
           fleet.host(id).isCutOff = false;
         }
         fleet.net.heal();
-        fleet.net.lossShare = 0;
+        fleet.net.lossRate = 0;
         fleet.store.isDown = false;
         fleet.plan('h1', HOSTS);
         await fleet.clock.advance(10_000);
--- a/utils/runTests.mjs
+++ b/utils/runTests.mjs
@@ -1,4 +1,4 @@
-// Runs the compiled tests with tap. The last line of output is 'N passed, N failed'.
+// Runs the compiled tests with tap, or those whose file names contain an argument. Prints 'N passed, N failed' last.
 import fs from 'node:fs';
 import { spawnSync } from 'node:child_process';
 import { readKnownRed, verdictOf } from './testVerdict.mjs';
