--- a/packages/batches/src/model.ts
+++ b/packages/batches/src/model.ts
@@ -60,7 +60,7 @@
   .readonly();
 export type Batch = z.infer<typeof batchSchema>;
 
-/** `terminated`: the item was given up; the text may be partial. */
+/** `terminated`: the item was abandoned; the text may be partial. */
 export const itemResultSchema = z
   .strictObject({
     id: z.string(),
--- a/packages/batches/src/pace.ts
+++ b/packages/batches/src/pace.ts
@@ -24,7 +24,7 @@
   }
 
   /** Available from the first interval on; precise enough to detect an unresponsive endpoint. */
-  roughEstimateMs(): number | undefined {
+  provisionalEstimateMs(): number | undefined {
     return this._intervals > 0 ? this._meanMs : undefined;
   }
 }
--- a/packages/duties/src/dutyHandover.ts
+++ b/packages/duties/src/dutyHandover.ts
@@ -1,5 +1,5 @@
 /**
- * Hand-over record of a duty.
+ * Handover record of a duty.
  *
  * Targets that don't check fencing tokens must not be called by two hosts about the same subject within a bound. A
  * holder that releases its duty stores the time since its last action on each subject, so that its successor waits for
--- a/packages/entry/src/ordersService.ts
+++ b/packages/entry/src/ordersService.ts
@@ -20,7 +20,7 @@
 const LEASE_MARGIN_MS = 3000;
 const RENEW_PERIOD_MS = 3000;
 const PLAN_PERIOD_MS = 100;
-/** The leader polls one endpoint per period, to find those that restarted with an old version. */
+/** The holder of the orders lease polls one endpoint per period, to find those that restarted with an old version. */
 const ENGINE_POLL_PERIOD_MS = 1000;
 const VERSION_READ_RETRY_MS = 1000;
 const READ_TARGETS_PERIOD_MS = 5000;
@@ -110,7 +110,7 @@
     return statuses;
   }
 
-  /** Returns the endpoints that do not check fencing tokens, and so obey late orders of a former leader. */
+  /** Returns the endpoints that do not check fencing tokens, and so execute late orders of a former lease holder. */
   unfenced(): readonly string[] {
     const engines = this._endpoints.ownDomain().filter(entry => entry.kind === 'engine');
     return engines.filter(entry => !entry.checksFencing).map(entry => entry.id);
@@ -173,7 +173,7 @@
     }
   }
 
-  /** Gives up leadership. Deletes the lease's key, so that a successor need not wait for the lease to expire. */
+  /** Releases the lease by deleting its key, so that a successor need not wait for the lease to expire. */
   private _resign(): void {
     if (!this._lease) return;
     const { token } = this._lease;
--- a/packages/entry/src/rolloutService.ts
+++ b/packages/entry/src/rolloutService.ts
@@ -65,7 +65,7 @@
   private readonly _offers = new Map<string, StepOffer>();
   private readonly _schedule = new FairSchedule();
   /** The number of running slots, by step and batch. */
-  private readonly _batches = new Map<string, Map<number, number>>();
+  private readonly _runningSlots = new Map<string, Map<number, number>>();
   /** The next position to copy from another host's sample buffer, by step, host and epoch. */
   private readonly _copyPositions = new Map<string, number>();
   private readonly _copying = new Set<string>();
@@ -197,7 +197,7 @@
   }
 
   private _renewBatches(): void {
-    for (const [key, batches] of this._batches) {
+    for (const [key, batches] of this._runningSlots) {
       const offer = this._offers.get(key);
       if (!offer) continue;
       const message = { key, batches: [...batches.keys()] };
@@ -206,12 +206,12 @@
   }
 
   private _addRunningSlots(key: string, batch: number, change: number): void {
-    const batches = this._batches.get(key) ?? new Map<number, number>();
+    const batches = this._runningSlots.get(key) ?? new Map<number, number>();
     const slotCount = (batches.get(batch) ?? 0) + change;
     if (slotCount > 0) batches.set(batch, slotCount);
     else batches.delete(batch);
-    if (batches.size > 0) this._batches.set(key, batches);
-    else this._batches.delete(key);
+    if (batches.size > 0) this._runningSlots.set(key, batches);
+    else this._runningSlots.delete(key);
   }
 
   private async _runSlot(offer: StepOffer, assignment: Assignment, batch: number): Promise<void> {
--- a/packages/gateway/src/batchOwner.ts
+++ b/packages/gateway/src/batchOwner.ts
@@ -197,7 +197,7 @@
 
   /** Stops the batch because another host holds the claim. */
   claimLost(): void {
-    // The end of the batch at this host also changes the claim's revision, which is no loss.
+    // Ending the batch at this host also changes the claim's revision; the claim is not lost then.
     if (this._isStopped) return;
     this._isClaimLost = true;
     this.stop('another host owns the batch');
--- a/packages/gateway/src/claimLease.ts
+++ b/packages/gateway/src/claimLease.ts
@@ -15,7 +15,7 @@
 const RENEW_FRACTION = 0.6;
 /** Time for requests that were written just before the lease expired to reach their endpoints. */
 const SEND_MARGIN_MS = 1000;
-/** Also the retry interval of failed renewals. */
+/** Interval at which the lease is checked for renewal, and at which failed renewals are retried. */
 const CHECK_INTERVAL_MS = 125;
 /** Leaves time for a retry before the lease expires. */
 const RENEW_TIMEOUT_MS = 700;
--- a/packages/gateway/src/configurationService.ts
+++ b/packages/gateway/src/configurationService.ts
@@ -10,17 +10,11 @@
 import type { CallerLimits, FleetConfiguration, RecordDecoder, RecordKeys } from './ports.js';
 import { StoreMirror, type MirrorSource } from './storeMirror.js';
 
-/**
- * A change must be in force within two seconds, so an unresponsive watch is restarted within that time. With a longer
- * wait callers would get 404 for a new route seconds after it was accepted.
- */
+/** An unresponsive watch is restarted early enough for a change to be in force within two seconds. */
 const WATCH_TIMINGS = { waitMs: 1000, responseGraceMs: 600, spacingMs: 0 };
-/**
- * A connected host receives a new configuration within about two seconds. With an older view, access is `unsure`, so
- * that the caller may retry at another host, instead of denied, which is final.
- */
+/** With an older view, access is `unsure` instead of denied, so that the caller may retry at another host. */
 const MAX_DENIAL_AGE_MS = 3000;
-/** Signals of state conditions, which the operators' rules don't have. */
+/** Signal reader for the operators' rules, which have no state conditions. */
 const noSignals = (): number => 0;
 
 export interface RoutedRequest {
--- a/packages/gateway/src/dutyLease.ts
+++ b/packages/gateway/src/dutyLease.ts
@@ -20,11 +20,11 @@
 import { StoreLease, type LeaseTimes } from './storeLease.js';
 
 const TICK_MS = 100;
-/** Lets the host of the previous holder reacquire the lease after a restart, since it needs no hand-over wait. */
+/** Lets the host of the previous holder reacquire the lease after a restart, since it needs no handover wait. */
 const LAST_HOLDER_GRACE_MS = 700;
 /**
- * Delay between consecutive candidates, so that they don't all call the store when a key becomes free. Longer than the
- * time in which hosts learn that the key is held: 0.25 s and two calls.
+ * Delay between consecutive candidates, so that they don't all call the store when a key becomes free. Long enough for
+ * a candidate to see that an earlier one has acquired the key.
  */
 const ACQUIRE_STEP_MS = 400;
 const MAX_ACQUIRE_STEPS = 8;
@@ -42,7 +42,7 @@
   readonly handoverMs: number;
 }
 
-/** Identifies a duty and the store keys of its holder and of the last hand-over record. */
+/** Identifies a duty and the store keys of its holder and of the last handover record. */
 export interface DutyName {
   /** Log message for changes of this lease. */
   readonly label: string;
@@ -65,7 +65,7 @@
 export interface DutyPorts {
   readonly store: RevisionedStore;
   readonly hosts: DutyHosts;
-  /** Hand-over record of the last holder, available even if the duty has no holder now. */
+  /** Handover record of the last holder, available even if the duty has no holder now. */
   readonly lastHandover: () => DutyHandover | undefined;
 }
 
@@ -124,7 +124,7 @@
     return this._context.clock.nowMs() < this._actAfterMs ? undefined : this._guard.token();
   }
 
-  /** Returns false while the previous holder may have acted on the subject within the hand-over time. */
+  /** Returns false while the previous holder may have acted on the subject within the handover time. */
   canActOn(subject: string): boolean {
     const waitMs = waitForSubjectMs(this._previousHandover, subject, this._times.handoverMs);
     return this._context.clock.nowMs() >= this._acquiredMs + waitMs;
@@ -165,7 +165,7 @@
   /** Encodes the recent actions of this holder and of its predecessors for a successor. */
   private _handover(): string {
     const { clock, hostId } = this._context;
-    // Actions of the previous holder may still be within the hand-over time. Their ages are not updated, which only
+    // Actions of the previous holder may still be within the handover time. Their ages are not updated, which only
     // prolongs the wait.
     const before = this._previousHandover?.quietMs ?? {};
     const quietMs = { ...before, ...this._actionTimes.quietMs(clock.nowMs()) };
--- a/packages/gateway/src/endpoint.ts
+++ b/packages/gateway/src/endpoint.ts
@@ -7,7 +7,7 @@
 import { ConcurrencyLimit, EndpointStats } from '@fuchsiahitch/requests';
 import type { EndpointInfo, EndpointLoad } from './ports.js';
 
-/** Load changes within a second through other hosts' requests; an older report would leave free slots unused. */
+/** Age up to which a load report is used; other hosts' requests change the load. */
 const REPORTED_LOAD_VALID_MS = 1000;
 /** Upper bound of the ejection of an endpoint whose requests failed. */
 const MAX_EJECTION_MS = 2000;
@@ -46,7 +46,7 @@
 export class Endpoint {
   readonly stats: EndpointStats;
   readonly limit: ConcurrencyLimit;
-  /** Required by `EndpointPicker`; empty, because items, the only requests bound to a version, use `versionOf`. */
+  /** Required by `EndpointPicker`, but unused: only items require a weight version, and they use `versionOf`. */
   readonly version = '';
   private readonly _clock: Clock;
   private readonly _reportedVersions = new Map<string, number>();
@@ -229,6 +229,6 @@
 
   /** A rough pace, available from the first two events on. */
   provisionalPaceMs(): number | undefined {
-    return this._pace.roughEstimateMs();
+    return this._pace.provisionalEstimateMs();
   }
 }
--- a/packages/gateway/src/eventLoopMonitor.ts
+++ b/packages/gateway/src/eventLoopMonitor.ts
@@ -10,7 +10,7 @@
 import type { CancelTimer, Clock } from '@fuchsiahitch/base';
 
 const SAMPLE_INTERVAL_MS = 50;
-/** Lag above this distorts pace samples: about half of the time between two events of a stream. */
+/** Smaller lag is ignored. */
 const LAG_THRESHOLD_MS = 25;
 /** Samples that a decision waits after lag, so that endpoints can answer what was sent late. */
 const GRACE_SAMPLES = 2;
--- a/packages/gateway/src/hostDirectory.ts
+++ b/packages/gateway/src/hostDirectory.ts
@@ -17,7 +17,7 @@
 export const LIVE_PREFIX = `${KEY_ROOT}live/`;
 const HOST_PREFIX = `${LIVE_PREFIX}host/`;
 
-/** Key of the hand-over record of a domain's weight orders. It outlives the holder's lease. */
+/** Key of the handover record of a domain's weight orders. It outlives the holder's lease. */
 export function lastOrdersKey(domain: string): string {
   return `${LIVE_PREFIX}last-orders/${domain}`;
 }
@@ -27,7 +27,7 @@
   return `${LIVE_PREFIX}orders/${domain}`;
 }
 
-/** The lease bounds the time until a failed host is detected; a shorter one would lose the batches of paused hosts. */
+/** Bounds the time until a failed host is detected. Briefly paused hosts must not lose their leases. */
 const HOST_LEASE = { ttlMs: 2000, renewMs: 600 };
 const MAX_TERMINATED_PROCESSES = 1000;
 const MIRROR_OPTIONS = { prefix: LIVE_PREFIX, waitMs: 4000, spacingMs: 0 };
@@ -58,7 +58,7 @@
   isHeld(key: string): boolean;
   /** Runs a callback whenever the key's holder may have changed, and after each complete read of the live hosts. */
   onKeyChange(key: string, callback: () => void): void;
-  /** Hand-over record of a domain's weight orders, available even if they have no holder now. */
+  /** Handover record of a domain's weight orders, available even if they have no holder now. */
   lastOrders(domain: string): DutyHandover | undefined;
   /** Live hosts other than this one. */
   peers(): readonly Owner[];
@@ -176,7 +176,7 @@
     return this.handover(lastOrdersKey(domain));
   }
 
-  /** Hand-over record stored under a key. */
+  /** Handover record stored under a key. */
   handover(key: string): DutyHandover | undefined {
     const value = this._valuesByKey.get(key);
     return value === undefined ? undefined : decodeHandover(value);
--- a/packages/gateway/src/itemBackoff.ts
+++ b/packages/gateway/src/itemBackoff.ts
@@ -33,7 +33,7 @@
     if (shouldLogFailures(fruitless)) this._log({ itemId, fruitless });
   }
 
-  /** Like `attemptFailed`, with the ledger's count of fruitless attempts. A dropped text is always logged. */
+  /** Like `attemptFailed`, with the ledger's count of attempts without progress. A discarded text is always logged. */
   versionMismatched(itemId: string, fruitless: number, isTextDropped: boolean): void {
     this._pause(itemId, fruitless);
     if (isTextDropped || shouldLogFailures(fruitless)) this._log({ itemId, fruitless, isTextDropped });
--- a/packages/gateway/src/poisonGuard.ts
+++ b/packages/gateway/src/poisonGuard.ts
@@ -25,7 +25,7 @@
 /** Retry delay when another host holds the trial, or the store could not grant it. */
 const TRIAL_RETRY_MS = 1000;
 /** From this many terminated endpoints on, marks are announced at once, even while other attempts still run. */
-const MIN_ENDS_TO_ANNOUNCE = 2;
+const MIN_TERMINATIONS_TO_ANNOUNCE = 2;
 /** Interval at which the marks of a recurring request are renewed before their lease expires. */
 const REANNOUNCE_INTERVAL_MS = 240_000;
 
@@ -123,7 +123,7 @@
     const ends = this._cases.ended(fingerprint, endpoint.startId());
     this._context.metrics.poison.inc({ event: 'end' });
     this._log('endpoint terminated while running request', fingerprint, { endpointId: endpoint.id, ends });
-    if (ends >= MIN_ENDS_TO_ANNOUNCE) this._announceNew(fingerprint);
+    if (ends >= MIN_TERMINATIONS_TO_ANNOUNCE) this._announceNew(fingerprint);
   }
 
   /** Clears the case of a request that was answered completely without terminating its endpoint. */
--- a/packages/gateway/src/poisonRecords.ts
+++ b/packages/gateway/src/poisonRecords.ts
@@ -2,9 +2,8 @@
  * Poison request marks in the store: one key for each endpoint that terminated while running a request, and one for
  * each trial.
  *
- * Hosts write end marks unconditionally: the same end reported twice is one key, and a delayed write undoes nothing. A
- * trial is claimed by a conditional write, so that only one host runs it. The keys are below a prefix that every host
- * watches, under leases that outlive the writing process.
+ * Terminations are written unconditionally and have one key each, so repeated and delayed writes are harmless. Trials
+ * are claimed by a conditional write, so that only one host runs each. Leases outlive the writing process.
  */
 import { Deadline, sleep } from '@fuchsiahitch/base';
 import type { RevisionedStore, Write } from '@fuchsiahitch/clients';
--- a/packages/gateway/src/reachabilityMonitor.ts
+++ b/packages/gateway/src/reachabilityMonitor.ts
@@ -19,8 +19,7 @@
 const PROBE_TIMEOUT_MS = 300;
 /** Consecutive rounds without any answer after which the host counts as isolated. */
 const MAX_FAILED_ROUNDS = 2;
-/** Hosts probed per round. */
-const PROBED_HOSTS = 3;
+const PROBED_HOSTS_PER_ROUND = 3;
 
 export class ReachabilityMonitor {
   private readonly _context: GatewayContext;
@@ -44,7 +43,7 @@
 
   private async _check(): Promise<void> {
     const isReached =
-      (await this._isStoreReached()) || (await this._anyHostResponds()) || (await this._isStoreReached());
+      (await this._hasStoreAnswered()) || (await this._anyHostResponds()) || (await this._hasStoreAnswered());
     const wasIsolated = this.isIsolated();
     this._failedRounds = isReached ? 0 : this._failedRounds + 1;
     if (this.isIsolated() === wasIsolated) return;
@@ -55,7 +54,7 @@
     });
   }
 
-  private async _isStoreReached(): Promise<boolean> {
+  private async _hasStoreAnswered(): Promise<boolean> {
     if (this._store.sinceReachedMs() < STORE_SILENCE_MS) return true;
     await pendingIoRead();
     return this._store.sinceReachedMs() < STORE_SILENCE_MS;
@@ -66,7 +65,7 @@
     const others = this._hosts.peers().filter(peer => !this._hosts.isOwnDomain(peer.hostId));
     if (others.length === 0) return true;
     const start = this._context.random.below(others.length);
-    const probed = [...others.slice(start), ...others.slice(0, start)].slice(0, PROBED_HOSTS);
+    const probed = [...others.slice(start), ...others.slice(0, start)].slice(0, PROBED_HOSTS_PER_ROUND);
     const replies = await Promise.all(
       probed.map(peer => this._hosts.call(peer.address, reachCall, {}, PROBE_TIMEOUT_MS)),
     );
--- a/packages/gateway/src/relayedStore.ts
+++ b/packages/gateway/src/relayedStore.ts
@@ -29,7 +29,7 @@
 const RELAY_SLACK_MS = 300;
 /** Maximum time of a direct call before it counts as failed. */
 const DIRECT_TIMEOUT_MS = 900;
-/** A call with a shorter time-out that gets no answer does not prove a failure: a slow store takes 0.3 s. */
+/** An unanswered call with a shorter timeout does not count as a store failure. */
 const CONCLUSIVE_TIMEOUT_MS = 600;
 /** Time for which a peer is skipped after a failed relay. */
 const PEER_PAUSE_MS = 2000;
@@ -57,7 +57,7 @@
     this._lastReachedMs = context.clock.nowMs();
   }
 
-  /** Called after construction, since the peers are read from the store. */
+  /** Enables relaying. Called after construction, since the peers are read from the store. */
   setPeers(peers: RelayPeers): void {
     this._peers = peers;
   }
@@ -155,7 +155,7 @@
       this._lastReachedMs = this._context.clock.nowMs();
       return result;
     }
-    // A call with a short time-out must not switch all calls of the host to relaying because the store is slow.
+    // A call with a short timeout must not switch all calls of the host to relaying because the store is slow.
     const isConclusive = result.error !== 'unknown' || limitMs >= CONCLUSIVE_TIMEOUT_MS;
     if (isConclusive) this._startRelaying(result.error);
     // Only a call that was certainly not executed is relayed at once; otherwise the caller decides.
--- a/packages/gateway/src/sharedWatch.ts
+++ b/packages/gateway/src/sharedWatch.ts
@@ -37,7 +37,7 @@
     this._feeds = new Map(prefixes.map(watched => [watched.prefix, new WatchFeed(watched)]));
   }
 
-  /** Until it is called this host watches the store itself, since the hosts are learned through a watch. */
+  /** Enables following. Until then this host watches the store itself, since the host list is read through a watch. */
   setHosts(hosts: WatchHosts): void {
     this._hosts = hosts;
   }
--- a/packages/gateway/src/storeMirror.ts
+++ b/packages/gateway/src/storeMirror.ts
@@ -1,7 +1,7 @@
 /**
  * Local copy of one prefix of the store, updated by a watch.
  *
- * Every watch has a time-out. The prefix is read completely if the store has compacted the changes since the last
+ * Every watch has a timeout. The prefix is read completely if the store has compacted the changes since the last
  * revision. The last view is retained while the store is unreachable.
  */
 import { Deadline, sleep } from '@fuchsiahitch/base';
@@ -14,7 +14,7 @@
   readonly waitMs: number;
   /** Minimum pause between two watches, so that close changes are read in one call. */
   readonly spacingMs: number;
-  /** Time-out of a watch in addition to its wait. */
+  /** Timeout of a watch in addition to its wait. */
   readonly responseGraceMs?: number;
 }
 
--- a/packages/gateway/src/usageReporter.ts
+++ b/packages/gateway/src/usageReporter.ts
@@ -30,10 +30,10 @@
 export const LAST_USAGE_KEY = `${LIVE_PREFIX}last-usage`;
 /** The platform treats all windows as one subject. */
 const SUBJECT = 'usage';
-/** Favors few store calls over a fast takeover: a report is due well after a successor has taken over. */
+/** Long, to save store calls: reports are due well after a successor has taken over. */
 const LEASE = { ttlMs: 3000, renewMs: 1000, validityMs: 2500, marginMs: 600 };
 const ANSWER_TIMEOUT_MS = 1500;
-/** Also bounds how long after its start a call can still arrive. */
+/** Bounds how long after its start a call can still arrive at the platform. */
 const CONNECT_TIMEOUT_MS = 500;
 /** Time for an update in transit to arrive. */
 const DELIVERY_SLACK_MS = 400;
--- a/packages/gateway/src/watchFeed.ts
+++ b/packages/gateway/src/watchFeed.ts
@@ -45,8 +45,8 @@
   }
 
   /**
-   * How long the next watch may wait for a change. Excludes the time since the last answer, so that the spacing does
-   * not make the buffer stale.
+   * How long the next watch may wait for a change. The time since the last answer is deducted, so that the buffer does
+   * not become stale meanwhile.
    */
   waitMs(nowMs: number): number {
     return Math.max(MIN_WAIT_MS, this.watched.waitMs - Math.max(0, nowMs - this._lastAnswerMs));
--- a/packages/gateway/src/watchedPrefixes.ts
+++ b/packages/gateway/src/watchedPrefixes.ts
@@ -2,8 +2,8 @@
  * Store prefixes that every host watches, with their timing.
  *
  * Configuration changes and leaving endpoints must reach all hosts within two seconds, even if the watching host of a
- * domain fails or loses the store at that time: its followers notice after `validMs` and one request. The end of a host
- * is learned from a lease of two seconds, so that additional spacing is acceptable there.
+ * domain fails: its followers detect that after `validMs` and one request. Host failures are detected only after a
+ * two-second lease, so a longer delay is acceptable for them.
  */
 import { LIVE_PREFIX } from './hostDirectory.js';
 import type { RecordDecoder, RecordKeys } from './ports.js';
--- a/packages/gateway/src/weightOrders.ts
+++ b/packages/gateway/src/weightOrders.ts
@@ -33,15 +33,15 @@
 const PEER_TIMEOUT_MS = 500;
 /** Maximum share of a pool's endpoints that load at once; more would slow each load down. */
 const LOADING_SHARE = 0.29;
-const SWAP = {
+const SWAP_OPTIONS = {
   maxSwappingShare: 1,
   loadsPerSecond: 1000,
   swapTimeoutMs: 4000,
   maxTries: 8,
   readBackIntervalMs: 250,
 };
-/** Exceeds the duration of a load while many endpoints load. */
-const WINDOW_TIMEOUT_MS = 2500;
+/** Time after which a due endpoint no longer counts in the load window. Exceeds the duration of a load. */
+const LOAD_WINDOW_SKIP_MS = 2500;
 /** Trainers accept tokens of the version that precedes the one they requested last. */
 const ALLOWED_LAG = 1;
 
@@ -170,7 +170,7 @@
   private _windowOf(pool: string): LoadWindow {
     const known = this._windows.get(pool);
     if (known) return known;
-    const window = new LoadWindow(this._context.clock, WINDOW_TIMEOUT_MS);
+    const window = new LoadWindow(this._context.clock, LOAD_WINDOW_SKIP_MS);
     this._windows.set(pool, window);
     return window;
   }
@@ -188,7 +188,7 @@
     const key = `${pool}\n${model}`;
     const known = this._planners.get(key);
     if (known) return known;
-    const planner = new SwapPlanner(this._context.clock, SWAP);
+    const planner = new SwapPlanner(this._context.clock, SWAP_OPTIONS);
     this._planners.set(key, planner);
     return planner;
   }
--- a/packages/requests/src/poisonCases.ts
+++ b/packages/requests/src/poisonCases.ts
@@ -1,10 +1,9 @@
 /**
  * Poison requests: requests that crash every endpoint that runs them.
  *
- * A crash looks like a broken connection, so that retries would crash one endpoint after another. Therefore each
- * termination is counted for all requests that ran at the endpoint. After two terminations a request is held until the
- * endpoints have restarted, then tried once in the whole fleet. An answer clears the request; another termination
- * condemns it, so that it is refused.
+ * Each termination of an endpoint is counted for all requests that ran there. After two terminations a request is held
+ * until the endpoints have restarted, then tried once in the whole fleet. An answer clears the request; another
+ * termination condemns it, so that it is refused instead of retried.
  */
 import type { Clock } from '@fuchsiahitch/base';
 import { targetOfFingerprint } from './requestFingerprint.js';
--- a/packages/requests/src/slotMap.ts
+++ b/packages/requests/src/slotMap.ts
@@ -136,14 +136,14 @@
     return this._reassigned(entry, owner, copy, older);
   }
 
-  /** Moves the copy or else swaps the roles, unless the owner has yet to trim many earlier generations. */
+  /** Moves the copy, or else swaps owner and copy. Waits until the earlier generations were trimmed if there are many. */
   private _rebalanced(entry: SlotEntry, slot: number): SlotEntry {
     const older = this._olderGenerations(entry, slot);
     if (older.length > TRIM_LENGTH) return entry;
     return this._withCopyMoved(entry, older) ?? this._withRolesSwapped(entry, older) ?? entry;
   }
 
-  /** Removes unneeded generations: with the maximum of them, a slot that loses a holder could not be reassigned. */
+  /** Removes generations that are no longer needed. A slot with the maximum number cannot be reassigned. */
   private _trimmed(entry: SlotEntry, slot: number): SlotEntry {
     if (entry.older.length < TRIM_LENGTH || !this._input.settled.has(slot)) return entry;
     this._changed = true;
--- a/packages/steps/src/stepLedger.ts
+++ b/packages/steps/src/stepLedger.ts
@@ -152,7 +152,7 @@
 
   /**
    * Accepts the first finished sample of a slot, and drops later ones. The age is measured from the assignment on
-   * this host's clock, because the age in a message that was delayed is too low.
+   * this host's clock, because the age in a message does not include the message's delay.
    */
   sampleDone(sample: Sample): SampleVerdict {
     const attempt = this._attempts.get(sample.sampleId);
