--- a/packages/entry/src/rolloutService.ts
+++ b/packages/entry/src/rolloutService.ts
@@ -278,7 +278,7 @@
       // If the prompt crashed the engine, a retry would crash the next one. The step's owner decides whether to retry,
       // because it receives the reports of all workers. A stream that generated tokens did not crash the engine.
       const madeNoProgress = end.kind === 'broken' && recorder.tokens() === tokensBefore;
-      if (madeNoProgress && (await this._hasTerminated(endpoint)))
+      if (madeNoProgress && (await this._isUnresponsive(endpoint)))
         return { kind: 'engine-ended', engine: endpoint.id };
       if (end.kind !== 'cancelled') breaks += 1;
       await sleep(this._context.clock, RETRY_PAUSE_MS);
@@ -286,8 +286,8 @@
     return { kind: 'engine' };
   }
 
-  /** True if an engine no longer answers. */
-  private async _hasTerminated(endpoint: CallableEndpoint): Promise<boolean> {
+  /** True if the engine does not answer a report request in time. */
+  private async _isUnresponsive(endpoint: CallableEndpoint): Promise<boolean> {
     const deadline = Deadline.after(this._context.clock, ENGINE_REPORT_TIMEOUT_MS);
     return (await this._engines.report(endpoint.url, deadline)) === undefined;
   }
--- a/packages/gateway/src/batchService.ts
+++ b/packages/gateway/src/batchService.ts
@@ -372,8 +372,8 @@
       const { owner } = location.held.claim;
       const reply = await this._callOwner(owner, remote);
       // An owner that can't reach the store may have lost its host lease.
-      const isDoubtful = reply.ok && reply.value.kind === 'unsure' && !this._hosts.isAlive(owner);
-      if (reply.ok && reply.value.kind !== 'not-owner' && !isDoubtful) return reply.value;
+      const mayBeTerminated = reply.ok && reply.value.kind === 'unsure' && !this._hosts.isAlive(owner);
+      if (reply.ok && reply.value.kind !== 'not-owner' && !mayBeTerminated) return reply.value;
       this._claims.delete(batchId);
       const isDenied = reply.ok && reply.value.kind === 'not-owner';
       const next = await this._replaceOwner(batchId, owner, isDenied);
--- a/packages/gateway/src/usageReporter.ts
+++ b/packages/gateway/src/usageReporter.ts
@@ -160,8 +160,8 @@
     const { settledUpTo, revision, decided, told } = read.value;
     const { windowMs, dueMs } = this._options;
     if (settledUpTo === undefined) return this._initializeAt(windowAt(this._trueMs(), windowMs) - 1);
-    const firstInTime = windowAt(this._trueMs() - dueMs, windowMs);
-    const from = Math.max(settledUpTo, firstInTime - 1);
+    const firstReportable = windowAt(this._trueMs() - dueMs, windowMs);
+    const from = Math.max(settledUpTo, firstReportable - 1);
     if (from > settledUpTo)
       this._context.log.warn('usage lost', {
         window: settledUpTo + 1,
--- a/packages/membership/src/hostView.ts
+++ b/packages/membership/src/hostView.ts
@@ -171,8 +171,8 @@
       return;
     }
     const isThisIncarnation = update.incarnation === this._self.incarnation;
-    const isWrong = update.state === 'suspect' || update.state === 'dead';
-    if (isThisIncarnation && isWrong && update.refutation >= this._self.refutation) {
+    const isReportedDown = update.state === 'suspect' || update.state === 'dead';
+    if (isThisIncarnation && isReportedDown && update.refutation >= this._self.refutation) {
       this._self = { ...this._self, refutation: update.refutation + 1 };
     }
   }
--- a/packages/requests/src/keyHolder.ts
+++ b/packages/requests/src/keyHolder.ts
@@ -203,8 +203,8 @@
       keySlot.remove(record);
       return { ...keySlot.toRecord(record), state: 'released', change: keySlot.nextChange() };
     }
-    const isSmall = finish.answer !== undefined && finish.answer.body.length <= MAX_STORED_ANSWER_BYTES;
-    keySlot.finish(record, isSmall ? finish.answer : undefined);
+    const isStorable = finish.answer !== undefined && finish.answer.body.length <= MAX_STORED_ANSWER_BYTES;
+    keySlot.finish(record, isStorable ? finish.answer : undefined);
     return keySlot.toRecord(record);
   }
 
