--- a/packages/entry/src/rolloutService.ts
+++ b/packages/entry/src/rolloutService.ts
@@ -65,7 +65,7 @@
   private readonly _offers = new Map<string, StepOffer>();
   private readonly _schedule = new FairSchedule();
   /** The number of running slots, by step and batch. */
-  private readonly _batches = new Map<string, Map<number, number>>();
+  private readonly _runningSlots = new Map<string, Map<number, number>>();
   /** The next position to copy from another host's sample buffer, by step, host and epoch. */
   private readonly _copyPositions = new Map<string, number>();
   private readonly _copying = new Set<string>();
@@ -197,7 +197,7 @@
   }
 
   private _renewBatches(): void {
-    for (const [key, batches] of this._batches) {
+    for (const [key, batches] of this._runningSlots) {
       const offer = this._offers.get(key);
       if (!offer) continue;
       const message = { key, batches: [...batches.keys()] };
@@ -206,12 +206,12 @@
   }
 
   private _addRunningSlots(key: string, batch: number, change: number): void {
-    const batches = this._batches.get(key) ?? new Map<number, number>();
+    const batches = this._runningSlots.get(key) ?? new Map<number, number>();
     const slotCount = (batches.get(batch) ?? 0) + change;
     if (slotCount > 0) batches.set(batch, slotCount);
     else batches.delete(batch);
-    if (batches.size > 0) this._batches.set(key, batches);
-    else this._batches.delete(key);
+    if (batches.size > 0) this._runningSlots.set(key, batches);
+    else this._runningSlots.delete(key);
   }
 
   private async _runSlot(offer: StepOffer, assignment: Assignment, batch: number): Promise<void> {
@@ -278,7 +278,7 @@
       // If the prompt crashed the engine, a retry would crash the next one. The step's owner decides whether to retry,
       // because it receives the reports of all workers. A stream that generated tokens did not crash the engine.
       const madeNoProgress = end.kind === 'broken' && recorder.tokens() === tokensBefore;
-      if (madeNoProgress && (await this._hasTerminated(endpoint)))
+      if (madeNoProgress && (await this._isUnresponsive(endpoint)))
         return { kind: 'engine-ended', engine: endpoint.id };
       if (end.kind !== 'cancelled') breaks += 1;
       await sleep(this._context.clock, RETRY_PAUSE_MS);
@@ -286,8 +286,8 @@
     return { kind: 'engine' };
   }
 
-  /** True if an engine no longer answers. */
-  private async _hasTerminated(endpoint: CallableEndpoint): Promise<boolean> {
+  /** True if the engine does not answer a report request in time. */
+  private async _isUnresponsive(endpoint: CallableEndpoint): Promise<boolean> {
     const deadline = Deadline.after(this._context.clock, ENGINE_REPORT_TIMEOUT_MS);
     return (await this._engines.report(endpoint.url, deadline)) === undefined;
   }
